--- a/packages/domain/src/jobs/plan.test.ts
+++ b/packages/domain/src/jobs/plan.test.ts
@@ -265,7 +265,7 @@
 
 test('no more tasks of a step start than may be under way', () => {
   const state = stateOf(testJob('j', [{ tasks: 4 }]));
-  const input = { ...planInput(state, [testWorker('w')]), mostStarts: 3 };
+  const input = { ...planInput(state, [testWorker('w')]), maxStarts: 3 };
   assert.equal(round(input).length, 3);
 });
 
@@ -277,7 +277,7 @@
       testJob('lasting', [{ tasks: 1, lasting: true }]),
     );
     const input = planInput(state, [testWorker('w')]);
-    const paced = { ...input, mostStarts: 1, isLinkBusy };
+    const paced = { ...input, maxStarts: 1, isLinkBusy };
     const later = { ...paced, time: { now: 3_000, nowWall: 3_000 } };
     return [round(paced), round(later)];
   };
--- a/packages/domain/src/jobs/round-cost.test.ts
+++ b/packages/domain/src/jobs/round-cost.test.ts
@@ -67,7 +67,7 @@
   const moving: Task[] = runsOf(input, 'moving', MOVING).map(run => run.task);
   const leaving = runsOf(input, 'leaving', MOVING);
   const slowed = runsOf(input, 'slowed', SLOWED);
-  const round = { ...input, moving };
+  const round = { ...input, movingTasks: moving };
   planStarts(round, () => undefined);
   planEvacuation(round, leaving);
   slowed.forEach(({ task }) => findWorker(round, task));
