--- a/packages/ports/src/adapters/adapters.test.ts
+++ b/packages/ports/src/adapters/adapters.test.ts
@@ -11,7 +11,7 @@
 const SYNC = { fence: FENCE, renew: [], leaseMs: 1_000, acknowledge: [] };
 const READ = { stream: 's', from: 5, limit: 10, waitMs: 0 };
 const OPTIONS = { timeoutMs: 10_000, maxBodyBytes: 1_000 };
-/** Only silence is waited out. */
+/** For servers that never answer, so that the test does not wait long. */
 const SHORT = { ...OPTIONS, timeoutMs: 100 };
 
 async function serve(
@@ -28,7 +28,7 @@
   return `127.0.0.1:${port}`;
 }
 
-/** Calls every method against one server and returns what they failed with, as `kind outcome`. */
+/** Calls every method of the adapters on one server and returns the errors, as `kind outcome`. */
 async function failures(
   t: TestContext,
   address: string,
@@ -49,36 +49,38 @@
   );
 }
 
-const UNANSWERED = [
+const FAILED_OUTCOMES = [
   'log_unavailable unknown',
   'log_unavailable not_run',
   'not_ready not_run',
   'backend_failed unknown',
 ];
 
-const HOSTILE: Record<string, http.RequestListener> = {
-  garbage: (_req, res) => res.end('<html>'),
-  'a wrong shape': (_req, res) => res.end('{"offset":-1,"hosts":[{}]}'),
+const FAULTY_SERVERS: Record<string, http.RequestListener> = {
+  'a response that is not JSON': (_req, res) => res.end('<html>'),
+  'a response that does not match the schema': (_req, res) =>
+    res.end('{"offset":-1,"hosts":[{}]}'),
   'an unknown status': (_req, res) => res.writeHead(302).end(),
   'a server error': (_req, res) => res.writeHead(500).end('{}'),
-  'too much': (_req, res) => res.writeHead(200).end(' '.repeat(2_000)),
-  silence: () => undefined,
-  'a reset': (_req, res) => res.destroy(),
-  'half an answer': (_req, res) => {
+  'a response that is too large': (_req, res) =>
+    res.writeHead(200).end(' '.repeat(2_000)),
+  'no response': () => undefined,
+  'a connection reset': (_req, res) => res.destroy(),
+  'a truncated response': (_req, res) => {
     res.writeHead(201, { 'content-length': 13 });
     res.write('{"offset', () => res.destroy());
   },
 };
 
-for (const [name, listener] of Object.entries(HOSTILE)) {
-  test(`${name} is no success, and effects stay unknown`, async t => {
+for (const [name, listener] of Object.entries(FAULTY_SERVERS)) {
+  test(`${name} fails the call, and a write may have taken effect`, async t => {
     const address = await serve(t, listener);
-    const options = name === 'silence' ? SHORT : OPTIONS;
-    assert.deepEqual(await failures(t, address, options), UNANSWERED);
+    const options = name === 'no response' ? SHORT : OPTIONS;
+    assert.deepEqual(await failures(t, address, options), FAILED_OUTCOMES);
   });
 }
 
-test('a refused connection surely had no effect', async t => {
+test('a refused connection is reported as not run', async t => {
   const server = http.createServer();
   await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve));
   const { port } = server.address() as AddressInfo;
@@ -91,7 +93,7 @@
   ]);
 });
 
-test('a page that skips or repeats an offset is refused', async t => {
+test('a page that skips or repeats an offset is rejected', async t => {
   for (const offsets of [[6], [5, 7], [5, 5]]) {
     const entries = offsets.map(offset => ({ offset, payload: 'x' }));
     const body = JSON.stringify({ entries, first: 0, head: 8 });
@@ -103,7 +105,7 @@
   }
 });
 
-test('a canceled read ends at once', async t => {
+test('a canceled read fails at once', async t => {
   const address = await serve(t, () => undefined);
   const log = createHttpLogService(address, { timeoutMs: 60_000 });
   t.after(() => log.close());
@@ -113,7 +115,7 @@
   assert.ok((await pending).isErr);
 });
 
-test('a host list that has not changed is not read again, and a change is seen', async t => {
+test('an unchanged host list is served from the cache, a changed one is read again', async t => {
   let etag = '"one"';
   let bodies = 0;
   const address = await serve(t, (req, res) => {
--- a/packages/ports/src/adapters/http-client.ts
+++ b/packages/ports/src/adapters/http-client.ts
@@ -1,18 +1,18 @@
-/** JSON calls to the platform with timeouts, bounded bodies and truthful outcomes. */
+/** JSON calls to the platform with timeouts, bounded bodies and reported outcomes. */
 import { parseJson, type Outcome } from '@paddlewind/domain';
 import { Agent, request, type Dispatcher } from 'undici';
 
-import { codeOf, neverConnected } from '../http-errors.js';
+import { errorCodeOf, neverConnected } from '../http-errors.js';
 
 /** Options of an adapter. */
 export interface AdapterOptions {
-  /** Time to connect, in milliseconds. */
+  /** Connect timeout, in milliseconds. */
   readonly connectTimeoutMs?: number;
-  /** Time for a whole answer, in milliseconds, on top of any wait that was asked for. */
+  /** Timeout of the whole response, in milliseconds, in addition to the call's `waitMs`. */
   readonly timeoutMs?: number;
-  /** Largest answer that is read, in bytes. */
+  /** Largest accepted response body, in bytes. */
   readonly maxBodyBytes?: number;
-  /** Connections to one address. */
+  /** Maximum number of connections to one address. */
   readonly connections?: number;
 }
 
@@ -23,14 +23,14 @@
   readonly address: string;
   readonly path: string;
   readonly body?: unknown;
-  /** Entity tag of the answer that the caller has; the other side may answer 304. */
+  /** Entity tag of the cached response; the server may then answer 304. */
   readonly ifNoneMatch?: string;
-  /** How long the other side may wait before it answers, in milliseconds. */
+  /** How long the server may wait before it answers, in milliseconds. */
   readonly waitMs?: number;
   readonly signal?: AbortSignal;
 }
 
-/** An answer with its body parsed from JSON (undefined when it is none), or why there is none. */
+/** A response with its body parsed from JSON (undefined if invalid), or the reason why the call failed. */
 export type CallResult =
   | {
       readonly kind: 'answered';
@@ -40,12 +40,12 @@
     }
   | {
       readonly kind: 'failed';
-      /** `not_run` only when no byte of the call can have arrived. */
+      /** `not_run` only if the server cannot have received any byte of the call. */
       readonly outcome: Exclude<Outcome, 'run'>;
       readonly reason: string;
     };
 
-/** Calls the platform; one for each adapter. */
+/** HTTP client of one adapter. */
 export interface HttpClient {
   call(call: Call): Promise<CallResult>;
   close(): Promise<void>;
@@ -58,7 +58,7 @@
   connections: 32,
 };
 
-/** Creates a client with its own connections. */
+/** Creates a client with its own connection pool. */
 export function createHttpClient(options: AdapterOptions = {}): HttpClient {
   const limits = { ...DEFAULTS, ...options };
   const agent = new Agent({
@@ -110,7 +110,10 @@
   return url.replace(/\/+$/, '');
 }
 
-/** Aborts after a time or with `outer`; unlike `AbortSignal.any`, leaves nothing on `outer` when done. */
+/**
+ * Returns a signal that aborts after `afterMs` or together with `outer`. Unlike `AbortSignal.any`, it removes
+ * its listener from `outer` when done.
+ */
 function abortAfter(
   afterMs: number,
   outer: AbortSignal | undefined,
@@ -145,8 +148,8 @@
   return { body: JSON.stringify(body), headers };
 }
 
-/** Thrown when an answer is larger than allowed. */
-class AnswerTooLarge extends Error {}
+/** Thrown when a response body is larger than allowed. */
+class ResponseTooLargeError extends Error {}
 
 async function readBounded(
   body: Dispatcher.ResponseData['body'],
@@ -158,7 +161,9 @@
     const bytes = chunk as Buffer;
     size += bytes.length;
     if (size > maxBytes) {
-      throw new AnswerTooLarge(`The answer is larger than ${maxBytes} bytes.`);
+      throw new ResponseTooLargeError(
+        `The answer is larger than ${maxBytes} bytes.`,
+      );
     }
     chunks.push(bytes);
   }
@@ -166,7 +171,7 @@
 }
 
 function failure(err: unknown): CallResult {
-  const code = codeOf(err);
+  const code = errorCodeOf(err);
   const outcome = neverConnected(err) ? 'not_run' : 'unknown';
   const message = err instanceof Error ? err.message : String(err);
   return { kind: 'failed', outcome, reason: message === '' ? code : message };
--- a/packages/ports/src/adapters/http-host-list.ts
+++ b/packages/ports/src/adapters/http-host-list.ts
@@ -1,4 +1,4 @@
-/** The platform's host list over HTTP; all that is known of its paths, fields and status codes is here. */
+/** HTTP adapter of the platform's host list; defines its paths, fields and status codes. */
 import { appError, resourcesSchema, type AppError } from '@paddlewind/domain';
 import { Result } from 'true-myth';
 import { z } from 'zod';
@@ -6,7 +6,7 @@
 import type { Host, HostList } from '../host-list.js';
 import { createHttpClient, type AdapterOptions } from './http-client.js';
 
-/** A host list with connections to close. */
+/** A host list that holds connections and has to be closed. */
 export interface HttpHostList extends HostList {
   close(): Promise<void>;
 }
@@ -29,36 +29,37 @@
 const OK = 200;
 const NOT_MODIFIED = 304;
 
-/** The list last read whole; it is read again only when it has changed. */
-interface KnownList {
+/** The last list that was read, with its entity tag for conditional requests. */
+interface CachedList {
   readonly etag: string;
   readonly hosts: readonly Host[];
 }
 
-/** Creates a host list at `address` (`ip:port`, or a base URL). */
+/** Creates a client of the host list at `address` (`ip:port`, or a base URL). */
 export function createHttpHostList(
   address: string,
   options: AdapterOptions = {},
 ): HttpHostList {
   const client = createHttpClient(options);
-  let known: KnownList | undefined;
+  let cached: CachedList | undefined;
   return {
     async list() {
       const call = { method: 'GET', address, path: '/hosts' } as const;
-      const condition = known === undefined ? {} : { ifNoneMatch: known.etag };
+      const condition =
+        cached === undefined ? {} : { ifNoneMatch: cached.etag };
       const res = await client.call({ ...call, ...condition });
       if (res.kind === 'failed') {
         return unavailable(res.reason);
       }
-      if (res.status === NOT_MODIFIED && known !== undefined) {
-        return Result.ok(known.hosts);
+      if (res.status === NOT_MODIFIED && cached !== undefined) {
+        return Result.ok(cached.hosts);
       }
       if (res.status !== OK) {
         return unavailable(`status ${res.status}`);
       }
       const list = checkedList(res.body);
       const { etag } = res;
-      known =
+      cached =
         list.isOk && etag !== undefined
           ? { etag, hosts: list.value }
           : undefined;
--- a/packages/ports/src/adapters/http-log-service.ts
+++ b/packages/ports/src/adapters/http-log-service.ts
@@ -1,4 +1,4 @@
-/** The log service over HTTP; all that is known of its paths, fields and status codes is here. */
+/** HTTP adapter of the log service; defines its paths, fields and status codes. */
 import { appError, type AppError } from '@paddlewind/domain';
 import { Result } from 'true-myth';
 import { z } from 'zod';
@@ -11,7 +11,7 @@
   type HttpClient,
 } from './http-client.js';
 
-/** A log service with connections to close. */
+/** A log service that holds connections and has to be closed. */
 export interface HttpLogService extends LogService {
   close(): Promise<void>;
 }
@@ -26,7 +26,7 @@
   head: offsetSchema,
 });
 
-/** Creates a log service at `address` (`ip:port`, or a base URL). */
+/** Creates a client of the log service at `address` (`ip:port`, or a base URL). */
 export function createHttpLogService(
   address: string,
   options: AdapterOptions = {},
@@ -72,7 +72,7 @@
         appError('invalid', 'The log service refused the entry as malformed.'),
       );
     default:
-      // An intermediary may answer for a service that kept the entry.
+      // An intermediary may answer although the log service stored the entry.
       return unavailable(`status ${res.status}`, 'unknown');
   }
 }
@@ -123,7 +123,7 @@
   }
 }
 
-/** Entries must follow one another from the offset that was asked for. */
+/** Validates a page: its offsets must be consecutive and start at the requested one. */
 function checkedPage(
   body: unknown,
   req: ReadRequest,
--- a/packages/ports/src/adapters/http-worker-agent.ts
+++ b/packages/ports/src/adapters/http-worker-agent.ts
@@ -1,4 +1,4 @@
-/** Worker agents over HTTP; all that is known of their paths, fields and status codes is here. */
+/** HTTP adapter of worker agents; defines their paths, fields and status codes. */
 import { appError, resourcesSchema, type AppError } from '@paddlewind/domain';
 import { Result } from 'true-myth';
 import { z } from 'zod';
@@ -14,7 +14,7 @@
   type CallResult,
 } from './http-client.js';
 
-/** Worker agents with connections to close. */
+/** Worker agents, with connections that have to be closed. */
 export interface HttpWorkerAgent extends WorkerAgent {
   close(): Promise<void>;
 }
@@ -37,7 +37,7 @@
   lagMs: z.number().nonnegative(),
 }) satisfies z.ZodType<WorkerReport>;
 
-/** Creates the adapter; agents are told apart by their address. */
+/** Creates the adapter for all worker agents; each call names the agent by its address. */
 export function createHttpWorkerAgent(
   options: AdapterOptions = {},
 ): HttpWorkerAgent {
@@ -47,18 +47,18 @@
   return {
     async command(address, command) {
       const body = await post(address, '/commands', command);
-      return answerOf(body).map(() => undefined);
+      return acceptedBody(body).map(() => undefined);
     },
     async sync(address, req) {
       const body = await post(address, '/sync', req);
-      return answerOf(body).andThen(checkedReport);
+      return acceptedBody(body).andThen(checkedReport);
     },
     close: () => client.close(),
   };
 }
 
-/** Returns the body of an answer that the agent gave after taking effect. */
-function answerOf(res: CallResult): Result<unknown, AppError> {
+/** Returns the response body if the agent accepted the call. */
+function acceptedBody(res: CallResult): Result<unknown, AppError> {
   if (res.kind === 'failed') {
     return failed(res.reason, res.outcome);
   }
--- a/packages/ports/src/adapters/index.ts
+++ b/packages/ports/src/adapters/index.ts
@@ -1,4 +1,4 @@
-/** HTTP adapters of the interfaces to the platform. */
+/** HTTP adapters for the platform's services. */
 export type { AdapterOptions } from './http-client.js';
 export * from './http-host-list.js';
 export * from './http-log-service.js';
--- a/packages/ports/src/host-list.ts
+++ b/packages/ports/src/host-list.ts
@@ -1,30 +1,30 @@
-/** The platform's lagging list of hosts as the rest of the system sees it. */
+/** Port to the platform's list of hosts, which lags behind their actual state. */
 import type { AppError, Resources } from '@paddlewind/domain';
 import type { Result } from 'true-myth';
 
-/** Whether a host is in service or on its way out. */
+/** Whether a host is in service or about to be removed. */
 export type HostState = 'live' | 'leaving';
 
-/** What a host is for. */
+/** Role of a host. */
 export type HostRole = 'worker' | 'entry';
 
-/** A host as listed; a worker also lists the endpoints of the backend servers that it runs. */
+/** An entry of the host list; a worker's entry includes the endpoints of its backend servers. */
 export interface Host {
   readonly id: string;
   readonly role: HostRole;
   readonly state: HostState;
-  /** `ip:port` of the worker agent, or of an entry host's peer port. */
+  /** `ip:port` of the worker agent, or of the entry host's listener for peers. */
   readonly address: string;
   readonly region: string;
   readonly availabilityZone: string;
   readonly rack: string;
   readonly labels: Readonly<Record<string, string>>;
   readonly capacity: Resources;
-  /** `ip:port` of the backend server of each service on the host, by service name. */
+  /** `ip:port` of the host's backend servers, by service name. */
   readonly endpoints: Readonly<Record<string, string>>;
 }
 
-/** The list of hosts, possibly some seconds old. */
+/** Reads the list of hosts, which may be some seconds old. */
 export interface HostList {
   list(): Promise<Result<readonly Host[], AppError>>;
 }
--- a/packages/ports/src/http-errors.test.ts
+++ b/packages/ports/src/http-errors.test.ts
@@ -7,14 +7,14 @@
   return Object.assign(new Error('failed'), fields);
 }
 
-test('a connection that never came about carried nothing', () => {
+test('an error while connecting means that nothing was sent', () => {
   for (const code of ['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH']) {
     assert.ok(neverConnected(errorWith({ code, syscall: 'connect' })));
   }
   assert.ok(neverConnected(errorWith({ code: 'UND_ERR_CONNECT_TIMEOUT' })));
 });
 
-test('a connection that ends while it reads or writes may have carried a call', () => {
+test('an error while reading or writing means that the call may have been sent', () => {
   for (const code of ['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH']) {
     for (const syscall of ['read', 'write']) {
       assert.ok(!neverConnected(errorWith({ code, syscall })));
--- a/packages/ports/src/http-errors.ts
+++ b/packages/ports/src/http-errors.ts
@@ -1,6 +1,6 @@
-/** Errors of HTTP calls that tell what became of the call. */
+/** Classifies the errors of HTTP calls by whether the call can have been sent. */
 
-/** Codes of errors by which a connection never comes about. */
+/** Error codes of failed connection attempts. */
 const NEVER_CONNECTED: ReadonlySet<string> = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -9,18 +9,18 @@
   'UND_ERR_CONNECT_TIMEOUT',
 ]);
 
-/** The code of an error; empty where it has none. */
-export function codeOf(err: unknown): string {
+/** Returns the code of an error, or an empty string if it has none. */
+export function errorCodeOf(err: unknown): string {
   return fieldOf(err, 'code') ?? '';
 }
 
 /**
- * Tells whether an error shows that there was no connection, so that nothing was sent. An open one may end
- * with the same codes, once its bytes are on their way: it reads or writes then, and does not connect.
+ * Returns whether the connection was never established, so that nothing was sent. An established connection may
+ * fail with the same codes after data was sent; `syscall` is then `read` or `write` instead of `connect`.
  */
 export function neverConnected(err: unknown): boolean {
   const syscall = fieldOf(err, 'syscall') ?? 'connect';
-  return syscall === 'connect' && NEVER_CONNECTED.has(codeOf(err));
+  return syscall === 'connect' && NEVER_CONNECTED.has(errorCodeOf(err));
 }
 
 function fieldOf(err: unknown, name: 'code' | 'syscall'): string | undefined {
--- a/packages/ports/src/index.ts
+++ b/packages/ports/src/index.ts
@@ -1,4 +1,4 @@
-/** Interfaces to the platform and their HTTP adapters. */
+/** Ports to the platform's services and their HTTP adapters. */
 export * from './adapters/index.js';
 export * from './host-list.js';
 export * from './log-service.js';
--- a/packages/ports/src/jobs/feeds.ts
+++ b/packages/ports/src/jobs/feeds.ts
@@ -1,4 +1,4 @@
-/** What the platform publishes: the operator's configuration and the registry of workers. */
+/** Ports to data that the platform publishes: the operator's configuration and the registry of workers. */
 import type { Millis } from '@paddlewind/domain';
 import type { QueueTerms, WorkerInfo } from '@paddlewind/domain/jobs';
 
@@ -24,35 +24,35 @@
   readonly limits: RequestLimits;
 }
 
-/** The newest state of something published, or why it could not be read. */
+/** The latest published value, or the reason why there is none. */
 export type FeedResult<T> =
   | { readonly kind: 'value'; readonly value: T }
-  /** Nothing was published yet. */
+  /** Nothing has been published yet. */
   | { readonly kind: 'none' }
-  /** What was published last can't be read; what was known before holds. */
+  /** The latest published value is invalid; the previous valid one stays in force. */
   | { readonly kind: 'unreadable'; readonly reason: string }
   | { readonly kind: 'unavailable'; readonly reason: string };
 
-/** Follows the configuration. */
+/** Subscription to the operator's configuration. */
 export interface ConfigFeed {
-  /** Resolves with the newest version; after the first call, once a newer one is there or after `waitMs`. */
+  /** Returns the latest version; calls after the first wait up to `waitMs` for a newer one. */
   next(waitMs: Millis): Promise<FeedResult<OperatorConfig>>;
 }
 
-/** An entry of the registry that names no worker to use. */
+/** A registry entry that can't be decoded. */
 export interface UnreadableEntry {
   readonly id: string;
-  /** The field and what is wrong with it. */
+  /** Name of the invalid field and the error. */
   readonly reason: string;
 }
 
-/** The registry of workers as it is now. */
+/** Current content of the registry of workers. */
 export interface Registry {
   readonly workers: readonly WorkerInfo[];
   readonly unreadable: readonly UnreadableEntry[];
 }
 
-/** Follows the registry of workers. */
+/** Subscription to the registry of workers. */
 export interface WorkerFeed {
   refresh(): Promise<FeedResult<Registry>>;
 }
--- a/packages/ports/src/jobs/job-log.ts
+++ b/packages/ports/src/jobs/job-log.ts
@@ -1,14 +1,14 @@
-/** The log that jobs are kept in, as the rest of the system sees it. */
+/** Port to the log that stores the state of jobs. */
 
 /**
- * The streams of one shard of jobs: what callers asked for, what the leader has decided, what callers are
- * told of it, and snapshots from which a reader of that begins.
+ * The streams of one shard of jobs: requests of callers, decisions of the leader, a summary that status requests
+ * are answered from, and snapshots from which readers of the summary start.
  */
 export type JobStream = 'inbox' | 'journal' | 'summary' | 'snapshot';
 
 /**
- * Orders the appends of one writer: the log refuses a writer whose epoch is lower than one it has
- * seen, and a repeat of a recent append gets the first answer again.
+ * Fences and deduplicates the appends of one writer: the log refuses an epoch lower than the highest it has seen,
+ * and answers a repeated recent append with its first result.
  */
 export interface WriterStamp {
   readonly writer: string;
@@ -16,7 +16,7 @@
   readonly sequence: number;
 }
 
-/** What became of an append. */
+/** Result of an append. */
 export type AppendResult =
   | {
       readonly kind: 'appended';
@@ -25,14 +25,14 @@
     }
   /** A writer with a higher epoch has taken over; nothing was appended. */
   | { readonly kind: 'fenced' }
-  /** Another append of this epoch has come first; nothing was appended. */
+  /** The sequence number is not the next one of this epoch; nothing was appended. */
   | { readonly kind: 'out_of_sequence' }
-  /** Nothing was appended, nor will be. */
+  /** Nothing was or will be appended. */
   | { readonly kind: 'refused'; readonly reason: string }
-  /** It may have been appended, or may still be. */
+  /** The records may have been appended, or may still be. */
   | { readonly kind: 'unknown'; readonly reason: string };
 
-/** What a read returned. */
+/** Result of a read. */
 export type ReadResult =
   | {
       readonly kind: 'records';
@@ -41,26 +41,26 @@
       readonly offset: number;
       readonly endOffset: number;
     }
-  /** The records asked for are no longer kept. */
+  /** The requested records have been removed by retention. */
   | { readonly kind: 'trimmed'; readonly firstOffset: number }
   | { readonly kind: 'unavailable'; readonly reason: string };
 
-/** How a read waits, and how much it brings. */
+/** Limits of a read. */
 export interface ReadLimits {
-  /** Longest wait for a record, in milliseconds; 0 for none. */
+  /** Maximum time to wait for a record, in milliseconds; 0 returns at once. */
   readonly waitMs: number;
-  /** Most bytes of records that are brought. */
+  /** Maximum total size of the returned records, in bytes. */
   readonly maxBytes: number;
 }
 
-/** Appends to and reads from the streams. */
+/** Client of the streams. */
 export interface JobLog {
   append(
     stream: JobStream,
     records: readonly Uint8Array[],
     stamp?: WriterStamp,
   ): Promise<AppendResult>;
-  /** Returns the records at `from` and later, as far as `limits` allow. */
+  /** Returns the records from offset `from` on, within `limits`. */
   read(
     stream: JobStream,
     from: number,
--- a/packages/ports/src/jobs/peer-port.ts
+++ b/packages/ports/src/jobs/peer-port.ts
@@ -1,79 +1,79 @@
-/** Calls between the hosts of one system. */
+/** Port to the other hosts of the deployment. */
 import type { Instant, Millis } from '@paddlewind/domain';
 
 import type { AppendResult } from './job-log.js';
 import type { OrderResult, StartOrder, WorkerAddress } from './worker-port.js';
 
-/** A start that a leader has another host send; that host knows the job's payload from the log. */
+/** A start order that a leader sends through another host, which reads the job's payload from the log. */
 export interface RelayedStart {
   readonly worker: WorkerAddress;
   readonly order: Omit<StartOrder, 'payload'>;
-  /** Latest time at which it is sent, by the clock of the process that is to send it. */
+  /** Deadline for sending it, by the clock of the process that sends it. */
   readonly sendBy: Instant;
 }
 
-/** Starts that a leader has another host send. */
+/** A batch of starts that a leader sends through another host. */
 export interface RelayBatch {
   /** Epoch of the leader. */
   readonly epoch: number;
-  /** Process that is to send them: clocks of two processes can't be compared. */
+  /** Process that has to send them; the deadlines are valid on its clock only. */
   readonly process: string;
   readonly starts: readonly RelayedStart[];
 }
 
 /**
- * Why a host has not sent a start: it is another process than was meant, it is too late, it does not follow
- * the log or leads itself, it knows no such job that is open, or it knows of a later leader.
+ * Why a host refused to send a start: the batch is addressed to another process, the deadline has passed, the host
+ * does not follow the log or is the leader itself, it knows no such open job, or it knows a later leader.
  */
 export type RelayRefusal =
   'other_process' | 'late' | 'not_following' | 'unknown_job' | 'deposed';
 
-/** A process of a host, as it tells of itself. */
+/** Identity of a host's process, as reported by itself. */
 export interface PeerProcess {
   readonly process: string;
-  /** Time by its clock at which it answered. */
+  /** Time of the report, by its own clock. */
   readonly clock: Instant;
 }
 
-/** What became of a start that another host was to send. */
+/** Outcome of one relayed start. */
 export type RelayOutcome =
   | { readonly kind: 'sent'; readonly result: OrderResult }
-  /** Nothing was sent, nor will be. */
+  /** Nothing was or will be sent. */
   | { readonly kind: 'refused'; readonly why: RelayRefusal };
 
-/** How a call that carried a batch failed: with `unknown` a start may have been sent, or may still be. */
+/** Failure of a call that carried a batch; with `unknown`, its starts may have been sent or may still be. */
 export interface RelayFailure {
   readonly kind: 'failed';
   readonly outcome: 'not_run' | 'unknown';
   readonly reason: string;
 }
 
-/** How such a call ended; of a start of which nothing was told it is not known what became. */
+/** Result of such a call; starts without a reported outcome remain unknown. */
 export type RelayEnd = { readonly kind: 'ended' } | RelayFailure;
 
-/** What a leader is told while a batch is under way. */
+/** Callbacks that report the progress of a batch to the leader. */
 export interface RelayWatch {
-  /** Time within which the host has to take the batch; else the call has failed. */
+  /** Time within which the host has to accept the batch; otherwise the call fails. */
   readonly takenWithinMs: Millis;
-  /** The host has taken the batch: in time, or late, once the call has failed. */
+  /** Called when the host has accepted the batch, also after the call has failed. */
   readonly taken: (by: PeerProcess) => void;
-  /** What became of the start at this index of the batch. */
+  /** Called with the outcome of the start at index `at` of the batch. */
   readonly told: (at: number, outcome: RelayOutcome) => void;
 }
 
-/** Reaches other hosts. */
+/** Client of other hosts. */
 export interface PeerPort {
   /**
-   * Has the leader at `address` append records to the inbox, together with those of other hosts. It is
-   * `refused` when that host does not lead, and `unknown` when it does not answer.
+   * Appends records to the inbox through the leader at `address`, which batches them with those of other hosts.
+   * Returns `refused` if that host is not the leader, and `unknown` if it does not answer.
    */
   append(
     address: string,
     records: readonly Uint8Array[],
   ): Promise<AppendResult>;
-  /** Asks which process is at `address`; undefined where none tells. */
+  /** Returns the process that serves `address`; undefined if it doesn't answer or doesn't know the call. */
   identify(address: string): Promise<PeerProcess | undefined>;
-  /** Has the host at `address` send starts to workers; the slowest worker holds up no other's outcome. */
+  /** Sends starts to workers through the host at `address`; a slow worker does not delay other outcomes. */
   relay(
     address: string,
     batch: RelayBatch,
--- a/packages/ports/src/jobs/worker-port.ts
+++ b/packages/ports/src/jobs/worker-port.ts
@@ -1,25 +1,25 @@
-/** Orders to workers, as the rest of the system sees them. */
+/** Port to the workers. */
 import type { Instant, Millis } from '@paddlewind/domain';
 import type { RunEnd, TaskRef } from '@paddlewind/domain/jobs';
 
-/** One incarnation of a worker. */
+/** Address of one incarnation of a worker. */
 export interface WorkerAddress {
-  /** Name of the incarnation. Calls reach whichever one has the same worker's id by then. */
+  /** Name of the incarnation. A call may reach a later incarnation with the same worker id. */
   readonly id: string;
   readonly address: string;
 }
 
-/** An order to begin a run. */
+/** An order to start a run. */
 export interface StartOrder {
   readonly task: TaskRef;
   readonly run: number;
   readonly payload: string;
-  /** End of the lease on the worker's own clock. */
+  /** End of the lease, by the worker's clock. */
   readonly leaseUntil: Instant;
   readonly fence: number;
-  /** Checkpoint to resume from; empty when there is none. */
+  /** Checkpoint to resume from; empty if there is none. */
   readonly checkpoint: string;
-  /** Ticket of the advice service, where the queue needs one. */
+  /** Ticket of the advice service, if the queue requires one. */
   readonly ticket: string | undefined;
 }
 
@@ -30,11 +30,11 @@
   readonly fence: number;
 }
 
-/** Why a worker did nothing. */
+/** Why a worker rejected an order. */
 export type Rejection =
   'fenced' | 'superseded' | 'too_late' | 'no_room' | 'no_ticket';
 
-/** What became of an order. */
+/** Result of an order. */
 export type OrderResult =
   | { readonly kind: 'accepted'; readonly clock: Instant }
   | {
@@ -44,24 +44,24 @@
     }
   /** A worker with another id answered. */
   | { readonly kind: 'replaced' }
-  /** Nothing was done, nor will be. */
+  /** The order was not carried out and won't be. */
   | { readonly kind: 'not_run'; readonly reason: string }
-  /** It may have been carried out, or may still be. */
+  /** The order may have been carried out, or may still be. */
   | { readonly kind: 'unknown'; readonly reason: string };
 
-/** A run that a worker has at work. */
+/** A run that is active at a worker. */
 export interface ActiveRun {
   readonly task: TaskRef;
   readonly run: number;
   readonly checkpoint: string;
   readonly percent: number;
-  /** Tail latency in milliseconds of a serving task, processor use in thousandths of a core of another. */
+  /** Tail latency in milliseconds for a serving task, otherwise CPU use in thousandths of a core. */
   readonly reading: number;
 }
 
-/** A run that has ended at a worker and is not acknowledged. */
+/** A run that has ended at a worker and whose end is not yet acknowledged. */
 export interface EndedRun {
-  /** Position in the worker's list; rises by one. */
+  /** Position in the worker's list of ends; increases by one. */
   readonly position: number;
   readonly task: TaskRef;
   readonly run: number;
@@ -69,24 +69,24 @@
   readonly checkpoint: string;
 }
 
-/** Extends the lease of everything at a worker, acknowledges ends and reports. */
+/** A poll of a worker: extends the lease of all its runs, acknowledges ends and requests a report. */
 export interface LookOrder {
   readonly fence: number;
-  /** Ends up to this position are recorded. */
+  /** Acknowledges the ends up to this position. */
   readonly acknowledged: number;
-  /** New end of the lease on the worker's own clock; undefined leaves it. */
+  /** New end of the lease, by the worker's clock; undefined leaves it unchanged. */
   readonly leaseUntil: Instant | undefined;
-  /** How long the worker may wait for an end before it answers. */
+  /** How long the worker may wait for a run to end before it answers. */
   readonly waitMs: Millis;
-  /** Time for the answer beyond that. */
+  /** Time allowed for the response in addition to `waitMs`. */
   readonly slackMs: Millis;
 }
 
-/** What a look found. */
+/** Result of a poll. */
 export type LookResult =
   | {
       readonly kind: 'seen';
-      /** When the worker that answered has started, by its time of day; undefined where it does not say. */
+      /** Start time of the worker that answered, by its wall clock; undefined if it does not report one. */
       readonly startedAt: Instant | undefined;
       readonly clock: Instant;
       readonly active: readonly ActiveRun[];
@@ -96,7 +96,7 @@
   | { readonly kind: 'replaced' }
   | { readonly kind: 'failed'; readonly reason: string };
 
-/** Sends orders to workers; every call ends within its timeout. */
+/** Sends orders and polls to workers; every call ends within its timeout. */
 export interface WorkerPort {
   start(worker: WorkerAddress, order: StartOrder): Promise<OrderResult>;
   stop(worker: WorkerAddress, order: RunOrder): Promise<OrderResult>;
@@ -105,17 +105,17 @@
     worker: WorkerAddress,
     order: RunOrder & { readonly percent: number },
   ): Promise<OrderResult>;
-  /** Looks at a worker; `takeLate` is given an answer that comes after the look's time. */
+  /** Polls a worker; `takeLate` is called with a response that arrives after the timeout. */
   look(
     worker: WorkerAddress,
     order: LookOrder,
     takeLate: (res: LookResult) => void,
   ): Promise<LookResult>;
   /**
-   * Whether the connection is still there over which the last look was answered: a connection ends with its
-   * worker, so that only then the next look is sure to reach the same incarnation.
+   * Returns whether the connection that carried the last poll's response is still open. A connection closes when
+   * its worker ends, so only then the next poll is certain to reach the same incarnation.
    */
   isConnected(worker: WorkerAddress): boolean;
-  /** Closes the connections to a worker that is gone. */
+  /** Closes the connections to a removed worker. */
   forget(worker: WorkerAddress): void;
 }
--- a/packages/ports/src/log-service.ts
+++ b/packages/ports/src/log-service.ts
@@ -1,4 +1,4 @@
-/** The log service as the rest of the system sees it. */
+/** Port to the log service. */
 import type { AppError } from '@paddlewind/domain';
 import type { Result } from 'true-myth';
 
@@ -8,17 +8,17 @@
   readonly payload: string;
 }
 
-/** A run of entries; `first` is the oldest retained offset, `head` the next to be written. */
+/** Consecutive entries; `first` is the oldest retained offset, `head` the next one to be written. */
 export interface LogPage {
   readonly entries: readonly LogEntry[];
   readonly first: number;
   readonly head: number;
 }
 
-/** Offset beyond every head: a read from here that waits 0 ms tells `first` and `head`. */
+/** Offset beyond every head: a read from here with `waitMs` 0 returns only `first` and `head`. */
 export const END_OF_STREAM = Number.MAX_SAFE_INTEGER;
 
-/** What to read: entries from `from` on; waits up to `waitMs` when there is none yet. */
+/** Reads entries from offset `from` on; waits up to `waitMs` if there are none yet. */
 export interface ReadRequest {
   readonly stream: string;
   readonly from: number;
@@ -30,14 +30,14 @@
 /** An append-only log with offsets, limited retention and outages. */
 export interface LogService {
   /**
-   * Appends one entry and resolves to its offset.
-   * Fails with `log_unavailable`; outcome `unknown` when the entry may have been kept,
-   * `not_run` only when the request surely had no effect, and `overloaded` over the append rate.
+   * Appends one entry and returns its offset. Fails with `overloaded` over the append rate, otherwise with
+   * `log_unavailable`: its outcome is `not_run` only if the request certainly had no effect, and `unknown` if the
+   * entry may have been stored.
    */
   append(stream: string, payload: string): Promise<Result<number, AppError>>;
   /**
-   * Reads a page; fails with `log_unavailable`, or `log_trimmed` when `from` is older than kept.
-   * A `from` beyond the head gives an empty page that tells `first` and `head`, see `END_OF_STREAM`.
+   * Reads a page; fails with `log_unavailable`, or with `log_trimmed` if `from` is no longer retained.
+   * A `from` beyond the head returns an empty page with `first` and `head`, see `END_OF_STREAM`.
    */
   read(req: ReadRequest): Promise<Result<LogPage, AppError>>;
 }
--- a/packages/ports/src/worker-agent.ts
+++ b/packages/ports/src/worker-agent.ts
@@ -1,8 +1,8 @@
-/** The agent of a worker as the rest of the system sees it. */
+/** Port to the agent of a worker. */
 import type { AppError, Resources } from '@paddlewind/domain';
 import type { Result } from 'true-myth';
 
-/** Orders commands of successive shard owners; the agent refuses one older than it has seen. */
+/** Fencing token of a command; the agent refuses one older than the newest it has seen for the shard. */
 export interface Fence {
   readonly shard: string;
   readonly epoch: number;
@@ -10,20 +10,20 @@
   readonly offset: number;
 }
 
-/** Names one attempt of one task. */
+/** Identifies one attempt of a task. */
 export interface AttemptRef {
   readonly task: string;
   readonly attempt: number;
 }
 
-/** What a started attempt runs. */
+/** Specification of an attempt to start. */
 export interface StartSpec extends AttemptRef {
   readonly job: string;
   readonly size: Resources;
   readonly command: readonly string[];
-  /** Checkpoint to resume from, where there is one. */
+  /** Checkpoint to resume from, if there is one. */
   readonly checkpoint?: string;
-  /** Lease of the task in milliseconds from receipt; the agent stops the task when it lapses. */
+  /** Lease in milliseconds from receipt; the agent stops the task when it expires. */
   readonly leaseMs: number;
 }
 
@@ -48,23 +48,23 @@
       readonly share: number;
     };
 
-/** How an attempt stands at its worker. */
+/** State of an attempt at its worker. */
 export type AttemptState =
   'running' | 'stopping' | 'completed' | 'failed' | 'stopped';
 
-/** Report on one attempt; ended attempts are reported until acknowledged. */
+/** Report on one attempt; an ended attempt is reported until it is acknowledged. */
 export interface AttemptReport extends AttemptRef {
   readonly job: string;
   readonly state: AttemptState;
-  /** Observed use, with the platform's lag. */
+  /** Measured resource usage, delayed by `WorkerReport.lagMs`. */
   readonly usage: Resources;
-  /** Share of the work done, 0 to 1, as of the last checkpoint. */
+  /** Fraction of the work done, 0 to 1, as of the last checkpoint. */
   readonly progress: number;
   readonly checkpoint?: string;
   readonly message?: string;
 }
 
-/** Report of a worker; `boot` changes when the agent restarts and its tasks are gone. */
+/** Report of a worker; `boot` changes when the agent restarts, which ends all its tasks. */
 export interface WorkerReport {
   readonly worker: string;
   readonly boot: string;
@@ -73,7 +73,7 @@
   readonly lagMs: number;
 }
 
-/** A renewal of the leases of attempts on a worker, with ended attempts that are recorded. */
+/** Renews the leases of attempts on a worker and acknowledges ended ones. */
 export interface SyncRequest {
   readonly fence: Fence;
   readonly renew: readonly AttemptRef[];
@@ -81,11 +81,11 @@
   readonly acknowledge: readonly AttemptRef[];
 }
 
-/** Commands one worker; `address` is the agent's `ip:port`. */
+/** Client of worker agents; `address` is the agent's `ip:port`. */
 export interface WorkerAgent {
   /**
-   * Sends a command; commands are idempotent by attempt.
-   * Fails with `conflict` when the fence is older than one seen, `backend_failed` with outcome `unknown` when unanswered.
+   * Sends a command; commands are idempotent per attempt. Fails with `conflict` if the agent has seen a newer
+   * fence, and with `backend_failed` and outcome `unknown` if it does not answer.
    */
   command(
     address: string,
--- a/packages/stand-ins/src/jobs/answer-promises.test.ts
+++ b/packages/stand-ins/src/jobs/answer-promises.test.ts
@@ -1,176 +1,179 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { JOB, Story, task } from './history.fixture.test.js';
+import { JOB, Scenario, task } from './history.fixture.test.js';
 
 const PAIR = { tasks: 2, after: [] };
 
-/** A job of which the first task ends as done at 2 s, the second at 4 s. */
-function storyOfTwo(gang = false): Story {
-  const story = new Story([{ ...PAIR, gang }]);
-  story.begin(1_000, task(0), 1);
-  story.begin(1_000, task(1), 1);
-  story.end(2_000, task(0), 1, 'done');
-  return story;
+/** A scenario of a job with two tasks; the first ends as done at 2 s. */
+function scenarioOfTwoTasks(gang = false): Scenario {
+  const scenario = new Scenario([{ ...PAIR, gang }]);
+  scenario.startRun(1_000, task(0), 1);
+  scenario.startRun(1_000, task(1), 1);
+  scenario.endRun(2_000, task(0), 1, 'done');
+  return scenario;
 }
 
-test('a job shown as completed before all its tasks are done is reported', () => {
-  const story = storyOfTwo();
-  story.history.told(JOB, 2_000, 'completed');
-  story.end(4_000, task(1), 1, 'done');
-  assert.deepEqual(story.broken(), ['completed_when_done']);
+test('a job reported as completed before all its tasks are done is a violation', () => {
+  const scenario = scenarioOfTwoTasks();
+  scenario.history.told(JOB, 2_000, 'completed');
+  scenario.endRun(4_000, task(1), 1, 'done');
+  assert.deepEqual(scenario.brokenGuarantees(), ['completed_when_done']);
 });
 
-test('a job shown as completed after that, or once a member of its gang is done, is not reported', () => {
-  const story = storyOfTwo();
-  story.end(4_000, task(1), 1, 'done');
-  story.history.told(JOB, 3_000, 'completed');
-  assert.deepEqual(story.broken(), []);
-  const gang = storyOfTwo(true);
+test('a job may be reported as completed once all tasks, or one member of a gang, are done', () => {
+  const scenario = scenarioOfTwoTasks();
+  scenario.endRun(4_000, task(1), 1, 'done');
+  scenario.history.told(JOB, 3_000, 'completed');
+  assert.deepEqual(scenario.brokenGuarantees(), []);
+  const gang = scenarioOfTwoTasks(true);
   gang.history.told(JOB, 2_000, 'completed');
-  assert.deepEqual(gang.broken(), []);
+  assert.deepEqual(gang.brokenGuarantees(), []);
 });
 
-test('a job shown as failed without its attempts spent is reported', () => {
-  const story = new Story([PAIR]);
-  story.begin(100, task(0), 1);
-  story.end(200, task(0), 1, 'failed');
-  story.begin(300, task(0), 2);
-  story.end(400, task(0), 2, 'lapsed');
-  story.begin(300, task(1), 1);
-  story.end(400, task(1), 1, 'failed');
-  story.history.told(JOB, 400, 'failed');
-  assert.deepEqual(story.broken(), ['failed_when_spent']);
+test('a job reported as failed before its attempts are spent is a violation', () => {
+  const scenario = new Scenario([PAIR]);
+  scenario.startRun(100, task(0), 1);
+  scenario.endRun(200, task(0), 1, 'failed');
+  scenario.startRun(300, task(0), 2);
+  scenario.endRun(400, task(0), 2, 'lapsed');
+  scenario.startRun(300, task(1), 1);
+  scenario.endRun(400, task(1), 1, 'failed');
+  scenario.history.told(JOB, 400, 'failed');
+  assert.deepEqual(scenario.brokenGuarantees(), ['failed_when_spent']);
 });
 
-test('a gang whose members failed in one run has not spent its attempts', () => {
-  const story = new Story([{ ...PAIR, gang: true }]);
+test('failures of several gang members in the same run count as one attempt', () => {
+  const scenario = new Scenario([{ ...PAIR, gang: true }]);
   for (const index of [0, 1]) {
-    story.begin(100, task(index), 1);
-    story.end(200, task(index), 1, 'failed');
+    scenario.startRun(100, task(index), 1);
+    scenario.endRun(200, task(index), 1, 'failed');
   }
-  story.history.told(JOB, 400, 'failed');
-  assert.deepEqual(story.broken(), ['failed_when_spent']);
+  scenario.history.told(JOB, 400, 'failed');
+  assert.deepEqual(scenario.brokenGuarantees(), ['failed_when_spent']);
 });
 
-test('a job shown as failed once a task, or a gang, has failed twice is not reported', () => {
+test('a job may be reported as failed once a task or a gang has failed twice', () => {
   for (const gang of [false, true]) {
-    const story = new Story([{ ...PAIR, tasks: 1, gang }]);
+    const scenario = new Scenario([{ ...PAIR, tasks: 1, gang }]);
     for (const run of [1, 2]) {
-      story.begin(run * 100, task(0), run);
-      story.end(run * 100 + 50, task(0), run, 'failed');
+      scenario.startRun(run * 100, task(0), run);
+      scenario.endRun(run * 100 + 50, task(0), run, 'failed');
     }
-    story.history.told(JOB, 250, 'failed');
-    assert.deepEqual(story.broken(), []);
+    scenario.history.told(JOB, 250, 'failed');
+    assert.deepEqual(scenario.brokenGuarantees(), []);
   }
 });
 
-test('a job shown as cancelled before anybody asked for it is reported, later it is not', () => {
-  const story = new Story([PAIR], { cancelAskedAt: 1_000, cancelledAt: 2_000 });
-  story.now = 1_000;
-  story.history.told(JOB, 900, 'cancelled');
-  assert.deepEqual(story.broken(), []);
-  story.now = 999;
-  story.history.told(JOB, 900, 'cancelled');
-  assert.deepEqual(story.broken(), ['cancelled_when_asked']);
+test('a job reported as cancelled before the request is a violation, later it is not', () => {
+  const scenario = new Scenario([PAIR], {
+    cancelAskedAt: 1_000,
+    cancelledAt: 2_000,
+  });
+  scenario.now = 1_000;
+  scenario.history.told(JOB, 900, 'cancelled');
+  assert.deepEqual(scenario.brokenGuarantees(), []);
+  scenario.now = 999;
+  scenario.history.told(JOB, 900, 'cancelled');
+  assert.deepEqual(scenario.brokenGuarantees(), ['cancelled_when_asked']);
 });
 
-test('an accepted job that is denied is reported', () => {
-  const story = new Story([PAIR]);
-  story.now = 3_002;
-  story.history.told(JOB, 3_001, 'no_such_job');
-  assert.deepEqual(story.broken(), ['known_once_accepted']);
+test('an accepted job reported as unknown is a violation', () => {
+  const scenario = new Scenario([PAIR]);
+  scenario.now = 3_002;
+  scenario.history.told(JOB, 3_001, 'no_such_job');
+  assert.deepEqual(scenario.brokenGuarantees(), ['known_once_accepted']);
 });
 
-test('a job that is denied soon after its acceptance, after a cancel, or long after its end is not reported', () => {
-  const early = new Story([PAIR]);
+test('a job may be unknown soon after its acceptance, after a cancel, or long after its end', () => {
+  const early = new Scenario([PAIR]);
   early.now = 3_100;
   early.history.told(JOB, 3_000, 'no_such_job');
-  assert.deepEqual(early.broken(), []);
-  const cancelled = new Story([PAIR], { cancelAskedAt: 2_000 });
+  assert.deepEqual(early.brokenGuarantees(), []);
+  const cancelled = new Scenario([PAIR], { cancelAskedAt: 2_000 });
   cancelled.now = 4_000;
   cancelled.history.told(JOB, 3_500, 'no_such_job');
-  assert.deepEqual(cancelled.broken(), []);
-  const over = storyOfTwo();
-  over.history.statusMs = 20_000;
-  over.end(4_000, task(1), 1, 'done');
-  over.now = 24_000;
-  over.history.told(JOB, 23_000, 'no_such_job');
-  assert.deepEqual(over.broken(), []);
-  over.now = 23_999;
-  over.history.told(JOB, 23_000, 'no_such_job');
-  assert.deepEqual(over.broken(), ['known_once_accepted']);
+  assert.deepEqual(cancelled.brokenGuarantees(), []);
+  const finished = scenarioOfTwoTasks();
+  finished.history.statusMs = 20_000;
+  finished.endRun(4_000, task(1), 1, 'done');
+  finished.now = 24_000;
+  finished.history.told(JOB, 23_000, 'no_such_job');
+  assert.deepEqual(finished.brokenGuarantees(), []);
+  finished.now = 23_999;
+  finished.history.told(JOB, 23_000, 'no_such_job');
+  assert.deepEqual(finished.brokenGuarantees(), ['known_once_accepted']);
 });
 
-/** Three jobs, accepted at 0, of which none has begun. */
-function storyOfThree(): Story {
-  const story = new Story([PAIR]);
+/** A scenario of three jobs that were accepted at 0 and have not started. */
+function scenarioOfThreeJobs(): Scenario {
+  const scenario = new Scenario([PAIR]);
   for (const id of ['b', 'c']) {
-    story.history.jobs.set(id, {
+    scenario.history.jobs.set(id, {
       steps: [PAIR],
       maxAttempts: 2,
       acceptedAt: 0,
       cancelledAt: Infinity,
     });
   }
-  return story;
+  return scenario;
 }
 
-test('a length under half of the jobs that wait is reported', () => {
-  const story = storyOfThree();
-  story.now = 5_010;
-  story.history.toldLength('h1', 5_001, 1);
-  assert.deepEqual(story.broken(), ['length_counts']);
+test('a queue length below half of the waiting jobs is a violation', () => {
+  const scenario = scenarioOfThreeJobs();
+  scenario.now = 5_010;
+  scenario.history.toldLength('h1', 5_001, 1);
+  assert.deepEqual(scenario.brokenGuarantees(), ['length_counts']);
 });
 
-test('a length of half of the jobs that wait, or soon after their acceptance, is not reported', () => {
-  const story = storyOfThree();
-  story.now = 5_000;
-  story.history.toldLength('h1', 5_000, 0);
-  story.now = 5_010;
-  story.history.toldLength('h1', 5_001, 2);
-  assert.deepEqual(story.broken(), []);
+test('a queue length may omit half of the waiting jobs, and jobs accepted just before', () => {
+  const scenario = scenarioOfThreeJobs();
+  scenario.now = 5_000;
+  scenario.history.toldLength('h1', 5_000, 0);
+  scenario.now = 5_010;
+  scenario.history.toldLength('h1', 5_001, 2);
+  assert.deepEqual(scenario.brokenGuarantees(), []);
 });
 
-test('jobs that have begun or are cancelled are not owed to a length', () => {
-  const story = storyOfThree();
-  story.begin(5_005, task(0), 1);
-  const cancelled = story.history.jobs.get('b');
+test('started or cancelled jobs need not be counted in the queue length', () => {
+  const scenario = scenarioOfThreeJobs();
+  scenario.startRun(5_005, task(0), 1);
+  const cancelled = scenario.history.jobs.get('b');
   assert.ok(cancelled);
   cancelled.cancelAskedAt = 4_000;
-  story.now = 5_010;
-  story.history.toldLength('h1', 5_001, 1);
-  assert.deepEqual(story.broken(), []);
+  scenario.now = 5_010;
+  scenario.history.toldLength('h1', 5_001, 1);
+  assert.deepEqual(scenario.brokenGuarantees(), []);
 });
 
-test('a length that a disturbed host tells is not reported, beside another or a worker it is', () => {
+test('a queue length is not judged during faults of its host or the log, but during other faults it is', () => {
   for (const of of [{ host: 'h1' }, 'log'] as const) {
-    const story = storyOfThree();
-    story.faults.add({ from: 1_000, until: 2_500, of });
-    story.now = 5_010;
-    story.history.toldLength('h1', 5_001, 0);
-    assert.deepEqual(story.broken(), []);
+    const scenario = scenarioOfThreeJobs();
+    scenario.faults.add({ from: 1_000, until: 2_500, of });
+    scenario.now = 5_010;
+    scenario.history.toldLength('h1', 5_001, 0);
+    assert.deepEqual(scenario.brokenGuarantees(), []);
   }
   for (const of of [{ host: 'h2' }, 'workers'] as const) {
-    const story = storyOfThree();
-    story.faults.add({ from: 1_000, until: 2_500, of });
-    story.now = 5_010;
-    story.history.toldLength('h1', 5_001, 0);
-    assert.deepEqual(story.broken(), ['length_counts']);
+    const scenario = scenarioOfThreeJobs();
+    scenario.faults.add({ from: 1_000, until: 2_500, of });
+    scenario.now = 5_010;
+    scenario.history.toldLength('h1', 5_001, 0);
+    assert.deepEqual(scenario.brokenGuarantees(), ['length_counts']);
   }
 });
 
-test('a job is shown as failed with cause once two workers crashed under a task, not before', () => {
-  const story = new Story([{ tasks: 1, after: [] }]);
-  story.begin(100, task(), 1, 'w1');
-  story.crash(110, task(), 1, 'w1');
-  story.history.told(JOB, 200, 'failed');
-  assert.deepEqual(story.broken(), ['failed_when_spent']);
-  const blamed = new Story([{ tasks: 1, after: [] }]);
+test('a job may be reported as failed once a task has crashed two workers, not before', () => {
+  const scenario = new Scenario([{ tasks: 1, after: [] }]);
+  scenario.startRun(100, task(), 1, 'w1');
+  scenario.crashWorker(110, task(), 1, 'w1');
+  scenario.history.told(JOB, 200, 'failed');
+  assert.deepEqual(scenario.brokenGuarantees(), ['failed_when_spent']);
+  const abandoned = new Scenario([{ tasks: 1, after: [] }]);
   for (const run of [1, 2]) {
-    blamed.begin(run * 100, task(), run, 'w1');
-    blamed.crash(run * 100 + 10, task(), run, 'w1');
+    abandoned.startRun(run * 100, task(), run, 'w1');
+    abandoned.crashWorker(run * 100 + 10, task(), run, 'w1');
   }
-  blamed.history.told(JOB, 300, 'failed');
-  assert.deepEqual(blamed.broken(), []);
+  abandoned.history.told(JOB, 300, 'failed');
+  assert.deepEqual(abandoned.brokenGuarantees(), []);
 });
--- a/packages/stand-ins/src/jobs/answer-promises.ts
+++ b/packages/stand-ins/src/jobs/answer-promises.ts
@@ -1,86 +1,94 @@
-/** Promises on what callers are told. */
+/** Checks the guarantees on job states and queue lengths that are reported to callers. */
 import type { Instant, Millis } from '@paddlewind/domain';
 import { taskName } from '@paddlewind/domain/jobs';
 
-import { CONTACT_MS } from './fault-times.js';
+import { RECOVERY_MS } from './fault-times.js';
 import {
-  blamedAt,
+  abandonableAt,
   jobDoneAt,
-  type Facts,
+  type HistoryFacts,
   type PromisedJob,
   type PromiseName,
-  type ShownState,
-  type ToldLength,
+  type StatusReport,
+  type QueueLengthReport,
   type Violation,
 } from './history-facts.js';
 
-/** Time after which an accepted job has to be known everywhere, as the users' rules say. */
+/** Time after which every host has to know an accepted job, by the specification. */
 const VISIBLE_MS: Millis = 3_000;
-/** How old the length of a queue may be. */
-const LENGTH_AGE_MS: Millis = 2_000;
-/** Share of the jobs that wait which the length of a queue has to count. */
-const COUNTED_SHARE = 0.5;
+/** Maximum age of a reported queue length. */
+const MAX_LENGTH_AGE_MS: Millis = 2_000;
+/** Minimum fraction of the waiting jobs that a reported queue length has to count. */
+const MIN_COUNTED_SHARE = 0.5;
 
-/** Returns the broken promises on states and lengths. */
-export function checkAnswers(facts: Facts): Violation[] {
+/** Returns the violations in reported job states and queue lengths. */
+export function checkResponses(facts: HistoryFacts): Violation[] {
   return [
-    ...facts.shown.flatMap(shown => checkShown(facts, shown)),
-    ...facts.lengths.flatMap(told => checkLength(facts, told)),
+    ...facts.statusReports.flatMap(report => checkStatus(facts, report)),
+    ...facts.queueLengthReports.flatMap(report =>
+      checkQueueLength(facts, report),
+    ),
   ];
 }
 
-function checkShown(facts: Facts, shown: ShownState): Violation[] {
-  const job = facts.jobs.get(shown.job);
-  const broken = job && brokenBy(facts, shown, job);
-  return broken === undefined
+function checkStatus(facts: HistoryFacts, report: StatusReport): Violation[] {
+  const job = facts.jobs.get(report.job);
+  const guarantee = job && brokenGuarantee(facts, report, job);
+  return guarantee === undefined
     ? []
     : [
         {
-          promise: broken,
-          task: shown.job,
-          detail: `shown as ${shown.state} at ${shown.at}`,
+          promise: guarantee,
+          task: report.job,
+          detail: `shown as ${report.state} at ${report.at}`,
         },
       ];
 }
 
-function brokenBy(
-  facts: Facts,
-  shown: ShownState,
+function brokenGuarantee(
+  facts: HistoryFacts,
+  report: StatusReport,
   job: PromisedJob,
 ): PromiseName | undefined {
-  switch (shown.state) {
+  switch (report.state) {
     case 'completed':
-      return jobDoneAt(facts, shown.job) > shown.at
+      return jobDoneAt(facts, report.job) > report.at
         ? 'completed_when_done'
         : undefined;
     case 'failed':
       return Math.min(
-        spentAt(facts, shown.job, job),
-        blamedAt(facts, shown.job),
-      ) > shown.at
+        attemptsSpentAt(facts, report.job, job),
+        abandonableAt(facts, report.job),
+      ) > report.at
         ? 'failed_when_spent'
         : undefined;
     case 'cancelled':
-      return (job.cancelAskedAt ?? job.cancelledAt) > shown.at
+      return (job.cancelAskedAt ?? job.cancelledAt) > report.at
         ? 'cancelled_when_asked'
         : undefined;
     case 'no_such_job':
-      return isDenied(facts, shown, job) ? 'known_once_accepted' : undefined;
+      return isWronglyUnknown(facts, report, job)
+        ? 'known_once_accepted'
+        : undefined;
     case 'queued':
     case 'running':
       return undefined;
   }
 }
 
-/** Returns when a task, or a gang, had failed as often as it may. */
-function spentAt({ runs }: Facts, id: string, job: PromisedJob): Instant {
+/** Returns when a task or a gang of the job had used up its attempts. */
+function attemptsSpentAt(
+  { runs }: HistoryFacts,
+  id: string,
+  job: PromisedJob,
+): Instant {
   const failures = new Map<string, Map<string, Instant>>();
   for (const { task, run, worker, how, endedAt } of runs) {
     const step = job.steps[task.step];
     if (task.job === id && how === 'failed' && step?.lasting !== true) {
       const gang = step?.gang === true;
-      const whole = `${task.occurrence}.${task.step}`;
-      const name = gang ? whole : taskName(task);
+      const gangName = `${task.occurrence}.${task.step}`;
+      const name = gang ? gangName : taskName(task);
       const attempt = gang ? `${run}` : `${worker}/${run}`;
       const ends = failures.get(name) ?? new Map<string, Instant>();
       failures.set(name, ends);
@@ -94,48 +102,56 @@
   return Math.min(Infinity, ...spent);
 }
 
-/** Returns the last crash under a job before it was shown as failed: it was not over sooner. */
-function givenUpAt({ shown, runs }: Facts, id: string): Instant {
-  const told = shown
+/** Returns the last worker crash caused by a job before it was reported as failed; it can't have finished earlier. */
+function abandonedAt(
+  { statusReports, runs }: HistoryFacts,
+  id: string,
+): Instant {
+  const reports = statusReports
     .filter(({ job, state }) => job === id && state === 'failed')
     .map(({ at }) => at);
-  const toldAt = Math.min(Infinity, ...told);
+  const reportedAt = Math.min(Infinity, ...reports);
   const crashes = runs
-    .filter(({ task, crashed }) => task.job === id && crashed)
+    .filter(({ task, crashedWorker }) => task.job === id && crashedWorker)
     .map(({ endedAt }) => endedAt)
-    .filter(at => at <= toldAt);
-  return toldAt === Infinity || crashes.length === 0
+    .filter(at => at <= reportedAt);
+  return reportedAt === Infinity || crashes.length === 0
     ? Infinity
     : Math.max(...crashes);
 }
 
-function isDenied(
-  facts: Facts,
-  { askedAt, at, job: id }: ShownState,
+function isWronglyUnknown(
+  facts: HistoryFacts,
+  { requestedAt, at, job: id }: StatusReport,
   job: PromisedJob,
 ): boolean {
-  const overAt = Math.min(
+  const finishedAt = Math.min(
     jobDoneAt(facts, id),
-    spentAt(facts, id, job),
-    givenUpAt(facts, id),
+    attemptsSpentAt(facts, id, job),
+    abandonedAt(facts, id),
   );
   const cancelAt = Math.min(job.cancelledAt, job.cancelAskedAt ?? Infinity);
   return (
-    askedAt > (job.acceptedAt ?? Infinity) + VISIBLE_MS &&
-    at < overAt + facts.statusMs &&
+    requestedAt > (job.acceptedAt ?? Infinity) + VISIBLE_MS &&
+    at < finishedAt + facts.statusMs &&
     at < cancelAt
   );
 }
 
-function checkLength(facts: Facts, told: ToldLength): Violation[] {
-  const { host, askedAt, at, length } = told;
-  if (facts.faults?.isInTouch(host, askedAt - CONTACT_MS, at) !== true) {
+function checkQueueLength(
+  facts: HistoryFacts,
+  report: QueueLengthReport,
+): Violation[] {
+  const { host, requestedAt, at, length } = report;
+  if (
+    facts.faults?.isHostFaultFree(host, requestedAt - RECOVERY_MS, at) !== true
+  ) {
     return [];
   }
   const waiting = [...facts.jobs]
-    .filter(([id, job]) => waits(facts, id, job, told))
+    .filter(([id, job]) => isWaiting(facts, id, job, report))
     .map(([id]) => id);
-  return length < waiting.length * COUNTED_SHARE
+  return length < waiting.length * MIN_COUNTED_SHARE
     ? [
         {
           promise: 'length_counts',
@@ -146,16 +162,17 @@
     : [];
 }
 
-function waits(
-  { runs }: Facts,
+function isWaiting(
+  { runs }: HistoryFacts,
   id: string,
   job: PromisedJob,
-  { askedAt, at }: ToldLength,
+  { requestedAt, at }: QueueLengthReport,
 ): boolean {
   const cancelAt = Math.min(job.cancelledAt, job.cancelAskedAt ?? Infinity);
   return (
-    (job.acceptedAt ?? Infinity) + VISIBLE_MS + LENGTH_AGE_MS < askedAt &&
+    (job.acceptedAt ?? Infinity) + VISIBLE_MS + MAX_LENGTH_AGE_MS <
+      requestedAt &&
     cancelAt > at &&
-    !runs.some(({ task, beganAt }) => task.job === id && beganAt <= at)
+    !runs.some(({ task, startedAt }) => task.job === id && startedAt <= at)
   );
 }
--- a/packages/stand-ins/src/jobs/calm-promises.ts
+++ b/packages/stand-ins/src/jobs/calm-promises.ts
@@ -1,69 +1,72 @@
-/** Promises that hold while nothing is disturbed. */
+/** Checks the guarantees that apply only in the absence of faults. */
 import type { Instant, Millis } from '@paddlewind/domain';
 import { taskName } from '@paddlewind/domain/jobs';
 
-import { CONTACT_MS, type FaultTimes } from './fault-times.js';
+import { RECOVERY_MS, type FaultTimes } from './fault-times.js';
 import {
   violation,
-  type Facts,
+  type HistoryFacts,
   type RunTrace,
   type Violation,
 } from './history-facts.js';
-import { CANCEL_MS } from './task-promises.js';
+import { CANCEL_DELAY_MS } from './task-promises.js';
 
-/** Longest time that a stop takes, as the users' rules say. */
-const STOP_MS: Millis = 900;
-/** How long members of a gang wait for the others, as the users' rules say. */
-const GANG_MS: Millis = 3_000;
+/** Maximum duration of a stop, by the specification. */
+const MAX_STOP_MS: Millis = 900;
+/** How long a gang member waits for the others, by the specification. */
+const GANG_WAIT_MS: Millis = 3_000;
 
-/** Returns the broken promises on runs that should have ended, or have had company. */
-export function checkCalm(facts: Facts): Violation[] {
+/** Returns the runs that should have ended, and the members of incomplete gangs that kept running. */
+export function checkFaultFree(facts: HistoryFacts): Violation[] {
   const { faults } = facts;
   return faults === undefined
     ? []
-    : [...goesOn(facts, faults), ...alone(facts, faults)];
+    : [...runsAfterCancel(facts, faults), ...incompleteGangs(facts, faults)];
 }
 
-/** What is left of a cancelled job has to be gone after any calm stretch. */
-function goesOn({ jobs, runs, now }: Facts, faults: FaultTimes): Violation[] {
+/** Returns runs of cancelled jobs that continued through a fault-free period. */
+function runsAfterCancel(
+  { jobs, runs, now }: HistoryFacts,
+  faults: FaultTimes,
+): Violation[] {
   return runs
     .filter(run => {
       const cancelledAt = jobs.get(run.task.job)?.cancelledAt ?? Infinity;
-      const from = Math.max(cancelledAt, run.beganAt);
+      const from = Math.max(cancelledAt, run.startedAt);
       const end = Math.min(run.endedAt, now);
       return (
-        !run.late &&
-        [from, ...faults.ends().map(until => until + CONTACT_MS + 1)].some(
+        !run.delayed &&
+        [from, ...faults.ends().map(until => until + RECOVERY_MS + 1)].some(
           at =>
             at >= from &&
-            at + CANCEL_MS + STOP_MS < end &&
-            faults.isCalm(at - CONTACT_MS, at + CANCEL_MS + STOP_MS),
+            at + CANCEL_DELAY_MS + MAX_STOP_MS < end &&
+            faults.isCalm(at - RECOVERY_MS, at + CANCEL_DELAY_MS + MAX_STOP_MS),
         )
       );
     })
     .map(run => violation('ends_after_cancel', taskName(run.task), [run]));
 }
 
-function alone(facts: Facts, faults: FaultTimes): Violation[] {
+function incompleteGangs(facts: HistoryFacts, faults: FaultTimes): Violation[] {
   const { jobs, runs, now } = facts;
   return runs.flatMap(run => {
     const job = jobs.get(run.task.job);
     const step = job?.steps[run.task.step];
-    if (run.late || job === undefined || step?.gang !== true) {
+    if (run.delayed || job === undefined || step?.gang !== true) {
       return [];
     }
-    const aloneAt = aloneFrom(run, step.tasks, runs) + GANG_MS;
+    const deadline = incompleteSince(run, step.tasks, runs) + GANG_WAIT_MS;
     const cancelAt = Math.min(job.cancelledAt, job.cancelAskedAt ?? Infinity);
-    return aloneAt <= Math.min(run.endedAt, now) &&
-      aloneAt < cancelAt &&
-      faults.isCalm(aloneAt - GANG_MS - CONTACT_MS, aloneAt)
+    return deadline <= Math.min(run.endedAt, now) &&
+      deadline < cancelAt &&
+      faults.isCalm(deadline - GANG_WAIT_MS - RECOVERY_MS, deadline)
       ? [violation('gang_together', taskName(run.task), [run])]
       : [];
   });
 }
 
-/** Returns since when a member is at work without all others for as long as they are waited for. */
-function aloneFrom(
+/** Returns the time from which a member ran without all others: its start, or the first end of another. */
+function incompleteSince(
   run: RunTrace,
   members: number,
   runs: readonly RunTrace[],
@@ -75,17 +78,19 @@
       other.task.occurrence === run.task.occurrence &&
       other.task.step === run.task.step,
   );
-  const came = new Set(
+  const started = new Set(
     others
-      .filter(({ beganAt }) => beganAt < run.beganAt + GANG_MS)
+      .filter(({ startedAt }) => startedAt < run.startedAt + GANG_WAIT_MS)
       .map(({ task }) => task.index),
   );
-  if (came.size < members) {
-    return run.beganAt;
+  if (started.size < members) {
+    return run.startedAt;
   }
-  const left = others.filter(({ how }) => how !== undefined && how !== 'done');
+  const endedEarly = others.filter(
+    ({ how }) => how !== undefined && how !== 'done',
+  );
   return Math.min(
     Infinity,
-    ...left.map(({ endedAt }) => Math.max(run.beganAt, endedAt)),
+    ...endedEarly.map(({ endedAt }) => Math.max(run.startedAt, endedAt)),
   );
 }
--- a/packages/stand-ins/src/jobs/fault-times.ts
+++ b/packages/stand-ins/src/jobs/fault-times.ts
@@ -1,40 +1,40 @@
-/** When a test disturbed what, so that promises of calm times are judged in calm times only. */
+/** Records the faults that a test injects, so that some guarantees are checked in fault-free periods only. */
 import type { Instant, Millis } from '@paddlewind/domain';
 
-/** A fault that a test has set. */
+/** A fault injected by a test. */
 export interface FaultTime {
   readonly from: Instant;
-  /** When it ends; `from` when it is over at once. */
+  /** End of the fault; equal to `from` for an instantaneous one. */
   readonly until: Instant;
-  /** What it disturbs: the log, workers and the ways to them, or the host of that name. */
+  /** What it affects: the log, the workers and the network to them, or the host of that name. */
   readonly of: 'log' | 'workers' | { readonly host: string };
 }
 
-/** Time after a fault in which hosts find their way back, in milliseconds, as the users' rules say. */
-export const CONTACT_MS: Millis = 3_000;
+/** Time in which hosts recover after a fault, in milliseconds, by the specification. */
+export const RECOVERY_MS: Millis = 3_000;
 
 /** All faults of a test. */
 export class FaultTimes {
   private readonly faults: FaultTime[] = [];
 
-  /** Notes a fault. */
+  /** Records a fault. */
   add(fault: FaultTime): void {
     this.faults.push(fault);
   }
 
-  /** Tells whether nothing was disturbed from `from` to `until`. */
+  /** Returns whether there was no fault from `from` to `until`. */
   isCalm(from: Instant, until: Instant): boolean {
     return !this.faults.some(fault => overlaps(fault, from, until));
   }
 
-  /** Tells whether neither the log nor a host was disturbed from `from` to `until`. */
-  isInTouch(host: string, from: Instant, until: Instant): boolean {
+  /** Returns whether neither the log nor `host` had a fault from `from` to `until`. */
+  isHostFaultFree(host: string, from: Instant, until: Instant): boolean {
     return !this.faults.some(
-      fault => touches(fault, host) && overlaps(fault, from, until),
+      fault => affectsHost(fault, host) && overlaps(fault, from, until),
     );
   }
 
-  /** Ends of the faults. */
+  /** Returns the end times of all faults. */
   ends(): Instant[] {
     return this.faults.map(({ until }) => until);
   }
@@ -44,6 +44,6 @@
   return fault.from <= until && fault.until >= from;
 }
 
-function touches({ of }: FaultTime, host: string): boolean {
+function affectsHost({ of }: FaultTime, host: string): boolean {
   return typeof of === 'string' ? of === 'log' : of.host === host;
 }
--- a/packages/stand-ins/src/jobs/gangs.ts
+++ b/packages/stand-ins/src/jobs/gangs.ts
@@ -1,33 +1,33 @@
-/** Gangs in memory: their members work only together, on whatever worker each of them is. */
+/** In-memory gangs: members run only together, also across workers. */
 import type { Millis } from '@paddlewind/domain';
 import type { RunEnd } from '@paddlewind/domain/jobs';
 
 import type { SimulatedTime } from './memory-job-log.js';
 
-/** How long members wait for the others, in milliseconds, as the users' rules say. */
-const GANG_MS: Millis = 3_000;
+/** How long a member waits for the others, in milliseconds, by the specification. */
+const GANG_WAIT_MS: Millis = 3_000;
 
-/** A run that works only beside the others of its gang. */
+/** A run that makes progress only together with the other members of its gang. */
 export interface GangMember {
-  /** Whether the gang's run fails because of it. */
+  /** Whether this member makes the gang's run fail. */
   readonly fails: boolean;
-  /** Ends the run; nothing happens when it has ended. */
+  /** Ends the run; has no effect if it has ended. */
   readonly end: (how: RunEnd) => void;
 }
 
 interface Gang {
   readonly members: GangMember[];
-  over: boolean;
+  finished: boolean;
 }
 
-/** The gangs of all workers. */
+/** Gangs of all workers, by run. */
 export class Gangs {
   private readonly gangs = new Map<string, Gang>();
 
-  /** Creates a table without gangs. */
+  /** Creates an empty table. */
   constructor(private readonly time: SimulatedTime) {}
 
-  /** Adds a member to a run of `size` members; returns what to call when it works no more. */
+  /** Adds a member to a run of `size` members; returns a function to call when the member stops. */
   join(
     run: string,
     size: number,
@@ -35,30 +35,31 @@
     member: GangMember,
   ): () => void {
     const known = this.gangs.get(run);
-    const gang = known?.over === false ? known : { members: [], over: false };
+    const gang =
+      known?.finished === false ? known : { members: [], finished: false };
     this.gangs.set(run, gang);
     gang.members.push(member);
     if (gang.members.length === size) {
       this.time.schedule(runMs, () => {
-        finish(gang);
+        finishGang(gang);
       });
     }
-    this.time.schedule(GANG_MS, () => {
+    this.time.schedule(GANG_WAIT_MS, () => {
       if (gang.members.length < size) {
         member.end('alone');
       }
     });
     return () => {
-      breakUp(gang, member);
+      breakGang(gang, member);
     };
   }
 }
 
-function finish(gang: Gang): void {
-  if (gang.over) {
+function finishGang(gang: Gang): void {
+  if (gang.finished) {
     return;
   }
-  gang.over = true;
+  gang.finished = true;
   const failed = gang.members.find(({ fails }) => fails);
   for (const member of gang.members) {
     const how = member === failed ? 'failed' : 'broken';
@@ -66,9 +67,9 @@
   }
 }
 
-function breakUp(gang: Gang, left: GangMember): void {
-  if (!gang.over) {
-    gang.over = true;
+function breakGang(gang: Gang, left: GangMember): void {
+  if (!gang.finished) {
+    gang.finished = true;
     for (const member of gang.members.filter(other => other !== left)) {
       member.end('broken');
     }
--- a/packages/stand-ins/src/jobs/history-facts.ts
+++ b/packages/stand-ins/src/jobs/history-facts.ts
@@ -1,4 +1,4 @@
-/** What a history holds, and what all promises are judged by. */
+/** Data of a recorded history, and helpers shared by all guarantee checks. */
 import type { Instant, Millis } from '@paddlewind/domain';
 import {
   taskName,
@@ -10,7 +10,7 @@
 
 import type { FaultTimes } from './fault-times.js';
 
-/** The promises, by name. */
+/** Names of the guarantees. */
 export type PromiseName =
   | 'one_place_at_a_time'
   | 'finish_once'
@@ -30,7 +30,7 @@
   | 'known_once_accepted'
   | 'length_counts';
 
-/** A broken promise. */
+/** A violated guarantee. */
 export interface Violation {
   readonly promise: PromiseName;
   /** Name of the task, job, worker or queue. */
@@ -38,104 +38,107 @@
   readonly detail: string;
 }
 
-/** What a step asked for, as far as promises depend on it. */
+/** Specification of a step, as far as guarantees depend on it. */
 export interface PromisedStep {
   readonly tasks: number;
   readonly after: readonly number[];
-  /** Whether copies of a task may run at the same time. */
+  /** Whether speculative copies of a task may run at the same time. */
   readonly speculative?: boolean;
   readonly lasting?: boolean;
   readonly gang?: boolean;
-  /** Whether its processors are not counted against a worker's. */
+  /** Whether its tasks are best-effort fillers, whose CPU is not counted against the worker's capacity. */
   readonly filler?: boolean;
   readonly label?: string | undefined;
   readonly maxPerWorker?: number | undefined;
-  /** Room is judged only where it is given. */
+  /** Size of a task; capacity is checked only if it is given. */
   readonly size?: TaskSize;
 }
 
-/** What a job asked for, and when it was accepted and cancelled. */
+/** Specification of a job, with the times of its acceptance and cancellation. */
 export interface PromisedJob {
   readonly steps: readonly PromisedStep[];
   readonly maxAttempts: number;
-  /** When its acceptance was confirmed; without it, nothing is promised on what is told of the job. */
+  /** When the acceptance was confirmed; if undefined, nothing is guaranteed about reports on the job. */
   acceptedAt?: Instant;
-  /** When its cancellation was first asked for. */
+  /** When the cancellation was first requested. */
   cancelAskedAt?: Instant;
-  /** When the cancellation was confirmed; infinite when there was none. */
+  /** When the cancellation was confirmed; infinite if there was none. */
   cancelledAt: Instant;
 }
 
-/** A run as its worker saw it. */
+/** A run, as observed at its worker. */
 export interface RunTrace {
   readonly task: TaskRef;
   readonly run: number;
   readonly worker: string;
-  readonly beganAt: Instant;
+  readonly startedAt: Instant;
   endedAt: Instant;
   how: RunEnd | 'lost' | undefined;
-  /** Lapses of the worker's lease when it ended. */
-  lapsesAtEnd: number;
-  /** When its end was acknowledged; infinite before. */
-  notedAt: Instant;
-  /** Whether its order was held up on the way; bounds on time don't hold for it. */
-  readonly late: boolean;
-  /** Whether it brought its worker down. */
-  crashed: boolean;
+  /** Number of expiries of the worker's lease until the run ended. */
+  leaseExpiriesAtEnd: number;
+  /** When the end was acknowledged; infinite before. */
+  acknowledgedAt: Instant;
+  /** Whether the start order was delayed by the network; time limits don't apply to it. */
+  readonly delayed: boolean;
+  /** Whether the run crashed its worker. */
+  crashedWorker: boolean;
 }
 
-/** One life of a worker. */
+/** One incarnation of a worker. */
 export interface WorkerTrace {
   readonly id: string;
   readonly capacity: TaskSize;
-  /** Later capacities, and since when it has told them. */
+  /** Later capacities, with the time from which the worker reported them. */
   readonly resizes: { readonly at: Instant; readonly capacity: TaskSize }[];
   readonly labels: readonly string[];
   readonly joinedAt: Instant;
-  /** When it announced that it leaves; infinite before. */
+  /** When the worker announced that it is leaving; infinite before. */
   leavingAt: Instant;
-  goneAt: Instant;
+  endedAt: Instant;
 }
 
-/** What a host told of a job. */
-export interface ShownState {
+/** State of a job that a host reported to a caller. */
+export interface StatusReport {
   readonly job: string;
-  readonly askedAt: Instant;
+  readonly requestedAt: Instant;
   readonly at: Instant;
   readonly state: JobStatus | 'no_such_job';
 }
 
-/** What a host told of the length of the only queue. */
-export interface ToldLength {
+/** Length of the only queue that a host reported to a caller. */
+export interface QueueLengthReport {
   readonly host: string;
-  readonly askedAt: Instant;
+  readonly requestedAt: Instant;
   readonly at: Instant;
   readonly length: number;
 }
 
-/** All that was seen. */
-export interface Facts {
+/** The recorded events, as input of the checks. */
+export interface HistoryFacts {
   readonly jobs: ReadonlyMap<string, PromisedJob>;
-  /** In the order in which they began. */
+  /** In the order of their starts. */
   readonly runs: readonly RunTrace[];
   readonly workers: ReadonlyMap<string, WorkerTrace>;
-  readonly shown: readonly ShownState[];
-  readonly lengths: readonly ToldLength[];
-  /** Undefined where a test does not tell its faults: no time counts as calm then. */
+  readonly statusReports: readonly StatusReport[];
+  readonly queueLengthReports: readonly QueueLengthReport[];
+  /** Undefined if the test does not record its faults; no period counts as fault-free then. */
   readonly faults: FaultTimes | undefined;
-  /** How long a job that is over is remembered. */
+  /** How long the status of a finished job is kept. */
   readonly statusMs: Millis;
   readonly now: Instant;
 }
 
 /** Returns the step of a task. */
-export function stepOf(facts: Facts, task: TaskRef): PromisedStep | undefined {
+export function stepOf(
+  facts: HistoryFacts,
+  task: TaskRef,
+): PromisedStep | undefined {
   return facts.jobs.get(task.job)?.steps[task.step];
 }
 
-/** Returns when all tasks of a step had a run that ended as done; one such end stands for a gang. */
+/** Returns when all tasks of a step, or one member of a gang, had a run that ended as done. */
 export function stepDoneAt(
-  { jobs, runs }: Facts,
+  { jobs, runs }: HistoryFacts,
   id: string,
   occurrence: number,
   step: number,
@@ -160,34 +163,34 @@
     : Infinity;
 }
 
-/** Returns when all tasks of a job that runs once had ended as done. */
-export function jobDoneAt(facts: Facts, id: string): Instant {
+/** Returns when all tasks of a job without repetitions had ended as done. */
+export function jobDoneAt(facts: HistoryFacts, id: string): Instant {
   const steps = facts.jobs.get(id)?.steps ?? [];
   const ends = steps.map((_, step) => stepDoneAt(facts, id, 0, step));
   return Math.max(-Infinity, ...ends);
 }
 
-/** Workers that a task may bring down before its job may be given up. */
-const CRASHES_TO_BLAME = 2;
+/** Number of workers a task has to crash before its job may be abandoned. */
+const CRASHES_TO_ABANDON = 2;
 
-/** Returns when a task of the job had brought down so many workers that it may be given up. */
-export function blamedAt({ runs }: Facts, id: string): Instant {
+/** Returns when a task of the job had crashed so many workers that the job may be abandoned. */
+export function abandonableAt({ runs }: HistoryFacts, id: string): Instant {
   const crashes = new Map<string, number>();
   const inOrder = runs
-    .filter(({ task, crashed }) => task.job === id && crashed)
+    .filter(({ task, crashedWorker }) => task.job === id && crashedWorker)
     .sort((a, b) => a.endedAt - b.endedAt);
   for (const { task, endedAt } of inOrder) {
     const name = taskName(task);
     const count = (crashes.get(name) ?? 0) + 1;
     crashes.set(name, count);
-    if (count === CRASHES_TO_BLAME) {
+    if (count === CRASHES_TO_ABANDON) {
       return endedAt;
     }
   }
   return Infinity;
 }
 
-/** Describes a broken promise by runs. */
+/** Creates a violation that lists the given runs. */
 export function violation(
   promise: PromiseName,
   task: string,
@@ -196,8 +199,8 @@
 ): Violation {
   const detail = runs
     .map(
-      ({ run, worker, beganAt, endedAt, how }) =>
-        `run ${run} on ${worker} ${beganAt} to ${endedAt} ${how ?? 'open'}`,
+      ({ run, worker, startedAt, endedAt, how }) =>
+        `run ${run} on ${worker} ${startedAt} to ${endedAt} ${how ?? 'open'}`,
     )
     .join('; ');
   return { promise, task, detail: note === '' ? detail : `${note}: ${detail}` };
--- a/packages/stand-ins/src/jobs/history.fixture.test.ts
+++ b/packages/stand-ins/src/jobs/history.fixture.test.ts
@@ -1,4 +1,4 @@
-/** A history that a test writes by hand. */
+/** Builder of histories for the tests of the guarantee checks. */
 import type { Instant } from '@paddlewind/domain';
 import type { RunEnd, TaskRef } from '@paddlewind/domain/jobs';
 
@@ -10,23 +10,23 @@
 } from './history-facts.js';
 import { JobHistory } from './job-history.js';
 
-/** The only job, unless a test adds others. */
+/** Id of the only job, unless a test adds others. */
 export const JOB = 'a';
-/** A task of one core. */
+/** Size of a task with one core. */
 export const SIZE = { cpuMilli: 1_000, memoryMiB: 1_000, accelerators: 0 };
 
-/** The only job's task, by index and step. */
+/** Returns the reference of a task of the only job. */
 export function task(index = 0, step = 0): TaskRef {
   return { job: JOB, occurrence: 0, step, index };
 }
 
-/** A history under a clock that the test sets. */
-export class Story {
+/** A history whose clock is set by the test. */
+export class Scenario {
   now: Instant = 0;
   readonly history = new JobHistory(() => this.now);
   readonly faults = new FaultTimes();
 
-  /** Creates a calm history of one job, accepted at 0, and of workers with room for two of its tasks. */
+  /** Creates a fault-free history of one job, accepted at 0, and two workers with capacity for two tasks each. */
   constructor(steps: PromisedStep[], more: Partial<PromisedJob> = {}) {
     this.history.faults = this.faults;
     this.history.jobs.set(JOB, {
@@ -36,38 +36,38 @@
       cancelledAt: Infinity,
       ...more,
     });
-    this.join('w1');
-    this.join('w2');
+    this.addWorker('w1');
+    this.addWorker('w2');
   }
 
-  /** Adds a worker with room for two tasks. */
-  join(id: string, labels: readonly string[] = []): void {
+  /** Adds a worker with capacity for two tasks. */
+  addWorker(id: string, labels: readonly string[] = []): void {
     const capacity = { ...SIZE, cpuMilli: 2_000, memoryMiB: 2_000 };
-    this.history.joined({ id, capacity, labels });
+    this.history.recordWorkerStart({ id, capacity, labels });
   }
 
-  /** A run begins. */
-  begin(at: Instant, ref: TaskRef, run: number, worker = 'w1'): void {
+  /** Records the start of a run. */
+  startRun(at: Instant, ref: TaskRef, run: number, worker = 'w1'): void {
     this.now = at;
-    this.history.began({ task: ref, run }, worker);
+    this.history.recordRunStart({ task: ref, run }, worker);
   }
 
-  /** A run begins on an order that was held up. */
-  beginLate(at: Instant, ref: TaskRef, run: number, worker = 'w1'): void {
+  /** Records the start of a run whose order was delayed. */
+  startDelayedRun(at: Instant, ref: TaskRef, run: number, worker = 'w1'): void {
     this.now = at;
-    this.history.heldUp(() => {
-      this.history.began({ task: ref, run }, worker);
+    this.history.runDelayed(() => {
+      this.history.recordRunStart({ task: ref, run }, worker);
     });
   }
 
-  /** A run ends, which is acknowledged at once. */
-  end(at: Instant, ref: TaskRef, run: number, how: RunEnd, on = 'w1'): void {
-    this.endUnnoted(at, ref, run, how, on);
-    this.history.noted({ task: ref, run }, on, 0);
+  /** Records the end of a run and its acknowledgment. */
+  endRun(at: Instant, ref: TaskRef, run: number, how: RunEnd, on = 'w1'): void {
+    this.endRunUnacknowledged(at, ref, run, how, on);
+    this.history.recordAcknowledgment({ task: ref, run }, on, 0);
   }
 
-  /** A run ends, which is not acknowledged. */
-  endUnnoted(
+  /** Records the end of a run without an acknowledgment. */
+  endRunUnacknowledged(
     at: Instant,
     ref: TaskRef,
     run: number,
@@ -75,18 +75,18 @@
     on = 'w1',
   ): void {
     this.now = at;
-    this.history.ended({ task: ref, run }, on, how, 0);
+    this.history.recordRunEnd({ task: ref, run }, on, how, 0);
   }
 
-  /** A run brings its worker down. */
-  crash(at: Instant, ref: TaskRef, run: number, on = 'w1'): void {
+  /** Records a run that crashes its worker. */
+  crashWorker(at: Instant, ref: TaskRef, run: number, on = 'w1'): void {
     this.now = at;
-    this.history.broughtDown({ task: ref, run }, on);
-    this.history.lost({ task: ref, run }, on);
+    this.history.recordWorkerCrash({ task: ref, run }, on);
+    this.history.recordRunLoss({ task: ref, run }, on);
   }
 
-  /** The names of the promises that are broken at `at`, each once. */
-  broken(at: Instant = this.now): PromiseName[] {
+  /** Returns the distinct names of the guarantees that are violated at `at`. */
+  brokenGuarantees(at: Instant = this.now): PromiseName[] {
     this.now = at;
     const found = this.history.check().map(({ promise }) => promise);
     return [...new Set(found)];
--- a/packages/stand-ins/src/jobs/job-history.ts
+++ b/packages/stand-ins/src/jobs/job-history.ts
@@ -1,4 +1,4 @@
-/** What workers and callers saw of each job, and whether the promises of the product were kept. */
+/** Records what workers and callers observe of each job, and checks it against the product's guarantees. */
 import type { Instant, Millis } from '@paddlewind/domain';
 import {
   runKey,
@@ -8,21 +8,21 @@
   type TaskSize,
 } from '@paddlewind/domain/jobs';
 
-import { checkAnswers } from './answer-promises.js';
-import { checkCalm } from './calm-promises.js';
+import { checkResponses } from './answer-promises.js';
+import { checkFaultFree } from './calm-promises.js';
 import type { FaultTimes } from './fault-times.js';
 import {
   jobDoneAt,
-  type Facts,
+  type HistoryFacts,
   type PromisedJob,
   type RunTrace,
-  type ShownState,
-  type ToldLength,
+  type StatusReport,
+  type QueueLengthReport,
   type Violation,
   type WorkerTrace,
 } from './history-facts.js';
-import { checkLasting } from './lasting-promise.js';
-import { checkPlaces } from './place-promises.js';
+import { checkLongRunning } from './lasting-promise.js';
+import { checkPlacement } from './place-promises.js';
 import { checkTasks } from './task-promises.js';
 
 interface RunRef {
@@ -30,26 +30,28 @@
   readonly run: number;
 }
 
-/** Collects what happens at workers, and what callers are told. */
+/** Records events at workers and reports to callers. */
 export class JobHistory {
   /** Accepted jobs by id. */
   readonly jobs = new Map<string, PromisedJob>();
-  /** All faults of the test; promises of calm times are judged only once it is set. */
+  /** All faults of the test; if undefined, guarantees for fault-free periods are not checked. */
   faults: FaultTimes | undefined;
-  /** How long a job that is over is remembered, in milliseconds. */
+  /** How long the status of a finished job is kept, in milliseconds. */
   statusMs: Millis = 0;
 
   private readonly runs = new Map<string, RunTrace>();
   private readonly workers = new Map<string, WorkerTrace>();
-  private readonly shown: ShownState[] = [];
-  private readonly lengths: ToldLength[] = [];
-  private late = false;
+  private readonly statusReports: StatusReport[] = [];
+  private readonly queueLengthReports: QueueLengthReport[] = [];
+  private isDelayed = false;
 
   /** Creates an empty history. */
   constructor(private readonly clock: () => Instant) {}
 
-  /** A life of a worker has begun. */
-  joined(worker: Pick<WorkerTrace, 'id' | 'capacity' | 'labels'>): void {
+  /** Records the start of an incarnation of a worker. */
+  recordWorkerStart(
+    worker: Pick<WorkerTrace, 'id' | 'capacity' | 'labels'>,
+  ): void {
     this.workers.set(worker.id, {
       id: worker.id,
       capacity: worker.capacity,
@@ -57,83 +59,83 @@
       labels: worker.labels,
       joinedAt: this.clock(),
       leavingAt: Infinity,
-      goneAt: Infinity,
+      endedAt: Infinity,
     });
   }
 
-  /** A worker tells another capacity from now on. */
-  resized(worker: string, capacity: TaskSize): void {
+  /** Records that a worker reports another capacity from now on. */
+  recordCapacityChange(worker: string, capacity: TaskSize): void {
     this.workers.get(worker)?.resizes.push({ at: this.clock(), capacity });
   }
 
-  /** A worker has announced that it leaves. */
-  announced(worker: string): void {
+  /** Records that a worker has announced that it is leaving. */
+  recordLeaving(worker: string): void {
     const trace = this.workers.get(worker);
     if (trace !== undefined) {
       trace.leavingAt = Math.min(trace.leavingAt, this.clock());
     }
   }
 
-  /** A life of a worker has ended. */
-  gone(worker: string): void {
+  /** Records the end of an incarnation of a worker. */
+  recordWorkerEnd(worker: string): void {
     const trace = this.workers.get(worker);
     if (trace !== undefined) {
-      trace.goneAt = this.clock();
+      trace.endedAt = this.clock();
     }
   }
 
-  /** Runs `carryOut` as an order that was held up on its way to the worker. */
-  heldUp(carryOut: () => void): void {
+  /** Runs `execute` as an order that the network delayed on its way to the worker. */
+  runDelayed(execute: () => void): void {
     const now = this.clock();
     this.faults?.add({ from: now, until: now, of: 'workers' });
-    this.late = true;
-    carryOut();
-    this.late = false;
+    this.isDelayed = true;
+    execute();
+    this.isDelayed = false;
   }
 
-  /** A run has begun. */
-  began({ task, run }: RunRef, worker: string): void {
+  /** Records the start of a run. */
+  recordRunStart({ task, run }: RunRef, worker: string): void {
     this.runs.set(this.key({ task, run }, worker), {
       task,
       run,
       worker,
-      beganAt: this.clock(),
+      startedAt: this.clock(),
       endedAt: Infinity,
       how: undefined,
-      lapsesAtEnd: 0,
-      notedAt: Infinity,
-      late: this.late,
-      crashed: false,
+      leaseExpiriesAtEnd: 0,
+      acknowledgedAt: Infinity,
+      delayed: this.isDelayed,
+      crashedWorker: false,
     });
   }
 
-  /** A run is about to bring its worker down. */
-  broughtDown(ref: RunRef, worker: string): void {
+  /** Records that a run is about to crash its worker. */
+  recordWorkerCrash(ref: RunRef, worker: string): void {
     const trace = this.runs.get(this.key(ref, worker));
     if (trace !== undefined) {
-      trace.crashed = true;
+      trace.crashedWorker = true;
     }
   }
 
-  /** Number of workers that tasks of a job have brought down. */
+  /** Returns the number of worker crashes caused by tasks of a job. */
   broughtDownBy(id: string): number {
     return [...this.runs.values()].filter(
-      ({ task, crashed }) => task.job === id && crashed,
+      ({ task, crashedWorker }) => task.job === id && crashedWorker,
     ).length;
   }
 
-  /** A run has ended. */
-  ended(ref: RunRef, worker: string, how: RunEnd, lapses: number): void {
+  /** Records the end of a run. */
+  recordRunEnd(ref: RunRef, worker: string, how: RunEnd, lapses: number): void {
     const trace = this.runs.get(this.key(ref, worker));
     if (trace !== undefined) {
       trace.endedAt = this.clock();
       trace.how = how;
-      trace.lapsesAtEnd = lapses;
+      trace.leaseExpiriesAtEnd = lapses;
     }
   }
 
-  /** A run has gone with its worker. */
-  lost(ref: RunRef, worker: string): void {
+  /** Records that a run was lost with its worker. */
+  recordRunLoss(ref: RunRef, worker: string): void {
     const trace = this.runs.get(this.key(ref, worker));
     if (trace !== undefined) {
       trace.endedAt = this.clock();
@@ -141,71 +143,81 @@
     }
   }
 
-  /** An end was acknowledged; it counts unless the lease lapsed in between. */
-  noted(ref: RunRef, worker: string, lapses: number): void {
+  /** Records the acknowledgment of an end; it counts only if the lease has not expired since the end. */
+  recordAcknowledgment(ref: RunRef, worker: string, lapses: number): void {
     const trace = this.runs.get(this.key(ref, worker));
-    if (trace?.lapsesAtEnd === lapses) {
-      trace.notedAt = Math.min(trace.notedAt, this.clock());
+    if (trace?.leaseExpiriesAtEnd === lapses) {
+      trace.acknowledgedAt = Math.min(trace.acknowledgedAt, this.clock());
     }
   }
 
-  /** A caller that asked at `askedAt` was told the state of a job. */
-  told(job: string, askedAt: Instant, state: ShownState['state']): void {
-    this.shown.push({ job, askedAt, at: this.clock(), state });
+  /** Records the state of a job that was reported to a caller whose request was sent at `requestedAt`. */
+  told(job: string, requestedAt: Instant, state: StatusReport['state']): void {
+    this.statusReports.push({
+      job,
+      requestedAt,
+      at: this.clock(),
+      state,
+    });
   }
 
-  /** Number of runs of other jobs that were lost with workers which tasks of a job brought down. */
+  /** Returns the number of runs of other jobs that were lost with workers crashed by tasks of a job. */
   lostBeside(id: string): number {
-    const crashed = new Set(
+    const crashedWorkers = new Set(
       [...this.runs.values()]
-        .filter(({ task, crashed: down }) => task.job === id && down)
+        .filter(({ task, crashedWorker }) => task.job === id && crashedWorker)
         .map(({ worker }) => worker),
     );
     return [...this.runs.values()].filter(
       ({ task, worker, how }) =>
-        task.job !== id && how === 'lost' && crashed.has(worker),
+        task.job !== id && how === 'lost' && crashedWorkers.has(worker),
     ).length;
   }
 
-  /** The states that callers were told of a job in turn, each change once. */
-  statesTold(id: string): ShownState['state'][] {
-    return this.shown
+  /** Returns the sequence of states of a job that were reported to callers, without repetitions. */
+  statesTold(id: string): StatusReport['state'][] {
+    return this.statusReports
       .filter(({ job }) => job === id)
       .map(({ state }) => state)
       .filter((state, at, all) => state !== all[at - 1]);
   }
 
-  /** When a caller was first told this state of a job; infinite before. */
-  firstTold(id: string, state: ShownState['state']): Instant {
-    const found = this.shown.find(
-      told => told.job === id && told.state === state,
+  /** Returns when this state of a job was first reported to a caller; infinite if never. */
+  firstTold(id: string, state: StatusReport['state']): Instant {
+    const found = this.statusReports.find(
+      report => report.job === id && report.state === state,
     );
     return found?.at ?? Infinity;
   }
 
-  /** A caller that asked a host at `askedAt` was told the length of the only queue. */
-  toldLength(host: string, askedAt: Instant, length: number): void {
-    this.lengths.push({ host, askedAt, at: this.clock(), length });
+  /** Records the length of the only queue that a host reported to a request sent at `requestedAt`. */
+  toldLength(host: string, requestedAt: Instant, length: number): void {
+    this.queueLengthReports.push({
+      host,
+      requestedAt,
+      at: this.clock(),
+      length,
+    });
   }
 
-  /** Returns every promise that was broken. */
+  /** Returns all violated guarantees. */
   check(): Violation[] {
     const facts = this.facts();
     return [
       ...checkTasks(facts),
-      ...checkPlaces(facts),
-      ...checkCalm(facts),
-      ...checkLasting(facts),
-      ...checkAnswers(facts),
+      ...checkPlacement(facts),
+      ...checkFaultFree(facts),
+      ...checkLongRunning(facts),
+      ...checkResponses(facts),
     ];
   }
 
-  /** Tells whether every task of a job has a run that ended as done. */
+  /** Returns whether every task of a job has a run that ended as done. */
   isDone(id: string): boolean {
     return this.jobs.has(id) && jobDoneAt(this.facts(), id) < Infinity;
   }
 
-  /** Jobs of which some task has no run that ended as done. */
+  /** Returns the jobs with tasks that have no run that ended as done. */
   unfinished(): string[] {
     const facts = this.facts();
     return [...this.jobs.keys()].filter(
@@ -213,31 +225,31 @@
     );
   }
 
-  /** When the first run of each job began that has one. */
+  /** Returns the start time of the first run of each started job. */
   firstBegins(): Map<string, Instant> {
     const found = new Map<string, Instant>();
-    for (const { task, beganAt } of this.runs.values()) {
+    for (const { task, startedAt } of this.runs.values()) {
       const first = found.get(task.job) ?? Infinity;
-      found.set(task.job, Math.min(first, beganAt));
+      found.set(task.job, Math.min(first, startedAt));
     }
     return found;
   }
 
-  /** Number of a job's runs that have not ended. */
+  /** Returns the number of a job's runs that have not ended. */
   runningOf(id: string): number {
     return [...this.runs.values()].filter(
       ({ task, endedAt }) => task.job === id && endedAt === Infinity,
     ).length;
   }
 
-  private facts(): Facts {
+  private facts(): HistoryFacts {
     const runs = [...this.runs.values()];
     return {
       jobs: this.jobs,
-      runs: runs.sort((a, b) => a.beganAt - b.beganAt),
+      runs: runs.sort((a, b) => a.startedAt - b.startedAt),
       workers: this.workers,
-      shown: this.shown,
-      lengths: this.lengths,
+      statusReports: this.statusReports,
+      queueLengthReports: this.queueLengthReports,
       faults: this.faults,
       statusMs: this.statusMs,
       now: this.clock(),
--- a/packages/stand-ins/src/jobs/lasting-promise.test.ts
+++ b/packages/stand-ins/src/jobs/lasting-promise.test.ts
@@ -1,81 +1,85 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { SIZE, Story, task } from './history.fixture.test.js';
+import { SIZE, Scenario, task } from './history.fixture.test.js';
 
-const LASTING = { tasks: 1, after: [], lasting: true, size: SIZE };
+const LONG_RUNNING = { tasks: 1, after: [], lasting: true, size: SIZE };
 
-/** The only task's run begins at 1 s and ends at 10 s. */
-function storyOfOneRun(): Story {
-  const story = new Story([LASTING]);
-  story.begin(1_000, task(), 1);
-  story.end(10_000, task(), 1, 'stopped');
-  return story;
+/** A scenario with one run of the only task, from 1 s to 10 s. */
+function scenarioOfOneRun(): Scenario {
+  const scenario = new Scenario([LONG_RUNNING]);
+  scenario.startRun(1_000, task(), 1);
+  scenario.endRun(10_000, task(), 1, 'stopped');
+  return scenario;
 }
 
-test('a lasting task without a run for 9 s while there is room is reported', () => {
-  const story = storyOfOneRun();
-  assert.deepEqual(story.broken(19_000), []);
-  assert.deepEqual(story.broken(19_001), ['lasting_runs']);
+test('a long-running task that does not run for 9 s despite free capacity is a violation', () => {
+  const scenario = scenarioOfOneRun();
+  assert.deepEqual(scenario.brokenGuarantees(19_000), []);
+  assert.deepEqual(scenario.brokenGuarantees(19_001), ['lasting_runs']);
 });
 
-test('a lasting task that never runs is reported', () => {
-  assert.deepEqual(new Story([LASTING]).broken(9_001), ['lasting_runs']);
+test('a long-running task that never runs is a violation', () => {
+  assert.deepEqual(new Scenario([LONG_RUNNING]).brokenGuarantees(9_001), [
+    'lasting_runs',
+  ]);
 });
 
-test('a lasting task that is back in time is not reported', () => {
-  const story = storyOfOneRun();
-  story.begin(19_000, task(), 2);
-  assert.deepEqual(story.broken(60_000), []);
+test('a long-running task that runs again in time is no violation', () => {
+  const scenario = scenarioOfOneRun();
+  scenario.startRun(19_000, task(), 2);
+  assert.deepEqual(scenario.brokenGuarantees(60_000), []);
 });
 
-test('a lasting task that is away after a fault is reported 7 s after it', () => {
-  const story = storyOfOneRun();
-  story.faults.add({ from: 13_000, until: 20_000, of: 'log' });
-  assert.deepEqual(story.broken(27_001), []);
-  assert.deepEqual(story.broken(27_002), ['lasting_runs']);
+test('a long-running task that does not run after a fault is a violation 7 s later', () => {
+  const scenario = scenarioOfOneRun();
+  scenario.faults.add({ from: 13_000, until: 20_000, of: 'log' });
+  assert.deepEqual(scenario.brokenGuarantees(27_001), []);
+  assert.deepEqual(scenario.brokenGuarantees(27_002), ['lasting_runs']);
 });
 
-test('a lasting task without room for it twice over is not reported', () => {
-  const story = storyOfOneRun();
-  story.history.gone('w1');
-  story.history.jobs.set('b', {
+test('a long-running task without free capacity for two of its kind is no violation', () => {
+  const scenario = scenarioOfOneRun();
+  scenario.history.recordWorkerEnd('w1');
+  scenario.history.jobs.set('b', {
     steps: [{ tasks: 1, after: [], size: SIZE }],
     maxAttempts: 2,
     cancelledAt: Infinity,
   });
   const other = { job: 'b', occurrence: 0, step: 0, index: 0 };
-  story.begin(11_000, other, 1, 'w2');
-  assert.deepEqual(story.broken(60_000), []);
-  story.end(60_000, other, 1, 'done', 'w2');
-  assert.deepEqual(story.broken(63_001), ['lasting_runs']);
+  scenario.startRun(11_000, other, 1, 'w2');
+  assert.deepEqual(scenario.brokenGuarantees(60_000), []);
+  scenario.endRun(60_000, other, 1, 'done', 'w2');
+  assert.deepEqual(scenario.brokenGuarantees(63_001), ['lasting_runs']);
 });
 
-test('room on workers that leave or lack the label does not count', () => {
-  const story = storyOfOneRun();
-  story.history.announced('w1');
-  story.history.announced('w2');
-  assert.deepEqual(story.broken(60_000), []);
-  const labelled = new Story([{ ...LASTING, label: 'fast' }]);
-  assert.deepEqual(labelled.broken(60_000), []);
+test('capacity on workers that are leaving or lack the label does not count', () => {
+  const scenario = scenarioOfOneRun();
+  scenario.history.recordLeaving('w1');
+  scenario.history.recordLeaving('w2');
+  assert.deepEqual(scenario.brokenGuarantees(60_000), []);
+  const labelled = new Scenario([{ ...LONG_RUNNING, label: 'fast' }]);
+  assert.deepEqual(labelled.brokenGuarantees(60_000), []);
 });
 
-test('a lasting task that was cancelled, or follows a step that is not done, is not reported', () => {
-  const story = new Story([LASTING], { cancelAskedAt: 2_000 });
-  assert.deepEqual(story.broken(60_000), []);
-  const second = new Story([
+test('a long-running task that was cancelled, or waits for another step, is no violation', () => {
+  const scenario = new Scenario([LONG_RUNNING], { cancelAskedAt: 2_000 });
+  assert.deepEqual(scenario.brokenGuarantees(60_000), []);
+  const second = new Scenario([
     { tasks: 1, after: [] },
-    { ...LASTING, after: [0] },
+    { ...LONG_RUNNING, after: [0] },
   ]);
-  assert.deepEqual(second.broken(60_000), []);
+  assert.deepEqual(second.brokenGuarantees(60_000), []);
 });
 
-test('room beside as many tasks of the step as may share a worker does not count', () => {
-  const story = new Story([{ ...LASTING, tasks: 3, maxPerWorker: 1 }]);
-  story.begin(1_000, task(0), 1, 'w1');
-  story.begin(1_000, task(1), 1, 'w2');
-  assert.deepEqual(story.broken(60_000), []);
-  story.join('w3');
-  story.join('w4');
-  assert.deepEqual(story.broken(63_001), ['lasting_runs']);
+test('capacity on workers that already run the maximum number of tasks of the step does not count', () => {
+  const scenario = new Scenario([
+    { ...LONG_RUNNING, tasks: 3, maxPerWorker: 1 },
+  ]);
+  scenario.startRun(1_000, task(0), 1, 'w1');
+  scenario.startRun(1_000, task(1), 1, 'w2');
+  assert.deepEqual(scenario.brokenGuarantees(60_000), []);
+  scenario.addWorker('w3');
+  scenario.addWorker('w4');
+  assert.deepEqual(scenario.brokenGuarantees(63_001), ['lasting_runs']);
 });
--- a/packages/stand-ins/src/jobs/lasting-promise.ts
+++ b/packages/stand-ins/src/jobs/lasting-promise.ts
@@ -1,49 +1,49 @@
-/** The promise that a lasting task runs while there is room for it twice over. */
+/** Checks the guarantee that a long-running task runs while there is free capacity for two of its kind. */
 import type { Instant, Millis } from '@paddlewind/domain';
 import { taskName, type TaskRef, type TaskSize } from '@paddlewind/domain/jobs';
 
 import type { FaultTimes } from './fault-times.js';
 import {
-  blamedAt,
+  abandonableAt,
   stepDoneAt,
   stepOf,
   violation,
-  type Facts,
+  type HistoryFacts,
   type PromisedJob,
   type PromisedStep,
   type RunTrace,
   type Violation,
   type WorkerTrace,
 } from './history-facts.js';
-import { roomBeside } from './place-promises.js';
+import { freeCapacity } from './place-promises.js';
 
-/** Time after a run in which a lasting task may be away. */
-const AWAY_MS: Millis = 6_000;
-/** How long there has to be room. */
-const ROOM_MS: Millis = 3_000;
-/** How long before that nothing may have been disturbed. */
-const CALM_BEFORE_MS: Millis = 4_000;
+/** Maximum time that a long-running task may be without a run. */
+const MAX_GAP_MS: Millis = 6_000;
+/** Time for which there has to be free capacity. */
+const CAPACITY_SPAN_MS: Millis = 3_000;
+/** Time before that which has to be free of faults. */
+const FAULT_FREE_BEFORE_MS: Millis = 4_000;
 
-interface Idle {
+interface Gap {
   readonly task: TaskRef;
   readonly from: Instant;
   readonly until: Instant;
 }
 
-/** Returns the lasting tasks that did not run though they could. */
-export function checkLasting(facts: Facts): Violation[] {
+/** Returns the long-running tasks that did not run although they could have. */
+export function checkLongRunning(facts: HistoryFacts): Violation[] {
   const { faults } = facts;
   if (faults === undefined) {
     return [];
   }
-  const changes = changesOf(facts);
+  const changes = capacityChanges(facts);
   return [...facts.jobs].flatMap(([id, job]) =>
     job.steps.flatMap((step, at) => {
       if (step.lasting !== true) {
         return [];
       }
-      return idles(facts, id, job, at)
-        .filter(idle => couldRun(facts, faults, changes, idle))
+      return gapsOfStep(facts, id, job, at)
+        .filter(gap => couldRun(facts, faults, changes, gap))
         .map(({ task, from, until }) =>
           violation(
             'lasting_runs',
@@ -56,24 +56,24 @@
   );
 }
 
-/** Moments at which room may become less or more. */
-function changesOf({ runs, workers }: Facts): Instant[] {
+/** Returns the times at which free capacity may change. */
+function capacityChanges({ runs, workers }: HistoryFacts): Instant[] {
   return [
-    ...runs.flatMap(({ beganAt, endedAt }) => [beganAt, endedAt]),
-    ...[...workers.values()].flatMap(({ joinedAt, leavingAt, goneAt }) => [
+    ...runs.flatMap(({ startedAt, endedAt }) => [startedAt, endedAt]),
+    ...[...workers.values()].flatMap(({ joinedAt, leavingAt, endedAt }) => [
       joinedAt,
       leavingAt,
-      goneAt,
+      endedAt,
     ]),
   ];
 }
 
-function idles(
-  facts: Facts,
+function gapsOfStep(
+  facts: HistoryFacts,
   id: string,
   job: PromisedJob,
   step: number,
-): Idle[] {
+): Gap[] {
   const { tasks = 0, after = [] } = job.steps[step] ?? {};
   const ready = after.map(before => stepDoneAt(facts, id, 0, before));
   const since = Math.max(job.acceptedAt ?? Infinity, ...ready);
@@ -81,25 +81,25 @@
     facts.now,
     job.cancelledAt,
     job.cancelAskedAt ?? Infinity,
-    blamedAt(facts, id),
+    abandonableAt(facts, id),
   );
   return Array.from({ length: tasks }, (_, index) => {
     const task = { job: id, occurrence: 0, step, index };
     const name = taskName(task);
     const runs = facts.runs.filter(run => taskName(run.task) === name);
-    return gaps(runs, since, end).map(gap => ({ task, ...gap }));
+    return gapsBetween(runs, since, end).map(gap => ({ task, ...gap }));
   }).flat();
 }
 
-function gaps(
+function gapsBetween(
   runs: readonly RunTrace[],
   since: Instant,
   end: Instant,
 ): { from: Instant; until: Instant }[] {
   const found: { from: Instant; until: Instant }[] = [];
   let from = since;
-  for (const { beganAt, endedAt } of runs) {
-    found.push({ from, until: Math.min(beganAt, end) });
+  for (const { startedAt, endedAt } of runs) {
+    found.push({ from, until: Math.min(startedAt, end) });
     from = Math.max(from, endedAt);
   }
   found.push({ from, until: end });
@@ -107,53 +107,57 @@
 }
 
 function couldRun(
-  facts: Facts,
+  facts: HistoryFacts,
   faults: FaultTimes,
   changes: readonly Instant[],
-  { task, from, until }: Idle,
+  { task, from, until }: Gap,
 ): boolean {
-  const calmFrom = faults.ends().map(end => end + CALM_BEFORE_MS + 1);
-  return [from + AWAY_MS, ...calmFrom, ...changes]
-    .filter(at => at >= from + AWAY_MS && at + ROOM_MS < until)
-    .filter(at => faults.isCalm(at - CALM_BEFORE_MS, at + ROOM_MS))
+  const faultFreeFrom = faults
+    .ends()
+    .map(end => end + FAULT_FREE_BEFORE_MS + 1);
+  return [from + MAX_GAP_MS, ...faultFreeFrom, ...changes]
+    .filter(at => at >= from + MAX_GAP_MS && at + CAPACITY_SPAN_MS < until)
+    .filter(at =>
+      faults.isCalm(at - FAULT_FREE_BEFORE_MS, at + CAPACITY_SPAN_MS),
+    )
     .some(at =>
-      [at, ...changes.filter(x => x > at && x <= at + ROOM_MS)].every(
-        moment => placesAt(facts, moment, task) >= 2,
+      [at, ...changes.filter(x => x > at && x <= at + CAPACITY_SPAN_MS)].every(
+        moment => freeSlotsAt(facts, moment, task) >= 2,
       ),
     );
 }
 
-/** Number of further tasks of a task's step for which there is room. */
-function placesAt(facts: Facts, at: Instant, task: TaskRef): number {
+/** Returns how many more tasks of the same step would fit on all workers. */
+function freeSlotsAt(facts: HistoryFacts, at: Instant, task: TaskRef): number {
   const step = stepOf(facts, task);
-  let places = 0;
+  let slots = 0;
   for (const worker of facts.workers.values()) {
-    if (step?.size !== undefined && isOffered(worker, at, step)) {
-      const here = facts.runs.filter(
+    if (step?.size !== undefined && isEligible(worker, at, step)) {
+      const active = facts.runs.filter(
         run =>
-          run.worker === worker.id && run.beganAt <= at && run.endedAt > at,
+          run.worker === worker.id && run.startedAt <= at && run.endedAt > at,
       );
-      const alike = here.filter(
+      const sameStep = active.filter(
         run => run.task.job === task.job && run.task.step === task.step,
       );
-      const fits = placesIn(roomBeside(facts, worker, here), step.size);
-      const allowed = (step.maxPerWorker ?? Infinity) - alike.length;
-      places += Math.max(0, Math.min(fits, allowed));
+      const fits = slotsIn(freeCapacity(facts, worker, active), step.size);
+      const allowed = (step.maxPerWorker ?? Infinity) - sameStep.length;
+      slots += Math.max(0, Math.min(fits, allowed));
     }
   }
-  return places;
+  return slots;
 }
 
-function isOffered(
-  { joinedAt, leavingAt, goneAt, labels }: WorkerTrace,
+function isEligible(
+  { joinedAt, leavingAt, endedAt, labels }: WorkerTrace,
   at: Instant,
   { label }: PromisedStep,
 ): boolean {
-  const here = joinedAt <= at && at < Math.min(leavingAt, goneAt);
-  return here && (label === undefined || labels.includes(label));
+  const present = joinedAt <= at && at < Math.min(leavingAt, endedAt);
+  return present && (label === undefined || labels.includes(label));
 }
 
-function placesIn(left: TaskSize, size: TaskSize): number {
+function slotsIn(left: TaskSize, size: TaskSize): number {
   const fits = Math.min(
     size.cpuMilli > 0 ? left.cpuMilli / size.cpuMilli : Infinity,
     size.memoryMiB > 0 ? left.memoryMiB / size.memoryMiB : Infinity,
--- a/packages/stand-ins/src/jobs/log-partition.ts
+++ b/packages/stand-ins/src/jobs/log-partition.ts
@@ -1,10 +1,10 @@
-/** One partition of the platform's log: records by offset, stamped appends, waiting readers. */
+/** In-memory partition of the platform's log, with fenced and deduplicated appends and waiting readers. */
 import type { AppendResult, WriterStamp } from '@paddlewind/ports/jobs';
 
-/** Appends whose repetition gets the first answer again. */
-const REMEMBERED = 5;
+/** Number of recent appends of a writer whose repetition gets the first result. */
+const REMEMBERED_APPENDS = 5;
 
-/** The first records of `all` that fit in `bytes`, and at least one. */
+/** Returns the first records of `all` that fit in `bytes`, but at least one. */
 export function firstBytes(
   all: readonly Uint8Array[],
   bytes: number,
@@ -26,17 +26,17 @@
   }[];
 }
 
-/** A partition that loses nothing. */
+/** A partition without faults. */
 export class LogPartition {
-  /** All records, the first at offset 0. */
+  /** All records since offset 0. */
   readonly records: Uint8Array[] = [];
-  /** Offset of the first record that is still kept. */
+  /** Offset of the first retained record. */
   firstOffset = 0;
 
   private readonly writers = new Map<string, Writer>();
   private waiting: (() => void)[] = [];
 
-  /** Appends all or nothing; a stamp has to follow the last one of its writer. */
+  /** Appends all records or none; a stamp has to follow the writer's last one. */
   append(records: readonly Uint8Array[], stamp?: WriterStamp): AppendResult {
     if (stamp === undefined) {
       return this.store(records);
@@ -44,14 +44,16 @@
     const { writer, epoch, sequence } = stamp;
     const known = this.writers.get(writer);
     if (known !== undefined && epoch <= known.epoch) {
-      const settled = settle(known, stamp);
+      const settled = answerKnownStamp(known, stamp);
       if (settled !== undefined) {
         return settled;
       }
     }
     const answer = this.store(records);
     const earlier = known?.epoch === epoch ? known.answers : [];
-    const answers = [...earlier, { sequence, answer }].slice(-REMEMBERED);
+    const answers = [...earlier, { sequence, answer }].slice(
+      -REMEMBERED_APPENDS,
+    );
     this.writers.set(writer, { epoch, sequence, answers });
     return answer;
   }
@@ -73,8 +75,8 @@
   }
 }
 
-/** Answers a stamp that is not news; undefined for the one that comes next. */
-function settle(
+/** Returns the result for a fenced, repeated or out-of-sequence stamp; undefined for the next one in sequence. */
+function answerKnownStamp(
   known: Writer,
   { epoch, sequence }: WriterStamp,
 ): AppendResult | undefined {
--- a/packages/stand-ins/src/jobs/memory-fleet.ts
+++ b/packages/stand-ins/src/jobs/memory-fleet.ts
@@ -1,4 +1,4 @@
-/** Workers in memory behind a network that loses and delays orders. */
+/** In-memory workers behind a network that loses and delays calls. */
 import {
   workerOf,
   type TaskSize,
@@ -17,46 +17,47 @@
 import type { SimulatedTime } from './memory-job-log.js';
 import { MemoryWorker, type WorkerTraits } from './memory-worker.js';
 
-/** Time of one way through the network, in milliseconds. */
-const WAY_MS = 1;
-/** Time after which an order is given up, in milliseconds. */
-const TIMEOUT_MS = 500;
-/** When an order that was held up arrives, in milliseconds. */
-const LATE_FROM_MS = 2_000;
-const LATE_SPAN_MS = 10_000;
+/** One-way network delay, in milliseconds. */
+const ONE_WAY_DELAY_MS = 1;
+/** Timeout of a call, in milliseconds. */
+const CALL_TIMEOUT_MS = 500;
+/** Minimum delay of a delayed call, in milliseconds. */
+const MIN_DELAY_MS = 2_000;
+/** Range of the random part of that delay, in milliseconds. */
+const DELAY_SPAN_MS = 10_000;
 
-/** All workers of a test. */
+/** The workers of a test, with injected faults. Workers are named by their machine, which is also their address. */
 export class MemoryFleet {
-  /** Share of the orders that are not answered and arrive late, at whatever life has the id by then. */
+  /** Fraction of orders that are not answered and arrive late, at the incarnation that has the id by then. */
   lateShare = 0;
-  /** The same for looks. */
+  /** Fraction of polls that are not answered and arrive late. */
   lateLookShare = 0;
-  /** Whether the registry can't be read. */
+  /** Whether the registry is unavailable. */
   registryAway = false;
-  /** Whether every start is rejected for want of room. */
+  /** Whether every start is rejected for lack of capacity. */
   refusesStarts = false;
-  /** Pairs `host>worker` that cannot reach each other. */
+  /** Broken network links, as `host>worker`. */
   readonly cuts = new Set<string>();
-  /** Time by machine that answers to looks take on their way, in milliseconds; also beyond a timeout. */
+  /** Delay of poll responses by machine, in milliseconds; may exceed the timeout. */
   readonly lookDelays = new Map<string, number>();
-  /** Time by machine that an order takes beyond the network, in milliseconds; below a timeout. */
+  /** Additional response time of orders by machine, in milliseconds; must be below the timeout. */
   readonly slowness = new Map<string, number>();
 
-  /** Told of each worker that a task has brought down. */
+  /** Called for each worker that a task has crashed. */
   onCrash: (machine: string, labels?: readonly string[]) => void = () =>
     undefined;
 
-  /** Capacities that workers tell in place of what they began with, by life. */
-  private readonly resized = new Map<string, TaskSize>();
+  /** Changed capacities, by incarnation. */
+  private readonly reportedCapacities = new Map<string, TaskSize>();
   private readonly workers = new Map<string, MemoryWorker>();
   private readonly gangs: Gangs;
   private readonly leaving = new Set<string>();
-  /** Entries that the registry tells in place of the present ones, by address. */
-  private readonly heldEntries = new Map<string, WorkerInfo>();
-  /** Present life by address. */
-  private readonly lives = new Map<string, string>();
+  /** Outdated entries that the registry returns instead of the current ones, by address. */
+  private readonly frozenEntries = new Map<string, WorkerInfo>();
+  /** Current incarnation by address. */
+  private readonly incarnations = new Map<string, string>();
 
-  /** Creates a fleet without workers. */
+  /** Creates an empty fleet. */
   constructor(
     private readonly time: SimulatedTime,
     private readonly history: JobHistory,
@@ -64,50 +65,54 @@
     this.gangs = new Gangs(time);
   }
 
-  /** Adds a worker whose address is that of its machine. */
+  /** Adds a worker at the address `machine`. */
   add(machine: string, traits: WorkerTraits): MemoryWorker {
     const { time, history, gangs } = this;
     const worker = new MemoryWorker(traits, time, history, gangs, order => {
-      history.broughtDown(order, worker.life);
+      history.recordWorkerCrash(order, worker.incarnation);
       this.crash(machine);
       this.onCrash(machine, traits.labels);
     });
-    history.joined({ labels: [], ...traits, id: worker.life });
-    this.workers.set(worker.life, worker);
-    this.lives.set(machine, worker.life);
+    history.recordWorkerStart({
+      labels: [],
+      ...traits,
+      id: worker.incarnation,
+    });
+    this.workers.set(worker.incarnation, worker);
+    this.incarnations.set(machine, worker.incarnation);
     return worker;
   }
 
-  /** Ends the life at an address; another may be added there later. */
+  /** Ends the current incarnation at an address; another may be added there later. */
   crash(machine: string): void {
-    const id = this.lives.get(machine);
-    this.lives.delete(machine);
+    const id = this.incarnations.get(machine);
+    this.incarnations.delete(machine);
     this.workers.get(id ?? '')?.crash();
-    this.history.gone(id ?? '');
+    this.history.recordWorkerEnd(id ?? '');
   }
 
-  /** Changes the capacity of the life at an address, which tells so and goes on running what it runs. */
+  /** Changes the capacity that the worker at an address reports; its runs continue. */
   resize(machine: string, capacity: TaskSize): void {
-    const id = this.lives.get(machine);
+    const id = this.incarnations.get(machine);
     if (id !== undefined) {
-      this.resized.set(id, capacity);
-      this.history.resized(id, capacity);
+      this.reportedCapacities.set(id, capacity);
+      this.history.recordCapacityChange(id, capacity);
     }
   }
 
-  /** Announces that the life at an address is about to end. */
+  /** Marks the worker at an address as leaving. */
   announceLeave(machine: string): void {
-    const id = this.lives.get(machine) ?? '';
+    const id = this.incarnations.get(machine) ?? '';
     this.leaving.add(id);
-    this.history.announced(id);
+    this.history.recordLeaving(id);
   }
 
-  /** Returns the worker that lives at an address. */
+  /** Returns the worker that currently runs at an address. */
   at(machine: string): MemoryWorker | undefined {
-    return this.workers.get(this.lives.get(machine) ?? '');
+    return this.workers.get(this.incarnations.get(machine) ?? '');
   }
 
-  /** The registry of workers, as every host sees it. */
+  /** Returns a feed of the registry of workers, which is the same for all hosts. */
   feed(): WorkerFeed {
     return {
       refresh: () => {
@@ -121,32 +126,33 @@
     };
   }
 
-  /** Makes the registry tell the present life at an address for `span`, whatever lives there. */
+  /** Freezes the registry entry of an address for `span` milliseconds. */
   holdEntry(machine: string, span: number): void {
     const held = this.entries().find(({ address }) => address === machine);
     if (held !== undefined) {
-      this.heldEntries.set(machine, held);
-      this.time.schedule(span, () => this.heldEntries.delete(machine));
+      this.frozenEntries.set(machine, held);
+      this.time.schedule(span, () => this.frozenEntries.delete(machine));
     }
   }
 
   private entries(): WorkerInfo[] {
     const found = new Map<string, WorkerInfo>();
-    for (const [address, life] of this.lives) {
-      const worker = this.workers.get(life);
+    for (const [address, incarnation] of this.incarnations) {
+      const worker = this.workers.get(incarnation);
       if (worker !== undefined) {
-        const capacity = this.resized.get(life) ?? worker.traits.capacity;
+        const capacity =
+          this.reportedCapacities.get(incarnation) ?? worker.traits.capacity;
         const traits = { ...worker.traits, capacity };
-        const isLeaving = this.leaving.has(life);
-        found.set(address, infoOf(life, address, traits, isLeaving));
+        const isLeaving = this.leaving.has(incarnation);
+        found.set(address, infoOf(incarnation, address, traits, isLeaving));
       }
     }
-    return [...new Map([...found, ...this.heldEntries]).values()];
+    return [...new Map([...found, ...this.frozenEntries]).values()];
   }
 
-  /** The workers as `host` reaches them. */
+  /** Returns the port by which `host` calls the workers. */
   connect(host: string): WorkerPort {
-    /** Workers that answered the last look of a link, by the incarnation that it is to. */
+    /** Workers that answered the last poll, by the incarnation that it was addressed to. */
     const answered = new Map<string, MemoryWorker>();
     return {
       start: (to, order) =>
@@ -163,16 +169,18 @@
         })),
       look: (to, order, takeLate) => {
         answered.delete(to.id);
-        const found = this.look(host, to, async worker => {
+        const found = this.sendPoll(host, to, async worker => {
           const res = await worker.look(order);
           answered.set(to.id, worker);
           return res;
         });
-        return this.inTime(found, order.waitMs + order.slackMs, takeLate);
+        return this.withTimeout(found, order.waitMs + order.slackMs, takeLate);
       },
       isConnected: to => {
         const worker = answered.get(to.id);
-        return worker !== undefined && worker === this.reach(host, to);
+        return (
+          worker !== undefined && worker === this.reachableWorker(host, to)
+        );
       },
       forget: () => undefined,
     };
@@ -181,89 +189,89 @@
   private async order(
     host: string,
     to: WorkerAddress,
-    carryOut: (worker: MemoryWorker) => OrderResult,
+    execute: (worker: MemoryWorker) => OrderResult,
   ): Promise<OrderResult> {
     if (this.time.random() < this.lateShare) {
-      const after = LATE_FROM_MS + this.time.random() * LATE_SPAN_MS;
+      const after = MIN_DELAY_MS + this.time.random() * DELAY_SPAN_MS;
       this.time.schedule(after, () => {
         const worker = this.at(to.address);
-        if (worker !== undefined && isMeant(worker, to)) {
-          this.history.heldUp(() => {
-            carryOut(worker);
+        if (worker !== undefined && isAddressedTo(worker, to)) {
+          this.history.runDelayed(() => {
+            execute(worker);
           });
         }
       });
-      await this.pause(TIMEOUT_MS);
+      await this.pause(CALL_TIMEOUT_MS);
       return { kind: 'unknown', reason: 'timeout' };
     }
-    await this.pause(WAY_MS);
-    const worker = this.reach(host, to);
+    await this.pause(ONE_WAY_DELAY_MS);
+    const worker = this.reachableWorker(host, to);
     if (worker === undefined) {
-      await this.pause(TIMEOUT_MS);
+      await this.pause(CALL_TIMEOUT_MS);
       return { kind: 'unknown', reason: 'timeout' };
     }
-    if (!isMeant(worker, to)) {
+    if (!isAddressedTo(worker, to)) {
       return { kind: 'replaced' };
     }
-    const result = carryOut(worker);
-    await this.pause(WAY_MS + (this.slowness.get(to.address) ?? 0));
-    if (this.reach(host, to) === undefined) {
-      await this.pause(TIMEOUT_MS);
+    const result = execute(worker);
+    await this.pause(ONE_WAY_DELAY_MS + (this.slowness.get(to.address) ?? 0));
+    if (this.reachableWorker(host, to) === undefined) {
+      await this.pause(CALL_TIMEOUT_MS);
       return { kind: 'unknown', reason: 'timeout' };
     }
     return result;
   }
 
-  private async look(
+  private async sendPoll(
     host: string,
     to: WorkerAddress,
-    carryOut: (worker: MemoryWorker) => Promise<LookResult>,
+    execute: (worker: MemoryWorker) => Promise<LookResult>,
   ): Promise<LookResult> {
     if (this.lateLookShare > 0 && this.time.random() < this.lateLookShare) {
-      this.lookLater(to, carryOut);
-      await this.pause(TIMEOUT_MS);
+      this.pollLater(to, execute);
+      await this.pause(CALL_TIMEOUT_MS);
       return { kind: 'failed', reason: 'timeout' };
     }
-    await this.pause(WAY_MS);
-    const worker = this.reach(host, to);
+    await this.pause(ONE_WAY_DELAY_MS);
+    const worker = this.reachableWorker(host, to);
     if (worker === undefined) {
-      await this.pause(TIMEOUT_MS);
+      await this.pause(CALL_TIMEOUT_MS);
       return { kind: 'failed', reason: 'timeout' };
     }
-    if (!isMeant(worker, to)) {
+    if (!isAddressedTo(worker, to)) {
       return { kind: 'replaced' };
     }
-    const result = await carryOut(worker);
-    await this.pause(WAY_MS + (this.lookDelays.get(to.address) ?? 0));
-    if (this.reach(host, to) !== worker) {
+    const result = await execute(worker);
+    await this.pause(ONE_WAY_DELAY_MS + (this.lookDelays.get(to.address) ?? 0));
+    if (this.reachableWorker(host, to) !== worker) {
       return { kind: 'failed', reason: 'connection lost' };
     }
     return result;
   }
 
-  private lookLater(
+  private pollLater(
     to: WorkerAddress,
-    carryOut: (worker: MemoryWorker) => Promise<LookResult>,
+    execute: (worker: MemoryWorker) => Promise<LookResult>,
   ): void {
-    const after = LATE_FROM_MS + this.time.random() * LATE_SPAN_MS;
+    const after = MIN_DELAY_MS + this.time.random() * DELAY_SPAN_MS;
     this.time.schedule(after, () => {
       const worker = this.at(to.address);
-      if (worker !== undefined && isMeant(worker, to)) {
-        this.history.heldUp(() => {
-          void carryOut(worker);
+      if (worker !== undefined && isAddressedTo(worker, to)) {
+        this.history.runDelayed(() => {
+          void execute(worker);
         });
       }
     });
   }
 
-  /** Gives a look up after its time; what is answered later goes to `takeLate`. */
-  private async inTime(
+  /** Fails a poll after its timeout; a later response is passed to `takeLate`. */
+  private async withTimeout(
     found: Promise<LookResult>,
     timeoutMs: number,
     takeLate: (res: LookResult) => void,
   ): Promise<LookResult> {
-    const gaveUp = this.pause(timeoutMs);
-    const first = await Promise.race([found, gaveUp]);
+    const timedOut = this.pause(timeoutMs);
+    const first = await Promise.race([found, timedOut]);
     if (first !== undefined) {
       return first;
     }
@@ -275,7 +283,10 @@
     return { kind: 'failed', reason: 'timeout' };
   }
 
-  private reach(host: string, to: WorkerAddress): MemoryWorker | undefined {
+  private reachableWorker(
+    host: string,
+    to: WorkerAddress,
+  ): MemoryWorker | undefined {
     if (this.cuts.has(`${host}>${to.address}`)) {
       return undefined;
     }
@@ -289,8 +300,11 @@
   }
 }
 
-/** Whether a worker takes a call for its own: a later life with the same id does, too. */
-function isMeant({ traits }: MemoryWorker, { id }: WorkerAddress): boolean {
+/** Returns whether a worker accepts a call to `id`; a later incarnation with the same worker id does, too. */
+function isAddressedTo(
+  { traits }: MemoryWorker,
+  { id }: WorkerAddress,
+): boolean {
   return traits.id === workerOf(id);
 }
 
--- a/packages/stand-ins/src/jobs/memory-job-log.ts
+++ b/packages/stand-ins/src/jobs/memory-job-log.ts
@@ -1,4 +1,4 @@
-/** The log of jobs in memory: stamps, late effects, lost answers, and hosts that it does not serve. */
+/** In-memory log of jobs, with injected faults: delayed appends, lost responses and unavailability per host. */
 import type {
   Clock,
   Instant,
@@ -17,57 +17,58 @@
 
 import { firstBytes, LogPartition } from './log-partition.js';
 
-/** How the log treats one host. */
+/** Injected behavior of the log towards a host or a stream. */
 export type LogMode =
   | 'up'
-  /** Every call is refused, and nothing is done. */
+  /** Every call is refused without effect. */
   | 'refusing'
-  /** Connections are reset: nothing is done, but a caller can't know that. */
+  /** Connections are reset; calls have no effect, but their outcome is unknown to the caller. */
   | 'resetting'
-  /** No call arrives. */
+  /** Calls time out without effect. */
   | 'silent'
-  /** Every other append is carried out at once or later, and is not answered. */
+  /** Half of the appends are not answered; they take effect at once or later. */
   | 'losing'
-  /** Appends are carried out; reads are refused. */
+  /** Appends succeed, reads are refused. */
   | 'unreadable';
 
-/** Is told of each read of a stream. */
-export type ReadWatch = (host: string, stream: JobStream) => void;
+/** Called for each read of a stream. */
+export type ReadObserver = (host: string, stream: JobStream) => void;
 
-/** Time and chance under a test's control. */
+/** Clock, timers and random numbers that a test controls. */
 export interface SimulatedTime {
   readonly clock: Clock;
   readonly schedule: Schedule;
   readonly random: Random;
 }
 
-/** Time after which a host gives a call up, in milliseconds. */
-const TIMEOUT_MS = 1_500;
-/** Time to answer a call, in milliseconds. */
-const ANSWER_MS = 3;
-/** Longest time after which an append that was not answered is carried out, in milliseconds. */
-const LATEST_MS = 6_000;
-/** Appends that wait for longer are refused, in milliseconds. */
-const LONGEST_QUEUE_MS = 2_000;
-/** One log for all hosts of a test. */
+/** Timeout of a call, in milliseconds. */
+const CALL_TIMEOUT_MS = 1_500;
+/** Response time of a call, in milliseconds. */
+const RESPONSE_MS = 3;
+/** Maximum delay after which an unanswered append takes effect, in milliseconds. */
+const MAX_APPEND_DELAY_MS = 6_000;
+/** Maximum queueing time of an append before it is refused, in milliseconds. */
+const MAX_QUEUE_MS = 2_000;
+
+/** The log that all hosts of a test share. */
 export class MemoryJobLog {
-  /** Modes of hosts; all others are served. */
+  /** Modes by host; all other hosts are served normally. */
   readonly modes = new Map<string, LogMode>();
-  /** Modes of streams for one host, by `host stream`. */
+  /** Modes of single streams for one host, by `host stream`. */
   readonly hostStreamModes = new Map<string, LogMode>();
-  /** Modes of streams, for all hosts. */
+  /** Modes of streams for all hosts. */
   readonly streamModes = new Map<JobStream, LogMode>();
 
-  /** Bytes in a millisecond by host that its link carries; other links take no time. */
+  /** Bandwidth of the link by host, in bytes per millisecond; other links are unlimited. */
   readonly links = new Map<string, number>();
 
-  /** Time that a stream takes for each append, one after the other; a queue of 2 s is refused. */
+  /** Time per append; a stream handles one at a time and refuses appends that would queue for over 2 s. */
   appendMs: Millis = 0;
 
-  /** What becomes of each record of the journal that is appended, as another version would write it. */
+  /** Rewrites each appended journal record, to simulate another version of the writer. */
   rewriteJournal: (record: Uint8Array) => Uint8Array = record => record;
 
-  /** How many of the next appends to the inbox are carried out and not answered. */
+  /** Number of the next appends to the inbox that take effect but are not answered. */
   loseNext = 0;
 
   private readonly streams: Record<JobStream, LogPartition> = {
@@ -77,43 +78,43 @@
     snapshot: new LogPartition(),
   };
 
-  private readonly watches = new Set<ReadWatch>();
+  private readonly readObservers = new Set<ReadObserver>();
   private readonly freeAt = new Map<JobStream, Instant>();
   private readonly linkFreeAt = new Map<string, Instant>();
 
   /** Creates an empty log. */
   constructor(private readonly time: SimulatedTime) {}
 
-  /** Returns the log as `host` sees it. */
+  /** Returns the client of the log for `host`. */
   connect(host: string): JobLog {
     return {
       append: (stream, records, stamp) => {
-        const written =
+        const stored =
           stream === 'journal' ? records.map(this.rewriteJournal) : records;
-        return this.append(host, stream, written, stamp);
+        return this.append(host, stream, stored, stamp);
       },
       read: (stream, from, limits) => this.read(host, stream, from, limits),
     };
   }
 
-  /** Drops the records of the journal before `offset`, and all that the inbox has now. */
+  /** Removes the journal records before `offset` and all current inbox records. */
   trimTo(offset: number): void {
     this.streams.journal.firstOffset = offset;
     this.streams.inbox.firstOffset = this.streams.inbox.records.length;
   }
 
-  /** Drops the records of a stream before `offset`. */
+  /** Removes the records of a stream before `offset`. */
   trimStream(stream: JobStream, offset: number): void {
     this.streams[stream].firstOffset = offset;
   }
 
-  /** Calls `seen` with each read until it is stopped. */
-  watchReads(seen: ReadWatch): { readonly stop: () => void } {
-    this.watches.add(seen);
-    return { stop: () => this.watches.delete(seen) };
+  /** Calls `seen` for each read until `stop` is called. */
+  watchReads(seen: ReadObserver): { readonly stop: () => void } {
+    this.readObservers.add(seen);
+    return { stop: () => this.readObservers.delete(seen) };
   }
 
-  /** All records of a stream. */
+  /** Returns all records of a stream. */
   recordsOf(stream: JobStream): readonly Uint8Array[] {
     return this.streams[stream].records;
   }
@@ -126,53 +127,55 @@
   ): Promise<AppendResult> {
     const mode = this.modeOf(host, stream);
     if (mode === 'refusing') {
-      await this.pause(ANSWER_MS);
+      await this.pause(RESPONSE_MS);
       return { kind: 'refused', reason: 'refusing' };
     }
     if (mode === 'resetting') {
-      await this.pause(ANSWER_MS);
+      await this.pause(RESPONSE_MS);
       return { kind: 'unknown', reason: 'reset' };
     }
     if (mode === 'silent') {
-      await this.pause(TIMEOUT_MS);
+      await this.pause(CALL_TIMEOUT_MS);
       return { kind: 'unknown', reason: 'timeout' };
     }
     if (mode === 'losing' && this.time.random() < 0.5) {
-      const late = this.time.random() < 0.5;
-      const after = late ? this.time.random() * LATEST_MS : ANSWER_MS;
+      const isDelayed = this.time.random() < 0.5;
+      const after = isDelayed
+        ? this.time.random() * MAX_APPEND_DELAY_MS
+        : RESPONSE_MS;
       this.time.schedule(after, () => {
         this.streams[stream].append(records, stamp);
       });
-      await this.pause(TIMEOUT_MS);
+      await this.pause(CALL_TIMEOUT_MS);
       return { kind: 'unknown', reason: 'timeout' };
     }
-    await this.pause(ANSWER_MS);
+    await this.pause(RESPONSE_MS);
     if (this.loseNext > 0 && stream === 'inbox') {
       this.loseNext -= 1;
       this.streams[stream].append(records, stamp);
-      await this.pause(TIMEOUT_MS);
+      await this.pause(CALL_TIMEOUT_MS);
       return { kind: 'unknown', reason: 'timeout' };
     }
     if (!(await this.awaitTurn(stream))) {
       return { kind: 'refused', reason: 'busy' };
     }
     const answer = this.streams[stream].append(records, stamp);
-    await this.pause(ANSWER_MS);
+    await this.pause(RESPONSE_MS);
     return answer;
   }
 
-  /** Waits until a stream takes one more append; false when too many wait already. */
+  /** Waits for the turn of an append; returns false if the queue is too long. */
   private async awaitTurn(stream: JobStream): Promise<boolean> {
     if (this.appendMs === 0) {
       return true;
     }
     const now = this.time.clock();
-    const begins = Math.max(now, this.freeAt.get(stream) ?? now);
-    if (begins - now > LONGEST_QUEUE_MS) {
+    const startsAt = Math.max(now, this.freeAt.get(stream) ?? now);
+    if (startsAt - now > MAX_QUEUE_MS) {
       return false;
     }
-    this.freeAt.set(stream, begins + this.appendMs);
-    await this.pause(begins + this.appendMs - now);
+    this.freeAt.set(stream, startsAt + this.appendMs);
+    await this.pause(startsAt + this.appendMs - now);
     return true;
   }
 
@@ -191,15 +194,15 @@
     from: number,
     { waitMs, maxBytes }: ReadLimits,
   ): Promise<ReadResult> {
-    this.watches.forEach(seen => {
+    this.readObservers.forEach(seen => {
       seen(host, name);
     });
     const mode = this.modeOf(host, name);
     if (mode !== 'up' && mode !== 'losing') {
-      await this.pause(mode === 'silent' ? TIMEOUT_MS : ANSWER_MS);
+      await this.pause(mode === 'silent' ? CALL_TIMEOUT_MS : RESPONSE_MS);
       return { kind: 'unavailable', reason: mode };
     }
-    await this.pause(ANSWER_MS);
+    await this.pause(RESPONSE_MS);
     const stream = this.streams[name];
     if (from < stream.firstOffset) {
       return { kind: 'trimmed', firstOffset: stream.firstOffset };
@@ -219,7 +222,7 @@
     };
   }
 
-  /** Carries records over the host's link, one read after the other; false once the caller gave up. */
+  /** Transfers records over the host's link, one read at a time; returns false if the caller timed out. */
   private async transfer(
     host: string,
     records: readonly Uint8Array[],
@@ -229,11 +232,14 @@
       return true;
     }
     const now = this.time.clock();
-    const begins = Math.max(now, this.linkFreeAt.get(host) ?? now);
-    const ends = Math.min(begins + sizeOf(records) / rate, now + TIMEOUT_MS);
-    this.linkFreeAt.set(host, Math.max(begins, ends));
-    await this.pause(ends - now);
-    return ends < now + TIMEOUT_MS;
+    const startsAt = Math.max(now, this.linkFreeAt.get(host) ?? now);
+    const endsAt = Math.min(
+      startsAt + sizeOf(records) / rate,
+      now + CALL_TIMEOUT_MS,
+    );
+    this.linkFreeAt.set(host, Math.max(startsAt, endsAt));
+    await this.pause(endsAt - now);
+    return endsAt < now + CALL_TIMEOUT_MS;
   }
 
   private nextRecord(stream: LogPartition, waitMs: number): Promise<void> {
--- a/packages/stand-ins/src/jobs/memory-worker.ts
+++ b/packages/stand-ins/src/jobs/memory-worker.ts
@@ -1,4 +1,4 @@
-/** One life of a worker in memory: leases, fences, runs that end, and a list of ends. */
+/** One in-memory incarnation of a worker, with leases, fences, runs and a list of ends. */
 import type { Instant, Millis } from '@paddlewind/domain';
 import {
   incarnationOf,
@@ -20,30 +20,30 @@
 import type { JobHistory } from './job-history.js';
 import type { SimulatedTime } from './memory-job-log.js';
 
-/** What a task does; the payload of a job in tests, as JSON. */
+/** Scripted behavior of a task; in tests the JSON payload of a job. */
 export interface TaskScript {
-  /** How long a run takes. */
+  /** Duration of a run. */
   readonly runMs: Millis;
-  /** How many runs of each task fail before one is done. */
+  /** Number of runs of each task that fail before one succeeds. */
   readonly failures: number;
-  /** How many tasks work only together; undefined where each works by itself. */
+  /** Size of the gang; undefined if tasks run independently. */
   readonly gang?: number;
-  /** Which of its tasks bring their workers down, and how long after a run began; all without an index. */
+  /** Crashes the worker `afterMs` after the start of a run; without an index, for each task. */
   readonly crash?: { readonly afterMs: Millis; readonly index?: number };
-  /** Only makes the job larger. */
+  /** Padding that makes the job larger. */
   readonly payload?: string;
 }
 
-/** How a worker behaves. */
+/** Properties of a worker. */
 export interface WorkerTraits {
-  /** Unique, or that of an earlier life: then only `startedAt` tells the two apart. */
+  /** Id of the worker; incarnations of the same worker differ in `startedAt` only. */
   readonly id: string;
-  /** When this life began, by its time of day; undefined where it does not say. */
+  /** Start time by the worker's wall clock; undefined if it does not report one. */
   readonly startedAt?: Instant;
   readonly capacity: TaskSize;
   readonly labels?: readonly string[];
   readonly maxLeaseMs: Millis;
-  /** Speed of its clock, from 0.98 to 1. */
+  /** Rate of the worker's clock, from 0.98 to 1. */
   readonly clockRate: number;
   readonly clockOffset: Millis;
 }
@@ -52,19 +52,19 @@
   readonly order: StartOrder;
   readonly since: Instant;
   readonly script: TaskScript;
-  /** Whether it stands still until it is stopped. */
+  /** Whether it makes no progress until it is stopped. */
   readonly hangs: boolean;
   readonly cancelEnd: () => void;
 }
 
-/** Time that a stop takes, in milliseconds. */
-const STOP_MS = 120;
+/** Duration of a stop, in milliseconds. */
+const STOP_DELAY_MS = 120;
 
-/** A worker that carries out orders at once when they arrive. */
+/** A worker that executes orders immediately. */
 export class MemoryWorker {
-  /** Whether runs that begin stand still. */
+  /** Whether runs that start from now on hang. */
   hanging = false;
-  /** Whether every run fails at once. */
+  /** Whether every run that starts from now on fails at its end. */
   failing = false;
 
   private readonly active = new Map<string, ActiveEntry>();
@@ -73,7 +73,7 @@
   private nextPosition = 1;
   private fence = 0;
   private leaseUntil: Instant = 0;
-  private lapses = 0;
+  private leaseExpiries = 0;
   private up = true;
   private waiting: (() => void)[] = [];
 
@@ -83,12 +83,12 @@
     private readonly time: SimulatedTime,
     private readonly history: JobHistory,
     private readonly gangs = new Gangs(time),
-    /** A run brings the worker down. */
+    /** Called when a run crashes the worker. */
     private readonly onCrash: (order: StartOrder) => void = () => undefined,
   ) {}
 
-  /** Name of this life, which no other one has. */
-  get life(): string {
+  /** Unique name of this incarnation. */
+  get incarnation(): string {
     return incarnationOf(this.traits.id, this.traits.startedAt);
   }
 
@@ -98,19 +98,19 @@
     return Math.floor(this.time.clock() * clockRate + clockOffset);
   }
 
-  /** Ends this life: everything that runs is gone. */
+  /** Ends this incarnation; all active runs are lost. */
   crash(): void {
     this.up = false;
     for (const { order, cancelEnd } of this.active.values()) {
       cancelEnd();
-      this.history.lost(order, this.life);
+      this.history.recordRunLoss(order, this.incarnation);
     }
     this.active.clear();
   }
 
-  /** Begins a run. */
+  /** Starts a run. */
   start(order: StartOrder): OrderResult {
-    const refused = this.refuse(order);
+    const refused = this.rejectIfFenced(order);
     if (refused !== undefined) {
       return refused;
     }
@@ -130,26 +130,26 @@
     return { kind: 'accepted', clock: this.clock };
   }
 
-  /** Stops a run, also one that may still be ordered. */
+  /** Stops a run; if it has not started, a later start order for it is rejected. */
   stop(order: RunOrder): OrderResult {
-    const refused = this.refuse(order);
+    const refused = this.rejectIfFenced(order);
     if (refused !== undefined) {
       return refused;
     }
     const name = taskName(order.task);
     const key = runKey(name, order.run);
-    this.noteRun(name, order.run);
+    this.recordHighestRun(name, order.run);
     const entry = this.active.get(key);
     if (entry !== undefined) {
       entry.cancelEnd();
-      this.time.schedule(STOP_MS, () => {
+      this.time.schedule(STOP_DELAY_MS, () => {
         this.end(key, 'stopped');
       });
     }
     return { kind: 'accepted', clock: this.clock };
   }
 
-  /** Extends the lease, forgets acknowledged ends and reports, at the latest after the wait. */
+  /** Extends the lease, removes acknowledged ends and returns a report, after `waitMs` at the latest. */
   async look(order: LookOrder): Promise<LookResult> {
     if (order.fence < this.fence) {
       return { kind: 'fenced' };
@@ -165,7 +165,7 @@
     return this.report();
   }
 
-  private refuse(order: RunOrder): OrderResult | undefined {
+  private rejectIfFenced(order: RunOrder): OrderResult | undefined {
     if (order.fence < this.fence) {
       return { kind: 'rejected', why: 'fenced', clock: this.clock };
     }
@@ -175,16 +175,16 @@
 
   private begin(key: string, order: StartOrder): void {
     const script = JSON.parse(order.payload) as TaskScript;
-    this.noteRun(taskName(order.task), order.run);
+    this.recordHighestRun(taskName(order.task), order.run);
     const since = this.time.clock();
     this.active.set(key, {
       order,
       since,
       script,
       hangs: this.hanging,
-      cancelEnd: this.work(key, order, script),
+      cancelEnd: this.scheduleEnd(key, order, script),
     });
-    this.history.began(order, this.life);
+    this.history.recordRunStart(order, this.incarnation);
     this.crashLater(key, order, script);
   }
 
@@ -206,8 +206,8 @@
     }
   }
 
-  /** Sets a run to work; returns what makes it work no more. */
-  private work(
+  /** Schedules the end of a run; returns a function that cancels it. */
+  private scheduleEnd(
     key: string,
     { task, run }: StartOrder,
     { runMs, failures, gang }: TaskScript,
@@ -218,8 +218,8 @@
     };
     if (gang !== undefined) {
       const name = `${task.job}.${task.occurrence}.${task.step}`;
-      const whole = runKey(name, run);
-      return this.gangs.join(whole, gang, runMs, { fails, end });
+      const gangRun = runKey(name, run);
+      return this.gangs.join(gangRun, gang, runMs, { fails, end });
     }
     if (this.hanging) {
       return () => undefined;
@@ -229,7 +229,7 @@
     });
   }
 
-  private noteRun(name: string, run: number): void {
+  private recordHighestRun(name: string, run: number): void {
     this.highestRun.set(name, Math.max(run, this.highestRun.get(name) ?? 0));
   }
 
@@ -244,7 +244,12 @@
     const position = this.nextPosition;
     this.nextPosition += 1;
     this.ended.push({ position, task, run, how, checkpoint: '' });
-    this.history.ended(entry.order, this.life, how, this.lapses);
+    this.history.recordRunEnd(
+      entry.order,
+      this.incarnation,
+      how,
+      this.leaseExpiries,
+    );
     this.wake();
   }
 
@@ -257,15 +262,15 @@
     this.leaseUntil = allowed;
     const left = (allowed - this.clock) / this.traits.clockRate;
     this.time.schedule(left, () => {
-      this.lapseIfDue();
+      this.expireIfDue();
     });
   }
 
-  private lapseIfDue(): void {
+  private expireIfDue(): void {
     if (this.clock + 1 < this.leaseUntil) {
       return;
     }
-    this.lapses += 1;
+    this.leaseExpiries += 1;
     for (const key of [...this.active.keys()]) {
       this.end(key, 'lapsed');
     }
@@ -274,7 +279,11 @@
   private acknowledge(position: number): void {
     for (const ended of this.ended) {
       if (ended.position <= position) {
-        this.history.noted(ended, this.life, this.lapses);
+        this.history.recordAcknowledgment(
+          ended,
+          this.incarnation,
+          this.leaseExpiries,
+        );
       }
     }
     this.ended = this.ended.filter(ended => ended.position > position);
--- a/packages/stand-ins/src/jobs/place-promises.ts
+++ b/packages/stand-ins/src/jobs/place-promises.ts
@@ -1,59 +1,62 @@
-/** Promises on where runs begin. */
+/** Checks the guarantees on the workers that runs start on. */
 import type { Instant, Millis } from '@paddlewind/domain';
 import { taskName, type TaskSize } from '@paddlewind/domain/jobs';
 
-import { CONTACT_MS } from './fault-times.js';
+import { RECOVERY_MS } from './fault-times.js';
 import {
   stepOf,
   violation,
-  type Facts,
+  type HistoryFacts,
   type RunTrace,
   type Violation,
   type WorkerTrace,
 } from './history-facts.js';
 
-/** Longest time after a worker's announcement in which a run may begin there, as the users' rules say. */
-const LEAVING_MS: Millis = 2_000;
+/** Time after a worker announced that it is leaving in which runs may still start there, by the specification. */
+const LEAVING_DELAY_MS: Millis = 2_000;
 
-/** Time after which a capacity that has shrunk counts, as the users' rules say: contact and one report. */
-const SHRUNK_MS: Millis = CONTACT_MS + 1_100;
+/** Time after which a reduced capacity has to be respected, by the specification: recovery and one report. */
+const SHRINK_DELAY_MS: Millis = RECOVERY_MS + 1_100;
 
-/** Returns the broken promises on each start. */
-export function checkPlaces(facts: Facts): Violation[] {
+/** Returns the violations of placement guarantees by each start. */
+export function checkPlacement(facts: HistoryFacts): Violation[] {
   return [...facts.workers.values()].flatMap(worker => {
-    const here = facts.runs.filter(run => run.worker === worker.id);
-    return here.flatMap((run, at) => {
-      // Runs that begin at the same moment count in the order in which they began.
-      const beside = here
+    const onWorker = facts.runs.filter(run => run.worker === worker.id);
+    return onWorker.flatMap((run, at) => {
+      // Runs that start at the same time count in the order in which they were recorded.
+      const concurrent = onWorker
         .slice(0, at)
-        .filter(({ endedAt }) => endedAt > run.beganAt);
+        .filter(({ endedAt }) => endedAt > run.startedAt);
       return [
-        ...onLeaving(worker, run),
-        ...beyondRoom(facts, worker, run, beside),
-        ...wrongWorker(facts, worker, run, beside),
+        ...startOnLeaving(worker, run),
+        ...overCapacity(facts, worker, run, concurrent),
+        ...ineligibleWorker(facts, worker, run, concurrent),
       ];
     });
   });
 }
 
-/** Returns what is left of a worker beside some runs; processors of fillers are not counted. */
-export function roomBeside(
-  facts: Facts,
+/** Returns the capacity of a worker minus that of the given runs; the CPU of best-effort fillers is not counted. */
+export function freeCapacity(
+  facts: HistoryFacts,
   { capacity }: WorkerTrace,
   runs: readonly RunTrace[],
 ): TaskSize {
-  const left = { ...capacity };
+  const free = { ...capacity };
   for (const { task } of runs) {
     const step = stepOf(facts, task);
-    left.cpuMilli -= step?.filler === true ? 0 : (step?.size?.cpuMilli ?? 0);
-    left.memoryMiB -= step?.size?.memoryMiB ?? 0;
-    left.accelerators -= step?.size?.accelerators ?? 0;
+    free.cpuMilli -= step?.filler === true ? 0 : (step?.size?.cpuMilli ?? 0);
+    free.memoryMiB -= step?.size?.memoryMiB ?? 0;
+    free.accelerators -= step?.size?.accelerators ?? 0;
   }
-  return left;
+  return free;
 }
 
-function onLeaving({ leavingAt }: WorkerTrace, run: RunTrace): Violation[] {
-  return !run.late && run.beganAt > leavingAt + LEAVING_MS
+function startOnLeaving(
+  { leavingAt }: WorkerTrace,
+  run: RunTrace,
+): Violation[] {
+  return !run.delayed && run.startedAt > leavingAt + LEAVING_DELAY_MS
     ? [
         violation(
           'not_on_leaving',
@@ -65,18 +68,18 @@
     : [];
 }
 
-/** Returns the largest capacity that hosts may go by at a moment: one that has shrunk counts a little later. */
-function largestUntil(
+/** Returns the largest capacity that hosts may assume at a time, since a reduction takes effect with a delay. */
+function largestCapacityAt(
   { capacity, resizes }: WorkerTrace,
   at: Instant,
 ): TaskSize {
   const known = [{ at: -Infinity, capacity }, ...resizes];
-  const counts = known.filter((size, index) => {
+  const inForce = known.filter((size, index) => {
     const until = known[index + 1]?.at ?? Infinity;
-    return size.at <= at && until > at - SHRUNK_MS;
+    return size.at <= at && until > at - SHRINK_DELAY_MS;
   });
   const largest = (of: (size: TaskSize) => number): number =>
-    Math.max(...counts.map(size => of(size.capacity)));
+    Math.max(...inForce.map(size => of(size.capacity)));
   return {
     cpuMilli: largest(size => size.cpuMilli),
     memoryMiB: largest(size => size.memoryMiB),
@@ -84,36 +87,39 @@
   };
 }
 
-/** What is being stopped still counts, and an order that was held up does so too. */
-function beyondRoom(
-  facts: Facts,
+/** Checks the capacity of a worker at a start; runs that are being stopped and runs of delayed orders count, too. */
+function overCapacity(
+  facts: HistoryFacts,
   worker: WorkerTrace,
   run: RunTrace,
-  beside: readonly RunTrace[],
+  concurrent: readonly RunTrace[],
 ): Violation[] {
-  const capacity = largestUntil(worker, run.beganAt);
-  const left = roomBeside(facts, { ...worker, capacity }, [...beside, run]);
-  return Math.min(left.cpuMilli, left.memoryMiB, left.accelerators) < 0
-    ? [violation('within_room', taskName(run.task), [run, ...beside])]
+  const capacity = largestCapacityAt(worker, run.startedAt);
+  const free = freeCapacity(facts, { ...worker, capacity }, [
+    ...concurrent,
+    run,
+  ]);
+  return Math.min(free.cpuMilli, free.memoryMiB, free.accelerators) < 0
+    ? [violation('within_room', taskName(run.task), [run, ...concurrent])]
     : [];
 }
 
-function wrongWorker(
-  facts: Facts,
+function ineligibleWorker(
+  facts: HistoryFacts,
   { labels }: WorkerTrace,
   run: RunTrace,
-  beside: readonly RunTrace[],
+  concurrent: readonly RunTrace[],
 ): Violation[] {
   const { task } = run;
   const { label, maxPerWorker = Infinity } = stepOf(facts, task) ?? {};
-  const alike = beside.filter(
+  const sameStep = concurrent.filter(
     other =>
       other.task.job === task.job &&
       other.task.occurrence === task.occurrence &&
       other.task.step === task.step,
   );
   const lacksLabel = label !== undefined && !labels.includes(label);
-  return lacksLabel || alike.length + 1 > maxPerWorker
-    ? [violation('right_worker', taskName(task), [run, ...alike])]
+  return lacksLabel || sameStep.length + 1 > maxPerWorker
+    ? [violation('right_worker', taskName(task), [run, ...sameStep])]
     : [];
 }
--- a/packages/stand-ins/src/jobs/task-promises.test.ts
+++ b/packages/stand-ins/src/jobs/task-promises.test.ts
@@ -1,144 +1,144 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { Story, task } from './history.fixture.test.js';
+import { Scenario, task } from './history.fixture.test.js';
 
 const ONE = { tasks: 1, after: [] };
 const COPIES = { ...ONE, speculative: true };
 
-test('two runs of a task at a time are reported', () => {
-  const story = new Story([ONE]);
-  story.begin(100, task(), 1, 'w1');
-  story.begin(200, task(), 2, 'w2');
-  assert.deepEqual(story.broken(), ['one_place_at_a_time']);
+test('two concurrent runs of a task are a violation', () => {
+  const scenario = new Scenario([ONE]);
+  scenario.startRun(100, task(), 1, 'w1');
+  scenario.startRun(200, task(), 2, 'w2');
+  assert.deepEqual(scenario.brokenGuarantees(), ['one_place_at_a_time']);
 });
 
-test('runs of a task one after the other, and copies, are not reported', () => {
-  const story = new Story([ONE]);
-  story.begin(100, task(), 1, 'w1');
-  story.end(200, task(), 1, 'stopped');
-  story.begin(200, task(), 2, 'w2');
-  assert.deepEqual(story.broken(), []);
-  const copied = new Story([COPIES]);
-  copied.begin(100, task(), 1, 'w1');
-  copied.begin(200, task(), 2, 'w2');
-  assert.deepEqual(copied.broken(), []);
+test('consecutive runs of a task and speculative copies are no violations', () => {
+  const scenario = new Scenario([ONE]);
+  scenario.startRun(100, task(), 1, 'w1');
+  scenario.endRun(200, task(), 1, 'stopped');
+  scenario.startRun(200, task(), 2, 'w2');
+  assert.deepEqual(scenario.brokenGuarantees(), []);
+  const copied = new Scenario([COPIES]);
+  copied.startRun(100, task(), 1, 'w1');
+  copied.startRun(200, task(), 2, 'w2');
+  assert.deepEqual(copied.brokenGuarantees(), []);
 });
 
-test('a run after an end that was noted is reported', () => {
-  const story = new Story([ONE]);
-  story.begin(100, task(), 1);
-  story.end(200, task(), 1, 'done');
-  story.begin(300, task(), 2);
-  assert.deepEqual(story.broken(), ['finish_once']);
+test('a run after an acknowledged end is a violation', () => {
+  const scenario = new Scenario([ONE]);
+  scenario.startRun(100, task(), 1);
+  scenario.endRun(200, task(), 1, 'done');
+  scenario.startRun(300, task(), 2);
+  assert.deepEqual(scenario.brokenGuarantees(), ['finish_once']);
 });
 
-test('a copy that begins over a second after an end that was noted is reported', () => {
-  const story = new Story([COPIES]);
-  story.begin(100, task(), 1);
-  story.end(200, task(), 1, 'done');
-  story.begin(1_201, task(), 2);
-  assert.deepEqual(story.broken(), ['finish_once']);
+test('a speculative copy that starts over 1 s after an acknowledged end is a violation', () => {
+  const scenario = new Scenario([COPIES]);
+  scenario.startRun(100, task(), 1);
+  scenario.endRun(200, task(), 1, 'done');
+  scenario.startRun(1_201, task(), 2);
+  assert.deepEqual(scenario.brokenGuarantees(), ['finish_once']);
 });
 
-test('a run after an end that was never noted, or a copy soon after one, is not reported', () => {
-  const story = new Story([ONE]);
-  story.begin(100, task(), 1);
-  story.endUnnoted(200, task(), 1, 'done');
-  story.begin(300, task(), 2);
-  assert.deepEqual(story.broken(), []);
-  const copied = new Story([COPIES]);
-  copied.begin(100, task(), 1);
-  copied.end(200, task(), 1, 'done');
-  copied.begin(1_200, task(), 2);
-  assert.deepEqual(copied.broken(), []);
+test('a run after an unacknowledged end, or a copy soon after an end, is no violation', () => {
+  const scenario = new Scenario([ONE]);
+  scenario.startRun(100, task(), 1);
+  scenario.endRunUnacknowledged(200, task(), 1, 'done');
+  scenario.startRun(300, task(), 2);
+  assert.deepEqual(scenario.brokenGuarantees(), []);
+  const copied = new Scenario([COPIES]);
+  copied.startRun(100, task(), 1);
+  copied.endRun(200, task(), 1, 'done');
+  copied.startRun(1_200, task(), 2);
+  assert.deepEqual(copied.brokenGuarantees(), []);
 });
 
-test('a step that begins before the one that it follows is done is reported', () => {
-  const story = new Story([
+test('a step that starts before the step it depends on is done is a violation', () => {
+  const scenario = new Scenario([
     { tasks: 2, after: [] },
     { tasks: 1, after: [0] },
   ]);
-  story.begin(100, task(0), 1);
-  story.begin(100, task(1), 1);
-  story.end(200, task(0), 1, 'done');
-  story.begin(300, task(0, 1), 1, 'w2');
-  assert.deepEqual(story.broken(), ['steps_in_order']);
+  scenario.startRun(100, task(0), 1);
+  scenario.startRun(100, task(1), 1);
+  scenario.endRun(200, task(0), 1, 'done');
+  scenario.startRun(300, task(0, 1), 1, 'w2');
+  assert.deepEqual(scenario.brokenGuarantees(), ['steps_in_order']);
 });
 
-test('a step after the one that it follows is not reported', () => {
-  const story = new Story([ONE, { tasks: 1, after: [0] }]);
-  story.begin(100, task(), 1);
-  story.end(200, task(), 1, 'done');
-  story.begin(200, task(0, 1), 1);
-  assert.deepEqual(story.broken(), []);
+test('a step that starts after the step it depends on is no violation', () => {
+  const scenario = new Scenario([ONE, { tasks: 1, after: [0] }]);
+  scenario.startRun(100, task(), 1);
+  scenario.endRun(200, task(), 1, 'done');
+  scenario.startRun(200, task(0, 1), 1);
+  assert.deepEqual(scenario.brokenGuarantees(), []);
 });
 
-test('a gang is done for the step that follows it once a member is', () => {
-  const story = new Story([
+test('a step may start once one member of the gang it depends on is done', () => {
+  const scenario = new Scenario([
     { tasks: 2, after: [], gang: true },
     { tasks: 1, after: [0] },
   ]);
-  story.begin(100, task(0), 1);
-  story.begin(100, task(1), 1);
-  story.end(200, task(0), 1, 'done');
-  story.begin(200, task(0, 1), 1, 'w2');
-  assert.deepEqual(story.broken(), []);
+  scenario.startRun(100, task(0), 1);
+  scenario.startRun(100, task(1), 1);
+  scenario.endRun(200, task(0), 1, 'done');
+  scenario.startRun(200, task(0, 1), 1, 'w2');
+  assert.deepEqual(scenario.brokenGuarantees(), []);
 });
 
-test('an attempt too many is reported', () => {
-  const story = new Story([ONE]);
+test('an attempt beyond the maximum is a violation', () => {
+  const scenario = new Scenario([ONE]);
   for (const run of [1, 2, 3]) {
-    story.begin(run * 100, task(), run);
-    story.end(run * 100 + 50, task(), run, 'failed');
+    scenario.startRun(run * 100, task(), run);
+    scenario.endRun(run * 100 + 50, task(), run, 'failed');
   }
-  assert.deepEqual(story.broken(), ['attempts_bounded']);
+  assert.deepEqual(scenario.brokenGuarantees(), ['attempts_bounded']);
 });
 
-test('a copy that begins over a second after the last attempt was noted is reported', () => {
-  const story = new Story([COPIES]);
+test('a speculative copy that starts over 1 s after the last acknowledged attempt is a violation', () => {
+  const scenario = new Scenario([COPIES]);
   for (const run of [1, 2]) {
-    story.begin(run * 100, task(), run);
-    story.end(run * 100 + 50, task(), run, 'failed');
+    scenario.startRun(run * 100, task(), run);
+    scenario.endRun(run * 100 + 50, task(), run, 'failed');
   }
-  story.begin(1_251, task(), 3);
-  assert.deepEqual(story.broken(), ['attempts_bounded']);
+  scenario.startRun(1_251, task(), 3);
+  assert.deepEqual(scenario.brokenGuarantees(), ['attempts_bounded']);
 });
 
-test('stopped runs, and failures of a task that lasts, are no attempts', () => {
-  const story = new Story([ONE]);
-  const lasting = new Story([{ ...ONE, lasting: true }]);
+test('stopped runs and failures of a long-running task do not count as attempts', () => {
+  const scenario = new Scenario([ONE]);
+  const lasting = new Scenario([{ ...ONE, lasting: true }]);
   for (const run of [1, 2, 3]) {
-    story.begin(run * 100, task(), run);
-    story.end(run * 100 + 50, task(), run, 'stopped');
-    lasting.begin(run * 100, task(), run);
-    lasting.end(run * 100 + 50, task(), run, 'failed');
+    scenario.startRun(run * 100, task(), run);
+    scenario.endRun(run * 100 + 50, task(), run, 'stopped');
+    lasting.startRun(run * 100, task(), run);
+    lasting.endRun(run * 100 + 50, task(), run, 'failed');
   }
-  assert.deepEqual(story.broken(), []);
-  assert.deepEqual(lasting.broken(), []);
+  assert.deepEqual(scenario.brokenGuarantees(), []);
+  assert.deepEqual(lasting.brokenGuarantees(), []);
 });
 
-test('a run that begins over 3 s after the cancellation is reported', () => {
-  const story = new Story([ONE], { cancelledAt: 1_000 });
-  story.begin(4_001, task(), 1);
-  assert.deepEqual(story.broken(), ['nothing_after_cancel']);
+test('a run that starts over 3 s after the cancellation is a violation', () => {
+  const scenario = new Scenario([ONE], { cancelledAt: 1_000 });
+  scenario.startRun(4_001, task(), 1);
+  assert.deepEqual(scenario.brokenGuarantees(), ['nothing_after_cancel']);
 });
 
-test('a run within 3 s of the cancellation, or on an order that was held up, is not reported', () => {
-  const story = new Story([ONE], { cancelledAt: 1_000 });
-  story.begin(4_000, task(), 1);
-  story.end(4_100, task(), 1, 'stopped');
-  story.beginLate(9_000, task(), 2);
-  assert.deepEqual(story.broken(), []);
+test('a run within 3 s of the cancellation, or on a delayed order, is no violation', () => {
+  const scenario = new Scenario([ONE], { cancelledAt: 1_000 });
+  scenario.startRun(4_000, task(), 1);
+  scenario.endRun(4_100, task(), 1, 'stopped');
+  scenario.startDelayedRun(9_000, task(), 2);
+  assert.deepEqual(scenario.brokenGuarantees(), []);
 });
 
-test('a third start after three workers crashed under a task is reported, a second one is not', () => {
-  const story = new Story([ONE]);
+test('a third start after a task crashed three workers is a violation, a second one is not', () => {
+  const scenario = new Scenario([ONE]);
   for (let run = 1; run <= 5; run += 1) {
-    story.begin(run * 100, task(), run, 'w1');
-    story.crash(run * 100 + 10, task(), run, 'w1');
+    scenario.startRun(run * 100, task(), run, 'w1');
+    scenario.crashWorker(run * 100 + 10, task(), run, 'w1');
   }
-  assert.deepEqual(story.broken(), []);
-  story.begin(600, task(), 6, 'w1');
-  assert.deepEqual(story.broken(), ['crashes_bounded']);
+  assert.deepEqual(scenario.brokenGuarantees(), []);
+  scenario.startRun(600, task(), 6, 'w1');
+  assert.deepEqual(scenario.brokenGuarantees(), ['crashes_bounded']);
 });
--- a/packages/stand-ins/src/jobs/task-promises.ts
+++ b/packages/stand-ins/src/jobs/task-promises.ts
@@ -1,4 +1,4 @@
-/** Promises on the runs of one task. */
+/** Checks the guarantees on the runs of one task. */
 import type { Millis } from '@paddlewind/domain';
 import { taskName } from '@paddlewind/domain/jobs';
 
@@ -6,18 +6,18 @@
   stepDoneAt,
   stepOf,
   violation,
-  type Facts,
+  type HistoryFacts,
   type RunTrace,
   type Violation,
 } from './history-facts.js';
 
-/** Longest time after a confirmed cancellation in which a task may still begin, in milliseconds. */
-export const CANCEL_MS: Millis = 3_000;
-/** A copy may still begin this long after the end that made it needless was acknowledged. */
-const COPY_MS: Millis = 1_000;
+/** Time after a confirmed cancellation in which a task may still start, in milliseconds. */
+export const CANCEL_DELAY_MS: Millis = 3_000;
+/** Time after the acknowledged end of a task in which a speculative copy may still start, in milliseconds. */
+const COPY_DELAY_MS: Millis = 1_000;
 
-/** Returns the broken promises on each task by itself. */
-export function checkTasks(facts: Facts): Violation[] {
+/** Returns the violations of each task. */
+export function checkTasks(facts: HistoryFacts): Violation[] {
   const byTask = new Map<string, RunTrace[]>();
   for (const trace of facts.runs) {
     const name = taskName(trace.task);
@@ -27,7 +27,7 @@
 }
 
 function checkTask(
-  facts: Facts,
+  facts: HistoryFacts,
   name: string,
   runs: readonly RunTrace[],
 ): Violation[] {
@@ -36,48 +36,51 @@
   const copies = step?.speculative === true;
   const lasting = step?.lasting === true;
   return [
-    ...(copies ? [] : overlaps(name, runs)),
-    ...repeats(name, runs, copies),
-    // A task that lasts may fail as often as it does.
-    ...(lasting ? [] : attempts(facts, name, runs, copies)),
-    ...crashes(name, runs),
-    ...beginsLate(facts, name, runs),
-    ...outOfOrder(facts, name, runs),
+    ...(copies ? [] : overlappingRuns(name, runs)),
+    ...runsAfterDone(name, runs, copies),
+    // The failures of a long-running task are not limited.
+    ...(lasting ? [] : excessAttempts(facts, name, runs, copies)),
+    ...excessCrashes(name, runs),
+    ...startsAfterCancel(facts, name, runs),
+    ...stepsOutOfOrder(facts, name, runs),
   ];
 }
 
-function overlaps(name: string, runs: readonly RunTrace[]): Violation[] {
+function overlappingRuns(name: string, runs: readonly RunTrace[]): Violation[] {
   for (let at = 1; at < runs.length; at += 1) {
     const [before, after] = [runs[at - 1], runs[at]];
-    if (before && after && after.beganAt < before.endedAt) {
+    if (before && after && after.startedAt < before.endedAt) {
       return [violation('one_place_at_a_time', name, [before, after])];
     }
   }
   return [];
 }
 
-function repeats(
+function runsAfterDone(
   name: string,
   runs: readonly RunTrace[],
   copies: boolean,
 ): Violation[] {
   const done = runs.find(
-    ({ how, notedAt }) => how === 'done' && notedAt < Infinity,
+    ({ how, acknowledgedAt }) => how === 'done' && acknowledgedAt < Infinity,
   );
   if (done === undefined) {
     return [];
   }
   const again = copies
-    ? runs.find(run => !run.late && run.beganAt > done.notedAt + COPY_MS)
-    : runs.find(({ beganAt }) => beganAt > done.endedAt);
+    ? runs.find(
+        run =>
+          !run.delayed && run.startedAt > done.acknowledgedAt + COPY_DELAY_MS,
+      )
+    : runs.find(({ startedAt }) => startedAt > done.endedAt);
   return again === undefined
     ? []
     : [violation('finish_once', name, [done, again])];
 }
 
-/** A copy may fail as well while the last attempt does. */
-function attempts(
-  { jobs }: Facts,
+/** Returns runs beyond the maximum number of attempts; speculative copies of the last attempt may fail, too. */
+function excessAttempts(
+  { jobs }: HistoryFacts,
   name: string,
   runs: readonly RunTrace[],
   copies: boolean,
@@ -87,50 +90,60 @@
     return [];
   }
   const failed = runs
-    .filter(({ how, notedAt }) => how === 'failed' && notedAt < Infinity)
-    .sort((a, b) => a.notedAt - b.notedAt);
-  const spentAt = failed[maxAttempts - 1]?.notedAt ?? Infinity;
+    .filter(
+      ({ how, acknowledgedAt }) =>
+        how === 'failed' && acknowledgedAt < Infinity,
+    )
+    .sort((a, b) => a.acknowledgedAt - b.acknowledgedAt);
+  const spentAt = failed[maxAttempts - 1]?.acknowledgedAt ?? Infinity;
   const broken = copies
-    ? runs.filter(run => !run.late && run.beganAt > spentAt + COPY_MS)
+    ? runs.filter(
+        run => !run.delayed && run.startedAt > spentAt + COPY_DELAY_MS,
+      )
     : failed.slice(maxAttempts);
   return broken.length === 0
     ? []
     : [violation('attempts_bounded', name, [...failed, ...broken])];
 }
 
-/** Workers that one task may bring down, and how often it may be started beyond that. */
+/** Number of workers that one task may crash. */
 const MAX_CRASHES = 3;
+/** Number of starts that may follow the last of these crashes. */
 const MAX_FURTHER_STARTS = 2;
 
-function crashes(name: string, runs: readonly RunTrace[]): Violation[] {
+function excessCrashes(name: string, runs: readonly RunTrace[]): Violation[] {
   const third = runs
-    .filter(({ crashed }) => crashed)
+    .filter(({ crashedWorker }) => crashedWorker)
     .sort((a, b) => a.endedAt - b.endedAt)[MAX_CRASHES - 1];
   if (third === undefined) {
     return [];
   }
-  const further = runs.filter(run => !run.late && run.beganAt > third.endedAt);
+  const further = runs.filter(
+    run => !run.delayed && run.startedAt > third.endedAt,
+  );
   return further.length <= MAX_FURTHER_STARTS
     ? []
     : [violation('crashes_bounded', name, [third, ...further])];
 }
 
-function beginsLate(
-  { jobs }: Facts,
+function startsAfterCancel(
+  { jobs }: HistoryFacts,
   name: string,
   runs: readonly RunTrace[],
 ): Violation[] {
   const cancelledAt = jobs.get(runs[0]?.task.job ?? '')?.cancelledAt;
   const late = runs.filter(
-    run => !run.late && run.beganAt > (cancelledAt ?? Infinity) + CANCEL_MS,
+    run =>
+      !run.delayed &&
+      run.startedAt > (cancelledAt ?? Infinity) + CANCEL_DELAY_MS,
   );
   return late.length === 0
     ? []
     : [violation('nothing_after_cancel', name, late)];
 }
 
-function outOfOrder(
-  facts: Facts,
+function stepsOutOfOrder(
+  facts: HistoryFacts,
   name: string,
   runs: readonly RunTrace[],
 ): Violation[] {
@@ -141,6 +154,6 @@
   const { job, occurrence } = first.task;
   const before = stepOf(facts, first.task)?.after ?? [];
   return before
-    .filter(step => stepDoneAt(facts, job, occurrence, step) > first.beganAt)
+    .filter(step => stepDoneAt(facts, job, occurrence, step) > first.startedAt)
     .map(() => violation('steps_in_order', name, runs));
 }
--- a/packages/stand-ins/src/users-platform/deployment.ts
+++ b/packages/stand-ins/src/users-platform/deployment.ts
@@ -1,14 +1,14 @@
-/** A small deployment for tests and the demo: settings of a host, a configuration with one queue, workers. */
+/** Small deployment for tests and the demo: host settings, a configuration with one queue, and workers. */
 import { JobHistory } from '../jobs/job-history.js';
 import { MemoryWorker } from '../jobs/memory-worker.js';
 import { scheduleByTimeout } from '../http/schedule.js';
 import type { StoreServer } from './store-server.js';
 import { WorkerServer } from './worker-server.js';
 
-/** Longest lease that a worker grants, in milliseconds. */
+/** Maximum lease that a worker grants, in milliseconds. */
 const MAX_LEASE_MS = 6_000;
 
-/** Text of a host's settings file, with some fields replaced. */
+/** Returns the text of a host's settings file; `fields` replace the defaults. */
 export function settingsText(fields: Record<string, unknown>): string {
   return JSON.stringify({
     node: 'entry-1',
@@ -30,7 +30,7 @@
   });
 }
 
-/** Text of the settings of host `node` beside a store. */
+/** Returns the text of the settings file of host `node`, which uses `store`. */
 export function hostSettings(node: string, store: StoreServer): string {
   return settingsText({ node, platform: platformOf(store.address) });
 }
@@ -44,7 +44,7 @@
   };
 }
 
-/** A configuration with one queue, as the operator writes it. */
+/** Operator configuration with one queue. */
 export const ONE_QUEUE = {
   version: 3,
   routes: [
@@ -65,7 +65,7 @@
   limits: { maxHeaderBytes: 16_384, maxBodyBytes: 4_096 },
 };
 
-/** Starts a worker over HTTP in real time; it tells `history` what happens. */
+/** Starts a worker that serves HTTP in real time and records its events in `history`. */
 export async function startWorker(
   id: string,
   history = new JobHistory(() => performance.now()),
@@ -86,7 +86,7 @@
   return server;
 }
 
-/** Writes the configuration and registers workers, as the operator and the workers do. */
+/** Publishes the configuration and registers the workers in the store. */
 export function publish(
   store: StoreServer,
   workers: readonly WorkerServer[],
--- a/packages/stand-ins/src/users-platform/http.ts
+++ b/packages/stand-ins/src/users-platform/http.ts
@@ -1,4 +1,4 @@
-/** A small HTTP server with raw bodies, shared by the stand-ins of the users' platform. */
+/** Minimal HTTP server with raw bodies, shared by the platform's test doubles. */
 import http from 'node:http';
 import { buffer } from 'node:stream/consumers';
 
@@ -12,13 +12,13 @@
   readonly body: Buffer;
 }
 
-/** An answer; `undefined` in its place leaves the request without one. */
+/** A response; a handler that returns `undefined` leaves the request unanswered. */
 export interface RawReply {
   readonly status: number;
   readonly body: Buffer | string;
 }
 
-/** Answers one request. */
+/** Handles one request. */
 export type RawHandler = (req: RawRequest) => Promise<RawReply | undefined>;
 
 /** Starts a server on a free port of the loopback interface. */
@@ -48,7 +48,7 @@
   }
 }
 
-/** Builds an answer in JSON. */
+/** Creates a JSON response. */
 export function jsonReply(status: number, body: unknown): RawReply {
   return { status, body: JSON.stringify(body) };
 }
--- a/packages/stand-ins/src/users-platform/store-server.ts
+++ b/packages/stand-ins/src/users-platform/store-server.ts
@@ -1,4 +1,4 @@
-/** Stand-in of the users' store: a log over HTTP, with topics that keep the newest record of a key. */
+/** Test double of the platform's store: a log over HTTP, with keyed topics that keep the latest record of each key. */
 import type { AppendResult, WriterStamp } from '@paddlewind/ports/jobs';
 
 import type { Listener } from '../http/json-server.js';
@@ -11,23 +11,23 @@
   type RawRequest,
 } from './http.js';
 
-/** How the store treats the calls of all hosts. */
+/** Injected behavior of the store towards all hosts. */
 export type StoreMode = 'up' | 'refusing' | 'silent' | 'losing';
 
-/** Longest wait of a read, in milliseconds. */
+/** Maximum wait of a read, in milliseconds. */
 const MAX_WAIT_MS = 30_000;
-/** What a read brings at most unless it says otherwise, in kibibytes. */
+/** Default maximum size of a read, in KiB. */
 const MAX_READ_KB = 1_024;
 const BYTES_PER_KB = 1_024;
 const LENGTH_BYTES = 4;
 const OFFSET_BYTES = 8;
 const REFUSED = 503;
 
-/** A store over HTTP. */
+/** Store that is served over HTTP. */
 export class StoreServer {
-  /** `losing` carries appends out and answers none of them. */
+  /** In mode `losing`, appends take effect but are not answered. */
   mode: StoreMode = 'up';
-  /** Calls by path. */
+  /** Number of calls by path. */
   readonly calls = new Map<string, number>();
 
   private readonly partitions = new Map<string, LogPartition>();
@@ -38,17 +38,17 @@
     return this.listener?.address ?? '';
   }
 
-  /** Begins to listen. */
+  /** Starts listening. */
   async start(): Promise<void> {
     this.listener = await startRawServer(req => this.handle(req));
   }
 
-  /** Stops and ends open connections. */
+  /** Stops listening and closes open connections. */
   async stop(): Promise<void> {
     await this.listener?.close();
   }
 
-  /** Writes the newest value of a key, as the operator and the workers do. */
+  /** Writes a new value of a key to a keyed topic. */
   put(topic: string, key: string, value: unknown): void {
     const keyBytes = Buffer.from(key);
     const record = Buffer.concat([
--- a/packages/stand-ins/src/users-platform/worker-server.ts
+++ b/packages/stand-ins/src/users-platform/worker-server.ts
@@ -1,4 +1,4 @@
-/** Stand-in of a worker of the users' platform: orders over HTTP, carried out in memory. */
+/** Test double of a worker of the platform: receives orders over HTTP and executes them in memory. */
 import { parseTaskName, taskName } from '@paddlewind/domain/jobs';
 import type { LookResult, OrderResult } from '@paddlewind/ports/jobs';
 
@@ -11,7 +11,7 @@
   type RawRequest,
 } from './http.js';
 
-const REASONS = {
+const REJECTION_REASONS = {
   fenced: 'fence',
   superseded: 'old',
   too_late: 'late',
@@ -30,9 +30,9 @@
   readonly waitMs?: number;
 }
 
-/** A worker over HTTP. */
+/** Worker that is served over HTTP. */
 export class WorkerServer {
-  /** Whether calls get no answer and nothing is done. */
+  /** Whether calls are ignored and left unanswered. */
   silent = false;
   private listener: Listener | undefined;
 
@@ -44,17 +44,17 @@
     return this.listener?.address ?? '';
   }
 
-  /** Begins to listen. */
+  /** Starts listening. */
   async start(): Promise<void> {
     this.listener = await startRawServer(req => this.handle(req));
   }
 
-  /** Stops and ends open connections. */
+  /** Stops listening and closes open connections. */
   async stop(): Promise<void> {
     await this.listener?.close();
   }
 
-  /** The worker's entry in the registry. */
+  /** Returns the worker's entry in the registry. */
   entry(service: string): unknown {
     const { capacity, startedAt } = this.worker.traits;
     return {
@@ -90,7 +90,7 @@
       case '/v1/pace':
         return jsonReply(200, { clockMs: this.worker.clock });
       case '/v1/hold':
-        return lookReply(await this.look(body));
+        return pollReply(await this.poll(body));
       default:
         return jsonReply(404, {});
     }
@@ -106,7 +106,7 @@
     });
   }
 
-  private look(body: OrderBody): Promise<LookResult> {
+  private poll(body: OrderBody): Promise<LookResult> {
     return this.worker.look({
       fence: body.fencingToken ?? 0,
       acknowledged: body.ackIndex ?? 0,
@@ -136,7 +136,7 @@
     case 'rejected':
       return jsonReply(409, {
         clockMs: result.clock,
-        reason: REASONS[result.why],
+        reason: REJECTION_REASONS[result.why],
       });
     case 'replaced':
       return jsonReply(421, {});
@@ -146,7 +146,7 @@
   }
 }
 
-function lookReply(result: LookResult): RawReply {
+function pollReply(result: LookResult): RawReply {
   switch (result.kind) {
     case 'seen':
       return jsonReply(200, {
