--- a/packages/ports/src/jobs/peer-port.ts
+++ b/packages/ports/src/jobs/peer-port.ts
@@ -49,16 +49,16 @@
 }
 
 /** Result of such a call; starts without a reported outcome remain unknown. */
-export type RelayEnd = { readonly kind: 'ended' } | RelayFailure;
+export type RelayCallResult = { readonly kind: 'ended' } | RelayFailure;
 
 /** Callbacks that report the progress of a batch to the leader. */
-export interface RelayWatch {
+export interface RelayObserver {
   /** Time within which the host has to accept the batch; otherwise the call fails. */
   readonly takenWithinMs: Millis;
   /** Called when the host has accepted the batch, also after the call has failed. */
-  readonly taken: (by: PeerProcess) => void;
+  readonly onAccepted: (by: PeerProcess) => void;
   /** Called with the outcome of the start at index `at` of the batch. */
-  readonly told: (at: number, outcome: RelayOutcome) => void;
+  readonly onOutcome: (at: number, outcome: RelayOutcome) => void;
 }
 
 /** Client of other hosts. */
@@ -77,6 +77,6 @@
   relay(
     address: string,
     batch: RelayBatch,
-    watch: RelayWatch,
-  ): Promise<RelayEnd>;
+    watch: RelayObserver,
+  ): Promise<RelayCallResult>;
 }
--- a/packages/ports/src/jobs/worker-port.ts
+++ b/packages/ports/src/jobs/worker-port.ts
@@ -70,7 +70,7 @@
 }
 
 /** A poll of a worker: extends the lease of all its runs, acknowledges ends and requests a report. */
-export interface LookOrder {
+export interface PollRequest {
   readonly fence: number;
   /** Acknowledges the ends up to this position. */
   readonly acknowledged: number;
@@ -83,7 +83,7 @@
 }
 
 /** Result of a poll. */
-export type LookResult =
+export type PollResult =
   | {
       readonly kind: 'seen';
       /** Start time of the worker that answered, by its wall clock; undefined if it does not report one. */
@@ -106,11 +106,11 @@
     order: RunOrder & { readonly percent: number },
   ): Promise<OrderResult>;
   /** Polls a worker; `takeLate` is called with a response that arrives after the timeout. */
-  look(
+  poll(
     worker: WorkerAddress,
-    order: LookOrder,
-    takeLate: (res: LookResult) => void,
-  ): Promise<LookResult>;
+    order: PollRequest,
+    takeLate: (res: PollResult) => void,
+  ): Promise<PollResult>;
   /**
    * Returns whether the connection that carried the last poll's response is still open. A connection closes when
    * its worker ends, so only then the next poll is certain to reach the same incarnation.
--- a/packages/stand-ins/src/jobs/calm-promises.test.ts
+++ b/packages/stand-ins/src/jobs/fault-free-guarantees.test.ts
@@ -75,7 +75,7 @@
   scenario.startRun(100, task(0), 1);
   scenario.endRun(3_100, task(0), 1, 'alone');
   assert.deepEqual(scenario.brokenGuarantees(), []);
-  const cancelled = new Scenario([PAIR], { cancelAskedAt: 2_000 });
+  const cancelled = new Scenario([PAIR], { cancelRequestedAt: 2_000 });
   cancelled.startRun(100, task(0), 1);
   cancelled.endRun(3_100, task(0), 1, 'alone');
   assert.deepEqual(cancelled.brokenGuarantees(), []);
--- a/packages/stand-ins/src/jobs/calm-promises.ts
+++ b/packages/stand-ins/src/jobs/fault-free-guarantees.ts
@@ -9,7 +9,7 @@
   type RunTrace,
   type Violation,
 } from './history-facts.js';
-import { CANCEL_DELAY_MS } from './task-promises.js';
+import { CANCEL_DELAY_MS } from './run-guarantees.js';
 
 /** Maximum duration of a stop, by the specification. */
 const MAX_STOP_MS: Millis = 900;
@@ -40,7 +40,7 @@
           at =>
             at >= from &&
             at + CANCEL_DELAY_MS + MAX_STOP_MS < end &&
-            faults.isCalm(at - RECOVERY_MS, at + CANCEL_DELAY_MS + MAX_STOP_MS),
+            faults.isFaultFree(at - RECOVERY_MS, at + CANCEL_DELAY_MS + MAX_STOP_MS),
         )
       );
     })
@@ -56,10 +56,10 @@
       return [];
     }
     const deadline = incompleteSince(run, step.tasks, runs) + GANG_WAIT_MS;
-    const cancelAt = Math.min(job.cancelledAt, job.cancelAskedAt ?? Infinity);
+    const cancelAt = Math.min(job.cancelledAt, job.cancelRequestedAt ?? Infinity);
     return deadline <= Math.min(run.endedAt, now) &&
       deadline < cancelAt &&
-      faults.isCalm(deadline - GANG_WAIT_MS - RECOVERY_MS, deadline)
+      faults.isFaultFree(deadline - GANG_WAIT_MS - RECOVERY_MS, deadline)
       ? [violation('gang_together', taskName(run.task), [run])]
       : [];
   });
--- a/packages/stand-ins/src/jobs/history-facts.ts
+++ b/packages/stand-ins/src/jobs/history-facts.ts
@@ -11,7 +11,7 @@
 import type { FaultTimes } from './fault-times.js';
 
 /** Names of the guarantees. */
-export type PromiseName =
+export type GuaranteeName =
   | 'one_place_at_a_time'
   | 'finish_once'
   | 'steps_in_order'
@@ -32,7 +32,7 @@
 
 /** A violated guarantee. */
 export interface Violation {
-  readonly promise: PromiseName;
+  readonly guarantee: GuaranteeName;
   /** Name of the task, job, worker or queue. */
   readonly task: string;
   readonly detail: string;
@@ -61,7 +61,7 @@
   /** When the acceptance was confirmed; if undefined, nothing is guaranteed about reports on the job. */
   acceptedAt?: Instant;
   /** When the cancellation was first requested. */
-  cancelAskedAt?: Instant;
+  cancelRequestedAt?: Instant;
   /** When the cancellation was confirmed; infinite if there was none. */
   cancelledAt: Instant;
 }
@@ -192,7 +192,7 @@
 
 /** Creates a violation that lists the given runs. */
 export function violation(
-  promise: PromiseName,
+  promise: GuaranteeName,
   task: string,
   runs: readonly RunTrace[],
   note = '',
@@ -203,5 +203,9 @@
         `run ${run} on ${worker} ${startedAt} to ${endedAt} ${how ?? 'open'}`,
     )
     .join('; ');
-  return { promise, task, detail: note === '' ? detail : `${note}: ${detail}` };
+  return {
+    guarantee: promise,
+    task,
+    detail: note === '' ? detail : `${note}: ${detail}`,
+  };
 }
--- a/packages/stand-ins/src/jobs/job-history.ts
+++ b/packages/stand-ins/src/jobs/job-history.ts
@@ -8,8 +8,8 @@
   type TaskSize,
 } from '@paddlewind/domain/jobs';
 
-import { checkResponses } from './answer-promises.js';
-import { checkFaultFree } from './calm-promises.js';
+import { checkResponses } from './response-guarantees.js';
+import { checkFaultFree } from './fault-free-guarantees.js';
 import type { FaultTimes } from './fault-times.js';
 import {
   jobDoneAt,
@@ -21,9 +21,9 @@
   type Violation,
   type WorkerTrace,
 } from './history-facts.js';
-import { checkLongRunning } from './lasting-promise.js';
-import { checkPlacement } from './place-promises.js';
-import { checkTasks } from './task-promises.js';
+import { checkLongRunning } from './long-running-guarantee.js';
+import { checkPlacement } from './placement-guarantees.js';
+import { checkTasks } from './run-guarantees.js';
 
 interface RunRef {
   readonly task: TaskRef;
@@ -118,7 +118,7 @@
   }
 
   /** Returns the number of worker crashes caused by tasks of a job. */
-  broughtDownBy(id: string): number {
+  workersCrashedBy(id: string): number {
     return [...this.runs.values()].filter(
       ({ task, crashedWorker }) => task.job === id && crashedWorker,
     ).length;
@@ -162,7 +162,7 @@
   }
 
   /** Returns the number of runs of other jobs that were lost with workers crashed by tasks of a job. */
-  lostBeside(id: string): number {
+  otherRunsLostWith(id: string): number {
     const crashedWorkers = new Set(
       [...this.runs.values()]
         .filter(({ task, crashedWorker }) => task.job === id && crashedWorker)
@@ -175,7 +175,7 @@
   }
 
   /** Returns the sequence of states of a job that were reported to callers, without repetitions. */
-  statesTold(id: string): StatusReport['state'][] {
+  reportedStates(id: string): StatusReport['state'][] {
     return this.statusReports
       .filter(({ job }) => job === id)
       .map(({ state }) => state)
@@ -183,7 +183,7 @@
   }
 
   /** Returns when this state of a job was first reported to a caller; infinite if never. */
-  firstTold(id: string, state: StatusReport['state']): Instant {
+  firstReportedAt(id: string, state: StatusReport['state']): Instant {
     const found = this.statusReports.find(
       report => report.job === id && report.state === state,
     );
@@ -191,7 +191,7 @@
   }
 
   /** Records the length of the only queue that a host reported to a request sent at `requestedAt`. */
-  toldLength(host: string, requestedAt: Instant, length: number): void {
+  recordQueueLength(host: string, requestedAt: Instant, length: number): void {
     this.queueLengthReports.push({
       host,
       requestedAt,
@@ -226,7 +226,7 @@
   }
 
   /** Returns the start time of the first run of each started job. */
-  firstBegins(): Map<string, Instant> {
+  firstStarts(): Map<string, Instant> {
     const found = new Map<string, Instant>();
     for (const { task, startedAt } of this.runs.values()) {
       const first = found.get(task.job) ?? Infinity;
--- a/packages/stand-ins/src/jobs/lasting-promise.test.ts
+++ b/packages/stand-ins/src/jobs/long-running-guarantee.test.ts
@@ -63,7 +63,7 @@
 });
 
 test('a long-running task that was cancelled, or waits for another step, is no violation', () => {
-  const scenario = new Scenario([LONG_RUNNING], { cancelAskedAt: 2_000 });
+  const scenario = new Scenario([LONG_RUNNING], { cancelRequestedAt: 2_000 });
   assert.deepEqual(scenario.brokenGuarantees(60_000), []);
   const second = new Scenario([
     { tasks: 1, after: [] },
--- a/packages/stand-ins/src/jobs/lasting-promise.ts
+++ b/packages/stand-ins/src/jobs/long-running-guarantee.ts
@@ -15,7 +15,7 @@
   type Violation,
   type WorkerTrace,
 } from './history-facts.js';
-import { freeCapacity } from './place-promises.js';
+import { freeCapacity } from './placement-guarantees.js';
 
 /** Maximum time that a long-running task may be without a run. */
 const MAX_GAP_MS: Millis = 6_000;
@@ -80,7 +80,7 @@
   const end = Math.min(
     facts.now,
     job.cancelledAt,
-    job.cancelAskedAt ?? Infinity,
+    job.cancelRequestedAt ?? Infinity,
     abandonableAt(facts, id),
   );
   return Array.from({ length: tasks }, (_, index) => {
@@ -118,7 +118,7 @@
   return [from + MAX_GAP_MS, ...faultFreeFrom, ...changes]
     .filter(at => at >= from + MAX_GAP_MS && at + CAPACITY_SPAN_MS < until)
     .filter(at =>
-      faults.isCalm(at - FAULT_FREE_BEFORE_MS, at + CAPACITY_SPAN_MS),
+      faults.isFaultFree(at - FAULT_FREE_BEFORE_MS, at + CAPACITY_SPAN_MS),
     )
     .some(at =>
       [at, ...changes.filter(x => x > at && x <= at + CAPACITY_SPAN_MS)].every(
--- a/packages/stand-ins/src/jobs/memory-fleet.ts
+++ b/packages/stand-ins/src/jobs/memory-fleet.ts
@@ -1,11 +1,11 @@
 /** In-memory workers behind a network that loses and delays calls. */
 import {
-  workerOf,
+  workerIdOf,
   type TaskSize,
   type WorkerInfo,
 } from '@paddlewind/domain/jobs';
 import type {
-  LookResult,
+  PollResult,
   OrderResult,
   WorkerAddress,
   WorkerFeed,
@@ -29,19 +29,19 @@
 /** The workers of a test, with injected faults. Workers are named by their machine, which is also their address. */
 export class MemoryFleet {
   /** Fraction of orders that are not answered and arrive late, at the incarnation that has the id by then. */
-  lateShare = 0;
+  delayedOrderShare = 0;
   /** Fraction of polls that are not answered and arrive late. */
-  lateLookShare = 0;
+  delayedPollShare = 0;
   /** Whether the registry is unavailable. */
-  registryAway = false;
+  registryUnavailable = false;
   /** Whether every start is rejected for lack of capacity. */
   refusesStarts = false;
   /** Broken network links, as `host>worker`. */
   readonly cuts = new Set<string>();
   /** Delay of poll responses by machine, in milliseconds; may exceed the timeout. */
-  readonly lookDelays = new Map<string, number>();
+  readonly pollDelays = new Map<string, number>();
   /** Additional response time of orders by machine, in milliseconds; must be below the timeout. */
-  readonly slowness = new Map<string, number>();
+  readonly orderDelays = new Map<string, number>();
 
   /** Called for each worker that a task has crashed. */
   onCrash: (machine: string, labels?: readonly string[]) => void = () =>
@@ -116,7 +116,7 @@
   feed(): WorkerFeed {
     return {
       refresh: () => {
-        if (this.registryAway) {
+        if (this.registryUnavailable) {
           return Promise.resolve({ kind: 'unavailable', reason: 'away' });
         }
         const workers = this.entries();
@@ -127,7 +127,7 @@
   }
 
   /** Freezes the registry entry of an address for `span` milliseconds. */
-  holdEntry(machine: string, span: number): void {
+  freezeEntry(machine: string, span: number): void {
     const held = this.entries().find(({ address }) => address === machine);
     if (held !== undefined) {
       this.frozenEntries.set(machine, held);
@@ -167,10 +167,10 @@
           kind: order.fence >= 0 ? 'accepted' : 'replaced',
           clock: worker.clock,
         })),
-      look: (to, order, takeLate) => {
+      poll: (to, order, takeLate) => {
         answered.delete(to.id);
         const found = this.sendPoll(host, to, async worker => {
-          const res = await worker.look(order);
+          const res = await worker.poll(order);
           answered.set(to.id, worker);
           return res;
         });
@@ -191,7 +191,7 @@
     to: WorkerAddress,
     execute: (worker: MemoryWorker) => OrderResult,
   ): Promise<OrderResult> {
-    if (this.time.random() < this.lateShare) {
+    if (this.time.random() < this.delayedOrderShare) {
       const after = MIN_DELAY_MS + this.time.random() * DELAY_SPAN_MS;
       this.time.schedule(after, () => {
         const worker = this.at(to.address);
@@ -214,7 +214,9 @@
       return { kind: 'replaced' };
     }
     const result = execute(worker);
-    await this.pause(ONE_WAY_DELAY_MS + (this.slowness.get(to.address) ?? 0));
+    await this.pause(
+      ONE_WAY_DELAY_MS + (this.orderDelays.get(to.address) ?? 0),
+    );
     if (this.reachableWorker(host, to) === undefined) {
       await this.pause(CALL_TIMEOUT_MS);
       return { kind: 'unknown', reason: 'timeout' };
@@ -225,9 +227,12 @@
   private async sendPoll(
     host: string,
     to: WorkerAddress,
-    execute: (worker: MemoryWorker) => Promise<LookResult>,
-  ): Promise<LookResult> {
-    if (this.lateLookShare > 0 && this.time.random() < this.lateLookShare) {
+    execute: (worker: MemoryWorker) => Promise<PollResult>,
+  ): Promise<PollResult> {
+    if (
+      this.delayedPollShare > 0 &&
+      this.time.random() < this.delayedPollShare
+    ) {
       this.pollLater(to, execute);
       await this.pause(CALL_TIMEOUT_MS);
       return { kind: 'failed', reason: 'timeout' };
@@ -242,7 +247,7 @@
       return { kind: 'replaced' };
     }
     const result = await execute(worker);
-    await this.pause(ONE_WAY_DELAY_MS + (this.lookDelays.get(to.address) ?? 0));
+    await this.pause(ONE_WAY_DELAY_MS + (this.pollDelays.get(to.address) ?? 0));
     if (this.reachableWorker(host, to) !== worker) {
       return { kind: 'failed', reason: 'connection lost' };
     }
@@ -251,7 +256,7 @@
 
   private pollLater(
     to: WorkerAddress,
-    execute: (worker: MemoryWorker) => Promise<LookResult>,
+    execute: (worker: MemoryWorker) => Promise<PollResult>,
   ): void {
     const after = MIN_DELAY_MS + this.time.random() * DELAY_SPAN_MS;
     this.time.schedule(after, () => {
@@ -266,10 +271,10 @@
 
   /** Fails a poll after its timeout; a later response is passed to `takeLate`. */
   private async withTimeout(
-    found: Promise<LookResult>,
+    found: Promise<PollResult>,
     timeoutMs: number,
-    takeLate: (res: LookResult) => void,
-  ): Promise<LookResult> {
+    takeLate: (res: PollResult) => void,
+  ): Promise<PollResult> {
     const timedOut = this.pause(timeoutMs);
     const first = await Promise.race([found, timedOut]);
     if (first !== undefined) {
@@ -305,7 +310,7 @@
   { traits }: MemoryWorker,
   { id }: WorkerAddress,
 ): boolean {
-  return traits.id === workerOf(id);
+  return traits.id === workerIdOf(id);
 }
 
 function infoOf(
--- a/packages/stand-ins/src/jobs/memory-job-log.ts
+++ b/packages/stand-ins/src/jobs/memory-job-log.ts
@@ -53,14 +53,14 @@
 /** The log that all hosts of a test share. */
 export class MemoryJobLog {
   /** Modes by host; all other hosts are served normally. */
-  readonly modes = new Map<string, LogMode>();
+  readonly hostModes = new Map<string, LogMode>();
   /** Modes of single streams for one host, by `host stream`. */
   readonly hostStreamModes = new Map<string, LogMode>();
   /** Modes of streams for all hosts. */
   readonly streamModes = new Map<JobStream, LogMode>();
 
   /** Bandwidth of the link by host, in bytes per millisecond; other links are unlimited. */
-  readonly links = new Map<string, number>();
+  readonly linkRates = new Map<string, number>();
 
   /** Time per append; a stream handles one at a time and refuses appends that would queue for over 2 s. */
   appendMs: Millis = 0;
@@ -69,7 +69,7 @@
   rewriteJournal: (record: Uint8Array) => Uint8Array = record => record;
 
   /** Number of the next appends to the inbox that take effect but are not answered. */
-  loseNext = 0;
+  unansweredAppends = 0;
 
   private readonly streams: Record<JobStream, LogPartition> = {
     inbox: new LogPartition(),
@@ -150,8 +150,8 @@
       return { kind: 'unknown', reason: 'timeout' };
     }
     await this.pause(RESPONSE_MS);
-    if (this.loseNext > 0 && stream === 'inbox') {
-      this.loseNext -= 1;
+    if (this.unansweredAppends > 0 && stream === 'inbox') {
+      this.unansweredAppends -= 1;
       this.streams[stream].append(records, stamp);
       await this.pause(CALL_TIMEOUT_MS);
       return { kind: 'unknown', reason: 'timeout' };
@@ -182,7 +182,7 @@
   private modeOf(host: string, stream: JobStream): LogMode {
     return (
       this.hostStreamModes.get(`${host} ${stream}`) ??
-      this.modes.get(host) ??
+      this.hostModes.get(host) ??
       this.streamModes.get(stream) ??
       'up'
     );
@@ -227,7 +227,7 @@
     host: string,
     records: readonly Uint8Array[],
   ): Promise<boolean> {
-    const rate = this.links.get(host);
+    const rate = this.linkRates.get(host);
     if (rate === undefined) {
       return true;
     }
--- a/packages/stand-ins/src/jobs/memory-worker.ts
+++ b/packages/stand-ins/src/jobs/memory-worker.ts
@@ -9,8 +9,8 @@
 } from '@paddlewind/domain/jobs';
 import type {
   EndedRun,
-  LookOrder,
-  LookResult,
+  PollRequest,
+  PollResult,
   OrderResult,
   RunOrder,
   StartOrder,
@@ -150,7 +150,7 @@
   }
 
   /** Extends the lease, removes acknowledged ends and returns a report, after `waitMs` at the latest. */
-  async look(order: LookOrder): Promise<LookResult> {
+  async poll(order: PollRequest): Promise<PollResult> {
     if (order.fence < this.fence) {
       return { kind: 'fenced' };
     }
@@ -289,7 +289,7 @@
     this.ended = this.ended.filter(ended => ended.position > position);
   }
 
-  private report(): LookResult {
+  private report(): PollResult {
     const now = this.time.clock();
     const active = [...this.active.values()].map(
       ({ order, since, script, hangs }) => ({
--- a/packages/stand-ins/src/jobs/answer-promises.test.ts
+++ b/packages/stand-ins/src/jobs/response-guarantees.test.ts
@@ -67,7 +67,7 @@
 
 test('a job reported as cancelled before the request is a violation, later it is not', () => {
   const scenario = new Scenario([PAIR], {
-    cancelAskedAt: 1_000,
+    cancelRequestedAt: 1_000,
     cancelledAt: 2_000,
   });
   scenario.now = 1_000;
@@ -90,7 +90,7 @@
   early.now = 3_100;
   early.history.told(JOB, 3_000, 'no_such_job');
   assert.deepEqual(early.brokenGuarantees(), []);
-  const cancelled = new Scenario([PAIR], { cancelAskedAt: 2_000 });
+  const cancelled = new Scenario([PAIR], { cancelRequestedAt: 2_000 });
   cancelled.now = 4_000;
   cancelled.history.told(JOB, 3_500, 'no_such_job');
   assert.deepEqual(cancelled.brokenGuarantees(), []);
@@ -122,16 +122,16 @@
 test('a queue length below half of the waiting jobs is a violation', () => {
   const scenario = scenarioOfThreeJobs();
   scenario.now = 5_010;
-  scenario.history.toldLength('h1', 5_001, 1);
+  scenario.history.recordQueueLength('h1', 5_001, 1);
   assert.deepEqual(scenario.brokenGuarantees(), ['length_counts']);
 });
 
 test('a queue length may omit half of the waiting jobs, and jobs accepted just before', () => {
   const scenario = scenarioOfThreeJobs();
   scenario.now = 5_000;
-  scenario.history.toldLength('h1', 5_000, 0);
+  scenario.history.recordQueueLength('h1', 5_000, 0);
   scenario.now = 5_010;
-  scenario.history.toldLength('h1', 5_001, 2);
+  scenario.history.recordQueueLength('h1', 5_001, 2);
   assert.deepEqual(scenario.brokenGuarantees(), []);
 });
 
@@ -140,9 +140,9 @@
   scenario.startRun(5_005, task(0), 1);
   const cancelled = scenario.history.jobs.get('b');
   assert.ok(cancelled);
-  cancelled.cancelAskedAt = 4_000;
+  cancelled.cancelRequestedAt = 4_000;
   scenario.now = 5_010;
-  scenario.history.toldLength('h1', 5_001, 1);
+  scenario.history.recordQueueLength('h1', 5_001, 1);
   assert.deepEqual(scenario.brokenGuarantees(), []);
 });
 
@@ -151,14 +151,14 @@
     const scenario = scenarioOfThreeJobs();
     scenario.faults.add({ from: 1_000, until: 2_500, of });
     scenario.now = 5_010;
-    scenario.history.toldLength('h1', 5_001, 0);
+    scenario.history.recordQueueLength('h1', 5_001, 0);
     assert.deepEqual(scenario.brokenGuarantees(), []);
   }
   for (const of of [{ host: 'h2' }, 'workers'] as const) {
     const scenario = scenarioOfThreeJobs();
     scenario.faults.add({ from: 1_000, until: 2_500, of });
     scenario.now = 5_010;
-    scenario.history.toldLength('h1', 5_001, 0);
+    scenario.history.recordQueueLength('h1', 5_001, 0);
     assert.deepEqual(scenario.brokenGuarantees(), ['length_counts']);
   }
 });
--- a/packages/stand-ins/src/jobs/answer-promises.ts
+++ b/packages/stand-ins/src/jobs/response-guarantees.ts
@@ -8,7 +8,7 @@
   jobDoneAt,
   type HistoryFacts,
   type PromisedJob,
-  type PromiseName,
+  type GuaranteeName,
   type StatusReport,
   type QueueLengthReport,
   type Violation,
@@ -38,7 +38,7 @@
     ? []
     : [
         {
-          promise: guarantee,
+          guarantee: guarantee,
           task: report.job,
           detail: `shown as ${report.state} at ${report.at}`,
         },
@@ -49,7 +49,7 @@
   facts: HistoryFacts,
   report: StatusReport,
   job: PromisedJob,
-): PromiseName | undefined {
+): GuaranteeName | undefined {
   switch (report.state) {
     case 'completed':
       return jobDoneAt(facts, report.job) > report.at
@@ -63,7 +63,7 @@
         ? 'failed_when_spent'
         : undefined;
     case 'cancelled':
-      return (job.cancelAskedAt ?? job.cancelledAt) > report.at
+      return (job.cancelRequestedAt ?? job.cancelledAt) > report.at
         ? 'cancelled_when_asked'
         : undefined;
     case 'no_such_job':
@@ -130,7 +130,7 @@
     attemptsSpentAt(facts, id, job),
     abandonedAt(facts, id),
   );
-  const cancelAt = Math.min(job.cancelledAt, job.cancelAskedAt ?? Infinity);
+  const cancelAt = Math.min(job.cancelledAt, job.cancelRequestedAt ?? Infinity);
   return (
     requestedAt > (job.acceptedAt ?? Infinity) + VISIBLE_MS &&
     at < finishedAt + facts.statusMs &&
@@ -154,7 +154,7 @@
   return length < waiting.length * MIN_COUNTED_SHARE
     ? [
         {
-          promise: 'length_counts',
+          guarantee: 'length_counts',
           task: 'queue',
           detail: `${host} told ${length} at ${at}, waiting: ${waiting.join(', ')}`,
         },
@@ -168,7 +168,7 @@
   job: PromisedJob,
   { requestedAt, at }: QueueLengthReport,
 ): boolean {
-  const cancelAt = Math.min(job.cancelledAt, job.cancelAskedAt ?? Infinity);
+  const cancelAt = Math.min(job.cancelledAt, job.cancelRequestedAt ?? Infinity);
   return (
     (job.acceptedAt ?? Infinity) + VISIBLE_MS + MAX_LENGTH_AGE_MS <
       requestedAt &&
--- a/packages/stand-ins/src/users-platform/worker-server.ts
+++ b/packages/stand-ins/src/users-platform/worker-server.ts
@@ -1,6 +1,6 @@
 /** Test double of a worker of the platform: receives orders over HTTP and executes them in memory. */
 import { parseTaskName, taskName } from '@paddlewind/domain/jobs';
-import type { LookResult, OrderResult } from '@paddlewind/ports/jobs';
+import type { PollResult, OrderResult } from '@paddlewind/ports/jobs';
 
 import type { Listener } from '../http/json-server.js';
 import type { MemoryWorker } from '../jobs/memory-worker.js';
@@ -106,8 +106,8 @@
     });
   }
 
-  private poll(body: OrderBody): Promise<LookResult> {
-    return this.worker.look({
+  private poll(body: OrderBody): Promise<PollResult> {
+    return this.worker.poll({
       fence: body.fencingToken ?? 0,
       acknowledged: body.ackIndex ?? 0,
       leaseUntil: body.untilMs,
@@ -146,7 +146,7 @@
   }
 }
 
-function pollReply(result: LookResult): RawReply {
+function pollReply(result: PollResult): RawReply {
   switch (result.kind) {
     case 'seen':
       return jsonReply(200, {
