--- a/packages/domain/src/jobs/learned-estimates.ts
+++ b/packages/domain/src/jobs/learned-estimates.ts
@@ -42,7 +42,9 @@
 }
 
 /** Returns what of a record can be used: an earlier version may have recorded figures that are no numbers. */
-export function readLearnt(found: Partial<LearnedEstimates> | null | undefined): LearnedEstimates {
+export function readLearnt(
+  found: Partial<LearnedEstimates> | null | undefined,
+): LearnedEstimates {
   const { runTimes, pressures, lowTails } = found ?? {};
   return {
     runTimes: soundRows(runTimes),
--- a/packages/domain/src/jobs/overloaded-deployment.fixture.test.ts
+++ b/packages/domain/src/jobs/overloaded-deployment.fixture.test.ts
@@ -132,7 +132,9 @@
       const kind =
         share <= 1 ? 'in_time' : share <= LATE_FACTOR ? 'late' : 'unserved';
       const taskCores = coresOf(job.spec);
-      return [{ work: expectedWorkOf(occurrence, times), taskCores, kind } as const];
+      return [
+        { work: expectedWorkOf(occurrence, times), taskCores, kind } as const,
+      ];
     });
   }
 
--- a/packages/domain/src/jobs/speculative-copies.ts
+++ b/packages/domain/src/jobs/speculative-copies.ts
@@ -20,7 +20,10 @@
 const MAX_COPIES = 8;
 
 /** Starts copies of runs that are far behind, in room that nothing waits for. */
-export function planSpeculativeCopies(input: PlanInput, start: ApplyStart): void {
+export function planSpeculativeCopies(
+  input: PlanInput,
+  start: ApplyStart,
+): void {
   const place = placeInputOf(input);
   let left = MAX_COPIES;
   for (const run of singleRuns(input)) {
