--- a/packages/stand-ins/src/jobs/fault-free-guarantees.ts
+++ b/packages/stand-ins/src/jobs/fault-free-guarantees.ts
@@ -40,7 +40,10 @@
           at =>
             at >= from &&
             at + CANCEL_DELAY_MS + MAX_STOP_MS < end &&
-            faults.isFaultFree(at - RECOVERY_MS, at + CANCEL_DELAY_MS + MAX_STOP_MS),
+            faults.isFaultFree(
+              at - RECOVERY_MS,
+              at + CANCEL_DELAY_MS + MAX_STOP_MS,
+            ),
         )
       );
     })
@@ -56,7 +59,10 @@
       return [];
     }
     const deadline = incompleteSince(run, step.tasks, runs) + GANG_WAIT_MS;
-    const cancelAt = Math.min(job.cancelledAt, job.cancelRequestedAt ?? Infinity);
+    const cancelAt = Math.min(
+      job.cancelledAt,
+      job.cancelRequestedAt ?? Infinity,
+    );
     return deadline <= Math.min(run.endedAt, now) &&
       deadline < cancelAt &&
       faults.isFaultFree(deadline - GANG_WAIT_MS - RECOVERY_MS, deadline)
--- a/packages/stand-ins/src/jobs/history-facts.ts
+++ b/packages/stand-ins/src/jobs/history-facts.ts
@@ -39,7 +39,7 @@
 }
 
 /** Specification of a step, as far as guarantees depend on it. */
-export interface PromisedStep {
+export interface SubmittedStep {
   readonly tasks: number;
   readonly after: readonly number[];
   /** Whether speculative copies of a task may run at the same time. */
@@ -55,8 +55,8 @@
 }
 
 /** Specification of a job, with the times of its acceptance and cancellation. */
-export interface PromisedJob {
-  readonly steps: readonly PromisedStep[];
+export interface SubmittedJob {
+  readonly steps: readonly SubmittedStep[];
   readonly maxAttempts: number;
   /** When the acceptance was confirmed; if undefined, nothing is guaranteed about reports on the job. */
   acceptedAt?: Instant;
@@ -115,7 +115,7 @@
 
 /** The recorded events, as input of the checks. */
 export interface HistoryFacts {
-  readonly jobs: ReadonlyMap<string, PromisedJob>;
+  readonly jobs: ReadonlyMap<string, SubmittedJob>;
   /** In the order of their starts. */
   readonly runs: readonly RunTrace[];
   readonly workers: ReadonlyMap<string, WorkerTrace>;
@@ -132,7 +132,7 @@
 export function stepOf(
   facts: HistoryFacts,
   task: TaskRef,
-): PromisedStep | undefined {
+): SubmittedStep | undefined {
   return facts.jobs.get(task.job)?.steps[task.step];
 }
 
@@ -154,11 +154,11 @@
       );
     }
   }
-  const promised = jobs.get(id)?.steps[step];
-  if (promised?.gang === true) {
+  const submitted = jobs.get(id)?.steps[step];
+  if (submitted?.gang === true) {
     return Math.min(Infinity, ...first.values());
   }
-  return first.size === (promised?.tasks ?? 0)
+  return first.size === (submitted?.tasks ?? 0)
     ? Math.max(-Infinity, ...first.values())
     : Infinity;
 }
@@ -192,7 +192,7 @@
 
 /** Creates a violation that lists the given runs. */
 export function violation(
-  promise: GuaranteeName,
+  guarantee: GuaranteeName,
   task: string,
   runs: readonly RunTrace[],
   note = '',
@@ -204,7 +204,7 @@
     )
     .join('; ');
   return {
-    guarantee: promise,
+    guarantee,
     task,
     detail: note === '' ? detail : `${note}: ${detail}`,
   };
--- a/packages/stand-ins/src/jobs/history.fixture.test.ts
+++ b/packages/stand-ins/src/jobs/history.fixture.test.ts
@@ -4,8 +4,8 @@
 
 import { FaultTimes } from './fault-times.js';
 import type {
-  PromisedJob,
-  PromisedStep,
+  SubmittedJob,
+  SubmittedStep,
   GuaranteeName,
 } from './history-facts.js';
 import { JobHistory } from './job-history.js';
@@ -27,7 +27,7 @@
   readonly faults = new FaultTimes();
 
   /** Creates a fault-free history of one job, accepted at 0, and two workers with capacity for two tasks each. */
-  constructor(steps: PromisedStep[], more: Partial<PromisedJob> = {}) {
+  constructor(steps: SubmittedStep[], more: Partial<SubmittedJob> = {}) {
     this.history.faults = this.faults;
     this.history.jobs.set(JOB, {
       steps,
@@ -86,9 +86,9 @@
   }
 
   /** Returns the distinct names of the guarantees that are violated at `at`. */
-  brokenGuarantees(at: Instant = this.now): GuaranteeName[] {
+  violatedGuarantees(at: Instant = this.now): GuaranteeName[] {
     this.now = at;
-    const found = this.history.check().map(({ guarantee: promise }) => promise);
+    const found = this.history.check().map(({ guarantee }) => guarantee);
     return [...new Set(found)];
   }
 }
--- a/packages/stand-ins/src/jobs/job-history.ts
+++ b/packages/stand-ins/src/jobs/job-history.ts
@@ -14,7 +14,7 @@
 import {
   jobDoneAt,
   type HistoryFacts,
-  type PromisedJob,
+  type SubmittedJob,
   type RunTrace,
   type StatusReport,
   type QueueLengthReport,
@@ -33,7 +33,7 @@
 /** Records events at workers and reports to callers. */
 export class JobHistory {
   /** Accepted jobs by id. */
-  readonly jobs = new Map<string, PromisedJob>();
+  readonly jobs = new Map<string, SubmittedJob>();
   /** All faults of the test; if undefined, guarantees for fault-free periods are not checked. */
   faults: FaultTimes | undefined;
   /** How long the status of a finished job is kept, in milliseconds. */
@@ -125,12 +125,17 @@
   }
 
   /** Records the end of a run. */
-  recordRunEnd(ref: RunRef, worker: string, how: RunEnd, lapses: number): void {
+  recordRunEnd(
+    ref: RunRef,
+    worker: string,
+    how: RunEnd,
+    leaseExpiries: number,
+  ): void {
     const trace = this.runs.get(this.key(ref, worker));
     if (trace !== undefined) {
       trace.endedAt = this.clock();
       trace.how = how;
-      trace.leaseExpiriesAtEnd = lapses;
+      trace.leaseExpiriesAtEnd = leaseExpiries;
     }
   }
 
@@ -144,9 +149,13 @@
   }
 
   /** Records the acknowledgment of an end; it counts only if the lease has not expired since the end. */
-  recordAcknowledgment(ref: RunRef, worker: string, lapses: number): void {
+  recordAcknowledgment(
+    ref: RunRef,
+    worker: string,
+    leaseExpiries: number,
+  ): void {
     const trace = this.runs.get(this.key(ref, worker));
-    if (trace?.leaseExpiriesAtEnd === lapses) {
+    if (trace?.leaseExpiriesAtEnd === leaseExpiries) {
       trace.acknowledgedAt = Math.min(trace.acknowledgedAt, this.clock());
     }
   }
--- a/packages/stand-ins/src/jobs/long-running-guarantee.ts
+++ b/packages/stand-ins/src/jobs/long-running-guarantee.ts
@@ -9,8 +9,8 @@
   stepOf,
   violation,
   type HistoryFacts,
-  type PromisedJob,
-  type PromisedStep,
+  type SubmittedJob,
+  type SubmittedStep,
   type RunTrace,
   type Violation,
   type WorkerTrace,
@@ -71,7 +71,7 @@
 function gapsOfStep(
   facts: HistoryFacts,
   id: string,
-  job: PromisedJob,
+  job: SubmittedJob,
   step: number,
 ): Gap[] {
   const { tasks = 0, after = [] } = job.steps[step] ?? {};
@@ -151,7 +151,7 @@
 function isEligible(
   { joinedAt, leavingAt, endedAt, labels }: WorkerTrace,
   at: Instant,
-  { label }: PromisedStep,
+  { label }: SubmittedStep,
 ): boolean {
   const present = joinedAt <= at && at < Math.min(leavingAt, endedAt);
   return present && (label === undefined || labels.includes(label));
--- a/packages/stand-ins/src/jobs/memory-worker.ts
+++ b/packages/stand-ins/src/jobs/memory-worker.ts
@@ -126,7 +126,7 @@
     if (order.leaseUntil <= this.clock) {
       return { kind: 'rejected', why: 'too_late', clock: this.clock };
     }
-    this.begin(key, order);
+    this.beginRun(key, order);
     return { kind: 'accepted', clock: this.clock };
   }
 
@@ -173,7 +173,7 @@
     return undefined;
   }
 
-  private begin(key: string, order: StartOrder): void {
+  private beginRun(key: string, order: StartOrder): void {
     const script = JSON.parse(order.payload) as TaskScript;
     this.recordHighestRun(taskName(order.task), order.run);
     const since = this.time.clock();
--- a/packages/stand-ins/src/jobs/placement-guarantees.test.ts
+++ b/packages/stand-ins/src/jobs/placement-guarantees.test.ts
@@ -10,7 +10,7 @@
   scenario.now = 1_000;
   scenario.history.recordLeaving('w1');
   scenario.startRun(3_001, task(), 1);
-  assert.deepEqual(scenario.brokenGuarantees(), ['not_on_leaving']);
+  assert.deepEqual(scenario.violatedGuarantees(), ['not_on_leaving']);
 });
 
 test('a start soon after the announcement, a delayed one and one elsewhere are no violations', () => {
@@ -20,7 +20,7 @@
   scenario.startRun(3_000, task(0), 1);
   scenario.startDelayedRun(9_000, task(1), 1);
   scenario.startRun(9_000, task(2), 1, 'w2');
-  assert.deepEqual(scenario.brokenGuarantees(), []);
+  assert.deepEqual(scenario.violatedGuarantees(), []);
 });
 
 test('a start beyond the capacity of its worker is a violation', () => {
@@ -28,7 +28,7 @@
   for (const index of [0, 1, 2]) {
     scenario.startRun(100, task(index), 1);
   }
-  assert.deepEqual(scenario.brokenGuarantees(), ['within_room']);
+  assert.deepEqual(scenario.violatedGuarantees(), ['within_room']);
 });
 
 test('a start beyond the capacity is a violation even if its order was delayed', () => {
@@ -36,7 +36,7 @@
   scenario.startRun(100, task(0), 1);
   scenario.startRun(100, task(1), 1);
   scenario.startDelayedRun(200, task(2), 1);
-  assert.deepEqual(scenario.brokenGuarantees(), ['within_room']);
+  assert.deepEqual(scenario.violatedGuarantees(), ['within_room']);
 });
 
 test('a best-effort filler beyond the memory of its worker is a violation', () => {
@@ -44,7 +44,7 @@
   for (const index of [0, 1, 2]) {
     scenario.startRun(100, task(index), 1);
   }
-  assert.deepEqual(scenario.brokenGuarantees(), ['within_room']);
+  assert.deepEqual(scenario.violatedGuarantees(), ['within_room']);
 });
 
 test('a start on capacity that has just become free is no violation', () => {
@@ -53,7 +53,7 @@
   scenario.startRun(100, task(1), 1);
   scenario.endRun(200, task(0), 1, 'stopped');
   scenario.startRun(200, task(2), 1);
-  assert.deepEqual(scenario.brokenGuarantees(), []);
+  assert.deepEqual(scenario.violatedGuarantees(), []);
 });
 
 test('best-effort fillers may exceed the CPU of their worker', () => {
@@ -62,23 +62,23 @@
   for (const index of [0, 1, 2]) {
     scenario.startRun(100, task(index), 1);
   }
-  assert.deepEqual(scenario.brokenGuarantees(), []);
+  assert.deepEqual(scenario.violatedGuarantees(), []);
 });
 
 test('a start on a worker without the required label is a violation', () => {
   const scenario = new Scenario([{ ...THREE, label: 'fast' }]);
   scenario.addWorker('w3', ['slow', 'fast']);
   scenario.startRun(100, task(0), 1, 'w3');
-  assert.deepEqual(scenario.brokenGuarantees(), []);
+  assert.deepEqual(scenario.violatedGuarantees(), []);
   scenario.startRun(200, task(1), 1, 'w2');
-  assert.deepEqual(scenario.brokenGuarantees(), ['right_worker']);
+  assert.deepEqual(scenario.violatedGuarantees(), ['right_worker']);
 });
 
 test('a start beyond the maximum number per worker is a violation', () => {
   const scenario = new Scenario([{ ...THREE, maxPerWorker: 1 }]);
   scenario.startRun(100, task(0), 1);
   scenario.startRun(200, task(1), 1);
-  assert.deepEqual(scenario.brokenGuarantees(), ['right_worker']);
+  assert.deepEqual(scenario.violatedGuarantees(), ['right_worker']);
 });
 
 test('ended tasks and tasks of other steps do not count towards the maximum per worker', () => {
@@ -88,7 +88,7 @@
   scenario.startRun(100, task(0, 1), 1);
   scenario.endRun(200, task(0), 1, 'done');
   scenario.startRun(200, task(1), 1);
-  assert.deepEqual(scenario.brokenGuarantees(), []);
+  assert.deepEqual(scenario.violatedGuarantees(), []);
 });
 
 test('a start beyond a reduced capacity is a violation, unless it was reduced just before', () => {
@@ -102,7 +102,7 @@
     scenario.now = 100;
     scenario.history.recordCapacityChange('w1', shrunk);
     scenario.startRun(startedAt, task(1), 1);
-    assert.deepEqual(scenario.brokenGuarantees(), expected);
+    assert.deepEqual(scenario.violatedGuarantees(), expected);
   }
 });
 
@@ -118,5 +118,5 @@
     memoryMiB: 2_000,
   });
   scenario.startRun(9_001, task(1), 1);
-  assert.deepEqual(scenario.brokenGuarantees(), []);
+  assert.deepEqual(scenario.violatedGuarantees(), []);
 });
--- a/packages/stand-ins/src/jobs/response-guarantees.test.ts
+++ b/packages/stand-ins/src/jobs/response-guarantees.test.ts
@@ -18,17 +18,17 @@
   const scenario = scenarioOfTwoTasks();
   scenario.history.told(JOB, 2_000, 'completed');
   scenario.endRun(4_000, task(1), 1, 'done');
-  assert.deepEqual(scenario.brokenGuarantees(), ['completed_when_done']);
+  assert.deepEqual(scenario.violatedGuarantees(), ['completed_when_done']);
 });
 
 test('a job may be reported as completed once all tasks, or one member of a gang, are done', () => {
   const scenario = scenarioOfTwoTasks();
   scenario.endRun(4_000, task(1), 1, 'done');
   scenario.history.told(JOB, 3_000, 'completed');
-  assert.deepEqual(scenario.brokenGuarantees(), []);
+  assert.deepEqual(scenario.violatedGuarantees(), []);
   const gang = scenarioOfTwoTasks(true);
   gang.history.told(JOB, 2_000, 'completed');
-  assert.deepEqual(gang.brokenGuarantees(), []);
+  assert.deepEqual(gang.violatedGuarantees(), []);
 });
 
 test('a job reported as failed before its attempts are spent is a violation', () => {
@@ -40,7 +40,7 @@
   scenario.startRun(300, task(1), 1);
   scenario.endRun(400, task(1), 1, 'failed');
   scenario.history.told(JOB, 400, 'failed');
-  assert.deepEqual(scenario.brokenGuarantees(), ['failed_when_spent']);
+  assert.deepEqual(scenario.violatedGuarantees(), ['failed_when_spent']);
 });
 
 test('failures of several gang members in the same run count as one attempt', () => {
@@ -50,7 +50,7 @@
     scenario.endRun(200, task(index), 1, 'failed');
   }
   scenario.history.told(JOB, 400, 'failed');
-  assert.deepEqual(scenario.brokenGuarantees(), ['failed_when_spent']);
+  assert.deepEqual(scenario.violatedGuarantees(), ['failed_when_spent']);
 });
 
 test('a job may be reported as failed once a task or a gang has failed twice', () => {
@@ -61,7 +61,7 @@
       scenario.endRun(run * 100 + 50, task(0), run, 'failed');
     }
     scenario.history.told(JOB, 250, 'failed');
-    assert.deepEqual(scenario.brokenGuarantees(), []);
+    assert.deepEqual(scenario.violatedGuarantees(), []);
   }
 });
 
@@ -72,37 +72,37 @@
   });
   scenario.now = 1_000;
   scenario.history.told(JOB, 900, 'cancelled');
-  assert.deepEqual(scenario.brokenGuarantees(), []);
+  assert.deepEqual(scenario.violatedGuarantees(), []);
   scenario.now = 999;
   scenario.history.told(JOB, 900, 'cancelled');
-  assert.deepEqual(scenario.brokenGuarantees(), ['cancelled_when_asked']);
+  assert.deepEqual(scenario.violatedGuarantees(), ['cancelled_when_asked']);
 });
 
 test('an accepted job reported as unknown is a violation', () => {
   const scenario = new Scenario([PAIR]);
   scenario.now = 3_002;
   scenario.history.told(JOB, 3_001, 'no_such_job');
-  assert.deepEqual(scenario.brokenGuarantees(), ['known_once_accepted']);
+  assert.deepEqual(scenario.violatedGuarantees(), ['known_once_accepted']);
 });
 
 test('a job may be unknown soon after its acceptance, after a cancel, or long after its end', () => {
   const early = new Scenario([PAIR]);
   early.now = 3_100;
   early.history.told(JOB, 3_000, 'no_such_job');
-  assert.deepEqual(early.brokenGuarantees(), []);
+  assert.deepEqual(early.violatedGuarantees(), []);
   const cancelled = new Scenario([PAIR], { cancelRequestedAt: 2_000 });
   cancelled.now = 4_000;
   cancelled.history.told(JOB, 3_500, 'no_such_job');
-  assert.deepEqual(cancelled.brokenGuarantees(), []);
+  assert.deepEqual(cancelled.violatedGuarantees(), []);
   const finished = scenarioOfTwoTasks();
   finished.history.statusMs = 20_000;
   finished.endRun(4_000, task(1), 1, 'done');
   finished.now = 24_000;
   finished.history.told(JOB, 23_000, 'no_such_job');
-  assert.deepEqual(finished.brokenGuarantees(), []);
+  assert.deepEqual(finished.violatedGuarantees(), []);
   finished.now = 23_999;
   finished.history.told(JOB, 23_000, 'no_such_job');
-  assert.deepEqual(finished.brokenGuarantees(), ['known_once_accepted']);
+  assert.deepEqual(finished.violatedGuarantees(), ['known_once_accepted']);
 });
 
 /** A scenario of three jobs that were accepted at 0 and have not started. */
@@ -123,7 +123,7 @@
   const scenario = scenarioOfThreeJobs();
   scenario.now = 5_010;
   scenario.history.recordQueueLength('h1', 5_001, 1);
-  assert.deepEqual(scenario.brokenGuarantees(), ['length_counts']);
+  assert.deepEqual(scenario.violatedGuarantees(), ['length_counts']);
 });
 
 test('a queue length may omit half of the waiting jobs, and jobs accepted just before', () => {
@@ -132,7 +132,7 @@
   scenario.history.recordQueueLength('h1', 5_000, 0);
   scenario.now = 5_010;
   scenario.history.recordQueueLength('h1', 5_001, 2);
-  assert.deepEqual(scenario.brokenGuarantees(), []);
+  assert.deepEqual(scenario.violatedGuarantees(), []);
 });
 
 test('started or cancelled jobs need not be counted in the queue length', () => {
@@ -143,7 +143,7 @@
   cancelled.cancelRequestedAt = 4_000;
   scenario.now = 5_010;
   scenario.history.recordQueueLength('h1', 5_001, 1);
-  assert.deepEqual(scenario.brokenGuarantees(), []);
+  assert.deepEqual(scenario.violatedGuarantees(), []);
 });
 
 test('a queue length is not judged during faults of its host or the log, but during other faults it is', () => {
@@ -152,14 +152,14 @@
     scenario.faults.add({ from: 1_000, until: 2_500, of });
     scenario.now = 5_010;
     scenario.history.recordQueueLength('h1', 5_001, 0);
-    assert.deepEqual(scenario.brokenGuarantees(), []);
+    assert.deepEqual(scenario.violatedGuarantees(), []);
   }
   for (const of of [{ host: 'h2' }, 'workers'] as const) {
     const scenario = scenarioOfThreeJobs();
     scenario.faults.add({ from: 1_000, until: 2_500, of });
     scenario.now = 5_010;
     scenario.history.recordQueueLength('h1', 5_001, 0);
-    assert.deepEqual(scenario.brokenGuarantees(), ['length_counts']);
+    assert.deepEqual(scenario.violatedGuarantees(), ['length_counts']);
   }
 });
 
@@ -168,12 +168,12 @@
   scenario.startRun(100, task(), 1, 'w1');
   scenario.crashWorker(110, task(), 1, 'w1');
   scenario.history.told(JOB, 200, 'failed');
-  assert.deepEqual(scenario.brokenGuarantees(), ['failed_when_spent']);
+  assert.deepEqual(scenario.violatedGuarantees(), ['failed_when_spent']);
   const abandoned = new Scenario([{ tasks: 1, after: [] }]);
   for (const run of [1, 2]) {
     abandoned.startRun(run * 100, task(), run, 'w1');
     abandoned.crashWorker(run * 100 + 10, task(), run, 'w1');
   }
   abandoned.history.told(JOB, 300, 'failed');
-  assert.deepEqual(abandoned.brokenGuarantees(), []);
+  assert.deepEqual(abandoned.violatedGuarantees(), []);
 });
--- a/packages/stand-ins/src/jobs/response-guarantees.ts
+++ b/packages/stand-ins/src/jobs/response-guarantees.ts
@@ -7,7 +7,7 @@
   abandonableAt,
   jobDoneAt,
   type HistoryFacts,
-  type PromisedJob,
+  type SubmittedJob,
   type GuaranteeName,
   type StatusReport,
   type QueueLengthReport,
@@ -33,22 +33,22 @@
 
 function checkStatus(facts: HistoryFacts, report: StatusReport): Violation[] {
   const job = facts.jobs.get(report.job);
-  const guarantee = job && brokenGuarantee(facts, report, job);
+  const guarantee = job && violatedGuarantee(facts, report, job);
   return guarantee === undefined
     ? []
     : [
         {
-          guarantee: guarantee,
+          guarantee,
           task: report.job,
           detail: `shown as ${report.state} at ${report.at}`,
         },
       ];
 }
 
-function brokenGuarantee(
+function violatedGuarantee(
   facts: HistoryFacts,
   report: StatusReport,
-  job: PromisedJob,
+  job: SubmittedJob,
 ): GuaranteeName | undefined {
   switch (report.state) {
     case 'completed':
@@ -80,7 +80,7 @@
 function attemptsSpentAt(
   { runs }: HistoryFacts,
   id: string,
-  job: PromisedJob,
+  job: SubmittedJob,
 ): Instant {
   const failures = new Map<string, Map<string, Instant>>();
   for (const { task, run, worker, how, endedAt } of runs) {
@@ -123,7 +123,7 @@
 function isWronglyUnknown(
   facts: HistoryFacts,
   { requestedAt, at, job: id }: StatusReport,
-  job: PromisedJob,
+  job: SubmittedJob,
 ): boolean {
   const finishedAt = Math.min(
     jobDoneAt(facts, id),
@@ -156,7 +156,7 @@
         {
           guarantee: 'length_counts',
           task: 'queue',
-          detail: `${host} told ${length} at ${at}, waiting: ${waiting.join(', ')}`,
+          detail: `${host} reported ${length} at ${at}, waiting: ${waiting.join(', ')}`,
         },
       ]
     : [];
@@ -165,7 +165,7 @@
 function isWaiting(
   { runs }: HistoryFacts,
   id: string,
-  job: PromisedJob,
+  job: SubmittedJob,
   { requestedAt, at }: QueueLengthReport,
 ): boolean {
   const cancelAt = Math.min(job.cancelledAt, job.cancelRequestedAt ?? Infinity);
--- a/packages/stand-ins/src/jobs/run-guarantees.test.ts
+++ b/packages/stand-ins/src/jobs/run-guarantees.test.ts
@@ -10,7 +10,7 @@
   const scenario = new Scenario([ONE]);
   scenario.startRun(100, task(), 1, 'w1');
   scenario.startRun(200, task(), 2, 'w2');
-  assert.deepEqual(scenario.brokenGuarantees(), ['one_place_at_a_time']);
+  assert.deepEqual(scenario.violatedGuarantees(), ['one_place_at_a_time']);
 });
 
 test('consecutive runs of a task and speculative copies are no violations', () => {
@@ -18,11 +18,11 @@
   scenario.startRun(100, task(), 1, 'w1');
   scenario.endRun(200, task(), 1, 'stopped');
   scenario.startRun(200, task(), 2, 'w2');
-  assert.deepEqual(scenario.brokenGuarantees(), []);
+  assert.deepEqual(scenario.violatedGuarantees(), []);
   const copied = new Scenario([COPIES]);
   copied.startRun(100, task(), 1, 'w1');
   copied.startRun(200, task(), 2, 'w2');
-  assert.deepEqual(copied.brokenGuarantees(), []);
+  assert.deepEqual(copied.violatedGuarantees(), []);
 });
 
 test('a run after an acknowledged end is a violation', () => {
@@ -30,7 +30,7 @@
   scenario.startRun(100, task(), 1);
   scenario.endRun(200, task(), 1, 'done');
   scenario.startRun(300, task(), 2);
-  assert.deepEqual(scenario.brokenGuarantees(), ['finish_once']);
+  assert.deepEqual(scenario.violatedGuarantees(), ['finish_once']);
 });
 
 test('a speculative copy that starts over 1 s after an acknowledged end is a violation', () => {
@@ -38,7 +38,7 @@
   scenario.startRun(100, task(), 1);
   scenario.endRun(200, task(), 1, 'done');
   scenario.startRun(1_201, task(), 2);
-  assert.deepEqual(scenario.brokenGuarantees(), ['finish_once']);
+  assert.deepEqual(scenario.violatedGuarantees(), ['finish_once']);
 });
 
 test('a run after an unacknowledged end, or a copy soon after an end, is no violation', () => {
@@ -46,12 +46,12 @@
   scenario.startRun(100, task(), 1);
   scenario.endRunUnacknowledged(200, task(), 1, 'done');
   scenario.startRun(300, task(), 2);
-  assert.deepEqual(scenario.brokenGuarantees(), []);
+  assert.deepEqual(scenario.violatedGuarantees(), []);
   const copied = new Scenario([COPIES]);
   copied.startRun(100, task(), 1);
   copied.endRun(200, task(), 1, 'done');
   copied.startRun(1_200, task(), 2);
-  assert.deepEqual(copied.brokenGuarantees(), []);
+  assert.deepEqual(copied.violatedGuarantees(), []);
 });
 
 test('a step that starts before the step it depends on is done is a violation', () => {
@@ -63,7 +63,7 @@
   scenario.startRun(100, task(1), 1);
   scenario.endRun(200, task(0), 1, 'done');
   scenario.startRun(300, task(0, 1), 1, 'w2');
-  assert.deepEqual(scenario.brokenGuarantees(), ['steps_in_order']);
+  assert.deepEqual(scenario.violatedGuarantees(), ['steps_in_order']);
 });
 
 test('a step that starts after the step it depends on is no violation', () => {
@@ -71,7 +71,7 @@
   scenario.startRun(100, task(), 1);
   scenario.endRun(200, task(), 1, 'done');
   scenario.startRun(200, task(0, 1), 1);
-  assert.deepEqual(scenario.brokenGuarantees(), []);
+  assert.deepEqual(scenario.violatedGuarantees(), []);
 });
 
 test('a step may start once one member of the gang it depends on is done', () => {
@@ -83,7 +83,7 @@
   scenario.startRun(100, task(1), 1);
   scenario.endRun(200, task(0), 1, 'done');
   scenario.startRun(200, task(0, 1), 1, 'w2');
-  assert.deepEqual(scenario.brokenGuarantees(), []);
+  assert.deepEqual(scenario.violatedGuarantees(), []);
 });
 
 test('an attempt beyond the maximum is a violation', () => {
@@ -92,7 +92,7 @@
     scenario.startRun(run * 100, task(), run);
     scenario.endRun(run * 100 + 50, task(), run, 'failed');
   }
-  assert.deepEqual(scenario.brokenGuarantees(), ['attempts_bounded']);
+  assert.deepEqual(scenario.violatedGuarantees(), ['attempts_bounded']);
 });
 
 test('a speculative copy that starts over 1 s after the last acknowledged attempt is a violation', () => {
@@ -102,7 +102,7 @@
     scenario.endRun(run * 100 + 50, task(), run, 'failed');
   }
   scenario.startRun(1_251, task(), 3);
-  assert.deepEqual(scenario.brokenGuarantees(), ['attempts_bounded']);
+  assert.deepEqual(scenario.violatedGuarantees(), ['attempts_bounded']);
 });
 
 test('stopped runs and failures of a long-running task do not count as attempts', () => {
@@ -114,14 +114,14 @@
     lasting.startRun(run * 100, task(), run);
     lasting.endRun(run * 100 + 50, task(), run, 'failed');
   }
-  assert.deepEqual(scenario.brokenGuarantees(), []);
-  assert.deepEqual(lasting.brokenGuarantees(), []);
+  assert.deepEqual(scenario.violatedGuarantees(), []);
+  assert.deepEqual(lasting.violatedGuarantees(), []);
 });
 
 test('a run that starts over 3 s after the cancellation is a violation', () => {
   const scenario = new Scenario([ONE], { cancelledAt: 1_000 });
   scenario.startRun(4_001, task(), 1);
-  assert.deepEqual(scenario.brokenGuarantees(), ['nothing_after_cancel']);
+  assert.deepEqual(scenario.violatedGuarantees(), ['nothing_after_cancel']);
 });
 
 test('a run within 3 s of the cancellation, or on a delayed order, is no violation', () => {
@@ -129,7 +129,7 @@
   scenario.startRun(4_000, task(), 1);
   scenario.endRun(4_100, task(), 1, 'stopped');
   scenario.startDelayedRun(9_000, task(), 2);
-  assert.deepEqual(scenario.brokenGuarantees(), []);
+  assert.deepEqual(scenario.violatedGuarantees(), []);
 });
 
 test('a third start after a task crashed three workers is a violation, a second one is not', () => {
@@ -138,7 +138,7 @@
     scenario.startRun(run * 100, task(), run, 'w1');
     scenario.crashWorker(run * 100 + 10, task(), run, 'w1');
   }
-  assert.deepEqual(scenario.brokenGuarantees(), []);
+  assert.deepEqual(scenario.violatedGuarantees(), []);
   scenario.startRun(600, task(), 6, 'w1');
-  assert.deepEqual(scenario.brokenGuarantees(), ['crashes_bounded']);
+  assert.deepEqual(scenario.violatedGuarantees(), ['crashes_bounded']);
 });
