--- a/packages/stand-ins/src/jobs/gangs.ts
+++ b/packages/stand-ins/src/jobs/gangs.ts
@@ -67,10 +67,10 @@
   }
 }
 
-function breakGang(gang: Gang, left: GangMember): void {
+function breakGang(gang: Gang, stopped: GangMember): void {
   if (!gang.finished) {
     gang.finished = true;
-    for (const member of gang.members.filter(other => other !== left)) {
+    for (const member of gang.members.filter(other => other !== stopped)) {
       member.end('broken');
     }
   }
--- a/packages/stand-ins/src/jobs/history.fixture.test.ts
+++ b/packages/stand-ins/src/jobs/history.fixture.test.ts
@@ -4,9 +4,9 @@
 
 import { FaultTimes } from './fault-times.js';
 import type {
+  GuaranteeName,
   SubmittedJob,
   SubmittedStep,
-  GuaranteeName,
 } from './history-facts.js';
 import { JobHistory } from './job-history.js';
 
--- a/packages/stand-ins/src/jobs/job-history.ts
+++ b/packages/stand-ins/src/jobs/job-history.ts
@@ -14,10 +14,10 @@
 import {
   jobDoneAt,
   type HistoryFacts,
-  type SubmittedJob,
+  type QueueLengthReport,
   type RunTrace,
   type StatusReport,
-  type QueueLengthReport,
+  type SubmittedJob,
   type Violation,
   type WorkerTrace,
 } from './history-facts.js';
--- a/packages/stand-ins/src/jobs/long-running-guarantee.test.ts
+++ b/packages/stand-ins/src/jobs/long-running-guarantee.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { SIZE, Scenario, task } from './history.fixture.test.js';
+import { Scenario, SIZE, task } from './history.fixture.test.js';
 
 const LONG_RUNNING = { tasks: 1, after: [], lasting: true, size: SIZE };
 
--- a/packages/stand-ins/src/jobs/long-running-guarantee.ts
+++ b/packages/stand-ins/src/jobs/long-running-guarantee.ts
@@ -9,9 +9,9 @@
   stepOf,
   violation,
   type HistoryFacts,
+  type RunTrace,
   type SubmittedJob,
   type SubmittedStep,
-  type RunTrace,
   type Violation,
   type WorkerTrace,
 } from './history-facts.js';
--- a/packages/stand-ins/src/jobs/memory-fleet.ts
+++ b/packages/stand-ins/src/jobs/memory-fleet.ts
@@ -5,8 +5,8 @@
   type WorkerInfo,
 } from '@paddlewind/domain/jobs';
 import type {
-  PollResult,
   OrderResult,
+  PollResult,
   WorkerAddress,
   WorkerFeed,
   WorkerPort,
--- a/packages/stand-ins/src/jobs/memory-worker.ts
+++ b/packages/stand-ins/src/jobs/memory-worker.ts
@@ -9,9 +9,9 @@
 } from '@paddlewind/domain/jobs';
 import type {
   EndedRun,
+  OrderResult,
   PollRequest,
   PollResult,
-  OrderResult,
   RunOrder,
   StartOrder,
 } from '@paddlewind/ports/jobs';
--- a/packages/stand-ins/src/jobs/response-guarantees.ts
+++ b/packages/stand-ins/src/jobs/response-guarantees.ts
@@ -6,11 +6,11 @@
 import {
   abandonableAt,
   jobDoneAt,
-  type HistoryFacts,
-  type SubmittedJob,
   type GuaranteeName,
-  type StatusReport,
+  type HistoryFacts,
   type QueueLengthReport,
+  type StatusReport,
+  type SubmittedJob,
   type Violation,
 } from './history-facts.js';
 
--- a/packages/stand-ins/src/users-platform/worker-server.ts
+++ b/packages/stand-ins/src/users-platform/worker-server.ts
@@ -1,6 +1,6 @@
 /** Test double of a worker of the platform: receives orders over HTTP and executes them in memory. */
 import { parseTaskName, taskName } from '@paddlewind/domain/jobs';
-import type { PollResult, OrderResult } from '@paddlewind/ports/jobs';
+import type { OrderResult, PollResult } from '@paddlewind/ports/jobs';
 
 import type { Listener } from '../http/json-server.js';
 import type { MemoryWorker } from '../jobs/memory-worker.js';
