--- a/packages/domain/src/jobs/account.ts
+++ b/packages/domain/src/jobs/account.ts
@@ -1,4 +1,4 @@
-/** Accounts for a fleet at one moment: who holds its processors, and why tasks wait. */
+/** Snapshot of a fleet: how its processors are used, and why tasks wait. */
 import type { Millis } from '../core/time.js';
 import { waitingTasks, type Occurrence, type Run, type Step } from './job.js';
 import { candidates, type Candidate } from './order.js';
@@ -7,184 +7,186 @@
   obstacleAt,
   OBSTACLES,
   type Obstacle,
-  type PlaceInput,
+  type PlacementInput,
   type WorkerInfo,
 } from './placement.js';
-import { placeInputOf, type PlanInput } from './plan.js';
+import { placementInputOf, type PlanInput } from './plan.js';
 import { sizeGroupsOf, type SizeGroup } from './size-groups.js';
 import { workOf } from './worth.js';
 
 /**
- * Why a task waits: what the worker that came nearest to having it lacks; `disturbance`: it would be
- * slowed or disturb what serves wherever it fits; `turn`: there is room, and the next round may give it;
- * `no_worker`: none may be used; `unexamined`: more kinds of tasks wait than an account looks at.
+ * Why a task waits. An obstacle: what the task lacks on the worker that passed the most checks of `OBSTACLES`;
+ * `disturbance`: wherever it fits it would be slowed or would disturb a serving task; `turn`: there is free
+ * capacity, and the next round may start it; `no_worker`: no worker is usable; `unexamined`: more kinds of
+ * tasks wait than one snapshot examines.
  */
 export type WaitReason =
   Obstacle | 'disturbance' | 'turn' | 'no_worker' | 'unexamined';
 
-/** Thousandths of a core, summed over all workers. */
+/** Processor use of all workers, in thousandths of a core. */
 export interface ProcessorAccount {
-  /** Of all registered workers. */
+  /** Capacity of all registered workers. */
   registered: number;
-  /** Of those among them that may be given tasks now. */
+  /** Capacity of the workers that may be given tasks now. */
   usable: number;
-  /** Promised to tasks that end, to lasting ones, and to fillers, by what they ask for. */
+  /** Requested by running batch tasks, long-running tasks, and best-effort fillers. */
   plain: number;
   lasting: number;
   filler: number;
-  /** In use by plain tasks and by fillers, as workers report it; what serves reports its tail instead. */
+  /** Reported use by batch tasks and by fillers; serving tasks report their tail latency instead. */
   plainInUse: number;
   fillerInUse: number;
-  /** Withheld from fillers by limits on their speed. */
+  /** Withheld from fillers by their speed limits. */
   throttled: number;
 }
 
-/** The waiting tasks of one queue by reason. */
-export type Waiting = Readonly<Partial<Record<WaitReason, number>>>;
+/** Number of waiting tasks of one queue, by reason. */
+export type WaitingByReason = Readonly<Partial<Record<WaitReason, number>>>;
 
-/** Jobs of one size that wait. */
+/** Waiting jobs of one size group. */
 export interface WaitingJobs {
   readonly jobs: number;
-  /** Those among them of which no task was ever started. */
+  /** Number of them of which no task was ever started. */
   readonly notBegun: number;
-  /** Time since the oldest of them was first seen or was due. */
+  /** Time since the oldest of them was first seen, or was due. */
   readonly oldestMs: Millis;
-  /** Why the first in turn waits. */
+  /** Why the first one in scheduling order waits. */
   readonly reason: WaitReason;
 }
 
-/** The waiting jobs of one queue by size. */
-export type WaitingSizes = Readonly<Partial<Record<SizeGroup, WaitingJobs>>>;
+/** The waiting jobs of one queue, by size group. */
+export type WaitingBySize = Readonly<Partial<Record<SizeGroup, WaitingJobs>>>;
 
-/** An account of the fleet. */
+/** Snapshot of the use of a fleet. */
 export interface FleetAccount {
   readonly workers: number;
   readonly usableWorkers: number;
   readonly processors: Readonly<ProcessorAccount>;
-  /** Tasks whose turn has come, by queue and reason; further queues are summed under `OTHER_QUEUES`. */
-  readonly waiting: Readonly<Record<string, Waiting>>;
-  /** Jobs of which tasks wait whose turn has come, of as many queues as are told apart. */
-  readonly sizes: Readonly<Record<string, WaitingSizes>>;
+  /** Tasks that are ready but wait, by queue and reason; queues beyond the limit are summed under `OTHER_QUEUES`. */
+  readonly waiting: Readonly<Record<string, WaitingByReason>>;
+  /** Jobs with tasks that are ready but wait, by queue; queues beyond the limit are left out. */
+  readonly sizes: Readonly<Record<string, WaitingBySize>>;
 }
 
-/** What an account is made of: a round's input, and all workers that are registered. */
+/** Input of a snapshot: that of a planning round, and all registered workers. */
 export interface AccountInput {
   readonly plan: PlanInput;
   readonly registered: readonly WorkerInfo[];
 }
 
-/** Kinds of waiting tasks that one account looks at, each against all workers: bounds its cost. */
-const MAX_KINDS = 24;
-/** Queues that an account tells apart: bounds its size. */
+/** Most kinds of waiting tasks examined per snapshot; each is checked against all workers. */
+const MAX_TASK_KINDS = 24;
+/** Most queues listed separately, so that the size of a snapshot is bounded. */
 const MAX_QUEUES = 8;
-/** Name under which further queues are summed. */
+/** Name under which the remaining queues are summed. */
 export const OTHER_QUEUES = '(others)';
 
-/** Accounts for the fleet as it is now. */
+/** Returns a snapshot of the fleet. */
 export function accountFleet(input: AccountInput): FleetAccount {
   const { plan, registered } = input;
-  const inTurn = candidates(plan.state.open, plan.times, plan.time);
+  const ordered = candidates(plan.state.open, plan.times, plan.time);
   return {
     workers: registered.length,
     usableWorkers: plan.workers.length,
-    processors: accountProcessors(input),
-    waiting: accountWaiting(plan, inTurn),
-    sizes: accountSizes(plan, inTurn),
+    processors: countProcessors(input),
+    waiting: countWaitingByReason(plan, ordered),
+    sizes: groupWaitingBySize(plan, ordered),
   };
 }
 
-function accountProcessors({
-  plan,
-  registered,
-}: AccountInput): ProcessorAccount {
-  const found: ProcessorAccount = {
-    ...noProcessors(),
-    registered: sumOf(registered),
-    usable: sumOf(plan.workers.map(({ info }) => info)),
+function countProcessors({ plan, registered }: AccountInput): ProcessorAccount {
+  const totals: ProcessorAccount = {
+    ...emptyProcessorAccount(),
+    registered: totalCpuMilli(registered),
+    usable: totalCpuMilli(plan.workers.map(({ info }) => info)),
   };
   for (const { runs } of plan.state.workers.values()) {
     for (const run of runs.values()) {
-      addRun(found, run);
+      addRun(totals, run);
     }
   }
-  return found;
+  return totals;
 }
 
-function sumOf(workers: readonly WorkerInfo[]): number {
+function totalCpuMilli(workers: readonly WorkerInfo[]): number {
   return workers.reduce((sum, { capacity }) => sum + capacity.cpuMilli, 0);
 }
 
-function addRun(found: ProcessorAccount, { task, progress }: Run): void {
+function addRun(totals: ProcessorAccount, { task, progress }: Run): void {
   const { spec } = task.step;
   const { cpuMilli } = spec.size;
   if (spec.filler) {
-    found.filler += cpuMilli;
-    found.fillerInUse += progress?.reading ?? 0;
-    found.throttled += (cpuMilli * (100 - (progress?.allowed ?? 100))) / 100;
+    totals.filler += cpuMilli;
+    totals.fillerInUse += progress?.reading ?? 0;
+    totals.throttled += (cpuMilli * (100 - (progress?.allowed ?? 100))) / 100;
   } else if (spec.lasting) {
-    found.lasting += cpuMilli;
+    totals.lasting += cpuMilli;
   } else {
-    found.plain += cpuMilli;
-    found.plainInUse += progress?.reading ?? 0;
+    totals.plain += cpuMilli;
+    totals.plainInUse += progress?.reading ?? 0;
   }
 }
 
-function accountWaiting(
+function countWaitingByReason(
   plan: PlanInput,
-  inTurn: readonly Candidate[],
-): Record<string, Waiting> {
-  const place = placeInputOf(plan);
+  ordered: readonly Candidate[],
+): Record<string, WaitingByReason> {
+  const placement = placementInputOf(plan);
   const reasons = new Map<string, WaitReason>();
-  const found: Record<string, Partial<Record<WaitReason, number>>> = {};
-  for (const { step } of inTurn) {
+  const countsByQueue: Record<string, Partial<Record<WaitReason, number>>> = {};
+  for (const { step } of ordered) {
     const { queue } = step.occurrence.job.spec.terms;
-    const known = queue in found || Object.keys(found).length < MAX_QUEUES;
-    const waiting = (found[known ? queue : OTHER_QUEUES] ??= {});
-    const reason = reasonOf(place, step, reasons);
-    waiting[reason] = (waiting[reason] ?? 0) + waitingTasks(step).length;
+    const isListed =
+      queue in countsByQueue || Object.keys(countsByQueue).length < MAX_QUEUES;
+    const counts = (countsByQueue[isListed ? queue : OTHER_QUEUES] ??= {});
+    const reason = cachedReasonOf(placement, step, reasons);
+    counts[reason] = (counts[reason] ?? 0) + waitingTasks(step).length;
   }
-  return found;
+  return countsByQueue;
 }
 
-function accountSizes(
+function groupWaitingBySize(
   plan: PlanInput,
-  inTurn: readonly Candidate[],
-): Record<string, WaitingSizes> {
+  ordered: readonly Candidate[],
+): Record<string, WaitingBySize> {
   const queues = new Map<string, Map<Occurrence, Candidate>>();
-  for (const candidate of inTurn) {
+  for (const candidate of ordered) {
     const { occurrence } = candidate.step;
     const { queue } = occurrence.job.spec.terms;
-    const known = queues.get(queue) ?? new Map<Occurrence, Candidate>();
+    const jobsOfQueue = queues.get(queue) ?? new Map<Occurrence, Candidate>();
     if (queues.size < MAX_QUEUES || queues.has(queue)) {
-      queues.set(queue, known);
+      queues.set(queue, jobsOfQueue);
     }
-    if (!known.has(occurrence)) {
-      known.set(occurrence, candidate);
+    if (!jobsOfQueue.has(occurrence)) {
+      jobsOfQueue.set(occurrence, candidate);
     }
   }
   return Object.fromEntries(
     [...queues].map(([queue, jobs]) => [
       queue,
-      sizesOf(plan, [...jobs.values()]),
+      waitingBySizeOf(plan, [...jobs.values()]),
     ]),
   );
 }
 
-/** `inTurn` holds the first step of each job. */
-function sizesOf(plan: PlanInput, inTurn: readonly Candidate[]): WaitingSizes {
-  const groups = sizeGroupsOf(inTurn, ({ step }) =>
+/** Groups jobs by size; `ordered` holds the first step of each job in scheduling order. */
+function waitingBySizeOf(
+  plan: PlanInput,
+  ordered: readonly Candidate[],
+): WaitingBySize {
+  const groups = sizeGroupsOf(ordered, ({ step }) =>
     workOf(step.occurrence, plan.times),
   );
   return Object.fromEntries(
     groups.map(([group, members]) => {
-      const own = new Set(members);
-      const first = inTurn.find(candidate => own.has(candidate));
-      return [group, waitingJobs(plan, members, first)];
+      const memberSet = new Set(members);
+      const first = ordered.find(candidate => memberSet.has(candidate));
+      return [group, describeWaitingJobs(plan, members, first)];
     }),
   );
 }
 
-function waitingJobs(
+function describeWaitingJobs(
   plan: PlanInput,
   members: readonly Candidate[],
   first: Candidate | undefined,
@@ -192,18 +194,18 @@
   const oldest = Math.min(...members.map(({ since }) => since));
   return {
     jobs: members.length,
-    notBegun: members.filter(({ begun }) => !begun).length,
+    notBegun: members.filter(({ started }) => !started).length,
     oldestMs: Math.round(plan.time.now - oldest),
     reason:
       first === undefined
         ? 'no_worker'
-        : decideReason(placeInputOf(plan), first.step),
+        : decideReason(placementInputOf(plan), first.step),
   };
 }
 
-/** Steps of a queue that run alike wait for one reason, that of the first in turn. */
-function reasonOf(
-  place: PlaceInput,
+/** Similar steps of a queue share the reason of the first one, so that it is worked out once. */
+function cachedReasonOf(
+  placement: PlacementInput,
   step: Step,
   reasons: Map<string, WaitReason>,
 ): WaitReason {
@@ -214,22 +216,22 @@
   if (known !== undefined) {
     return known;
   }
-  if (reasons.size >= MAX_KINDS) {
+  if (reasons.size >= MAX_TASK_KINDS) {
     return 'unexamined';
   }
-  const reason = decideReason(place, step);
+  const reason = decideReason(placement, step);
   reasons.set(key, reason);
   return reason;
 }
 
-function decideReason(place: PlaceInput, step: Step): WaitReason {
+function decideReason(placement: PlacementInput, step: Step): WaitReason {
   const [task] = waitingTasks(step);
-  if (task === undefined || chooseWorker(place, task) !== undefined) {
+  if (task === undefined || chooseWorker(placement, task) !== undefined) {
     return 'turn';
   }
   let furthest = -1;
-  for (const worker of place.workers) {
-    const obstacle = obstacleAt(place, worker, task);
+  for (const worker of placement.workers) {
+    const obstacle = obstacleAt(placement, worker, task);
     if (obstacle === undefined) {
       return 'disturbance';
     }
@@ -238,16 +240,16 @@
   return OBSTACLES[furthest] ?? 'no_worker';
 }
 
-/** The account of a host that does not lead. */
+/** Snapshot of a host that is not the leader. */
 export const EMPTY_ACCOUNT: FleetAccount = {
   workers: 0,
   usableWorkers: 0,
-  processors: noProcessors(),
+  processors: emptyProcessorAccount(),
   waiting: {},
   sizes: {},
 };
 
-function noProcessors(): ProcessorAccount {
+function emptyProcessorAccount(): ProcessorAccount {
   return {
     registered: 0,
     usable: 0,
--- a/packages/domain/src/jobs/advice.ts
+++ b/packages/domain/src/jobs/advice.ts
@@ -1,17 +1,17 @@
-/** Tickets of the advice service, which alone knows the workers that a queue's policy allows a step. */
+/** Tickets of the advice service, which decides on which workers a queue's policy allows a step to run. */
 import type { Instant, Millis } from '../core/time.js';
 import { waitingTasks, type Step } from './job.js';
 
-/** Most workers that one question names. */
-const MAX_NAMED = 30;
-/** Workers named for each task that waits, so that some are allowed. */
-const NAMED_PER_TASK = 3;
-/** Fewest workers that a question names. */
-const MIN_NAMED = 10;
-/** A ticket that is valid for less than this is not used: an order may take as long. */
+/** Most workers in one request. */
+const MAX_WORKERS_PER_REQUEST = 30;
+/** Workers requested for each waiting task, since not all of them will be approved. */
+const WORKERS_PER_WAITING_TASK = 3;
+/** Fewest workers in one request, if there are as many. */
+const MIN_WORKERS_PER_REQUEST = 10;
+/** Validity that a ticket must have left to be used, since a start command may take this long. */
 const TICKET_MARGIN_MS: Millis = 300;
 
-/** A question about a step. */
+/** A request for tickets to run a step on any of `workers`. */
 export interface Question {
   readonly step: Step;
   readonly workers: readonly string[];
@@ -22,32 +22,32 @@
   readonly validUntil: Instant;
 }
 
-interface Known {
-  /** Workers that were asked about; the answer for a worker does not change. */
+interface StepAdvice {
+  /** Workers already requested; the decision on a worker does not change. */
   readonly asked: Set<string>;
   readonly tickets: Map<string, Ticket>;
 }
 
-/** What the advice service has said so far. */
+/** Tickets and refusals that the advice service has returned so far. */
 export class Advice {
-  private readonly steps = new WeakMap<Step, Known>();
+  private readonly adviceByStep = new WeakMap<Step, StepAdvice>();
 
-  /** Whether a step may run on a worker now. */
+  /** Tells whether a step may run on a worker now. */
   admits(step: Step, worker: string, now: Instant): boolean {
     return (
       !needsAdvice(step) || this.ticketFor(step, worker, now) !== undefined
     );
   }
 
-  /** Returns the ticket for a run of the step on a worker. */
+  /** Returns a valid ticket for running the step on a worker, or undefined. */
   ticketFor(step: Step, worker: string, now: Instant): string | undefined {
-    const found = this.steps.get(step)?.tickets.get(worker);
+    const found = this.adviceByStep.get(step)?.tickets.get(worker);
     return found !== undefined && found.validUntil - TICKET_MARGIN_MS > now
       ? found.ticket
       : undefined;
   }
 
-  /** Returns the question that a step needs answered, undefined when it needs none. */
+  /** Returns the request to send for a step, or undefined if none is needed. */
   questionFor(
     step: Step,
     workers: readonly string[],
@@ -60,25 +60,31 @@
     if (workers.some(worker => this.admits(step, worker, now))) {
       return undefined;
     }
-    const known = this.steps.get(step);
+    const known = this.adviceByStep.get(step);
     const allowed = workers.filter(worker => known?.tickets.has(worker));
-    const fresh = workers.filter(worker => !known?.asked.has(worker));
-    const wanted = Math.max(MIN_NAMED, NAMED_PER_TASK * waiting.length);
-    const named = [...allowed, ...fresh].slice(0, Math.min(MAX_NAMED, wanted));
-    return named.length === 0 ? undefined : { step, workers: named };
+    const notAsked = workers.filter(worker => !known?.asked.has(worker));
+    const wanted = Math.max(
+      MIN_WORKERS_PER_REQUEST,
+      WORKERS_PER_WAITING_TASK * waiting.length,
+    );
+    const selected = [...allowed, ...notAsked].slice(
+      0,
+      Math.min(MAX_WORKERS_PER_REQUEST, wanted),
+    );
+    return selected.length === 0 ? undefined : { step, workers: selected };
   }
 
-  /** Takes in an answer whose tickets are valid until `validUntil`. */
+  /** Records the answer to a request; its tickets are valid until `validUntil`. */
   take(
     { step, workers }: Question,
     approved: ReadonlyMap<string, string>,
     validUntil: Instant,
   ): void {
-    const known = this.steps.get(step) ?? {
+    const known = this.adviceByStep.get(step) ?? {
       asked: new Set(),
       tickets: new Map(),
     };
-    this.steps.set(step, known);
+    this.adviceByStep.set(step, known);
     for (const worker of workers) {
       known.asked.add(worker);
       known.tickets.delete(worker);
@@ -88,9 +94,9 @@
     }
   }
 
-  /** Forgets a ticket that a worker has refused. */
+  /** Discards a ticket that a worker has refused. */
   refuse(step: Step, worker: string): void {
-    this.steps.get(step)?.tickets.delete(worker);
+    this.adviceByStep.get(step)?.tickets.delete(worker);
   }
 }
 
--- a/packages/domain/src/jobs/booking.ts
+++ b/packages/domain/src/jobs/booking.ts
@@ -1,59 +1,59 @@
-/** Finds places for several tasks at once. */
+/** Tentative placement of several tasks, before any of them is started. */
 import type { Step, Task } from './job.js';
 import { addLoad, emptyRuns, type WorkerRuns } from './jobs-state.js';
-import { chooseWorker, type PlaceInput } from './placement.js';
+import { chooseWorker, type PlacementInput } from './placement.js';
 
-/** Places tasks one after the other, each with the room that the ones before it leave. */
-export class Booking {
-  /** What further choices go by: the present loads, and on top of them what was placed. */
-  readonly rest: PlaceInput;
+/** Reserves capacity for tasks one by one, each within what the earlier reservations leave. */
+export class Reservations {
+  /** Placement input whose loads include the reservations, for further choices of workers. */
+  readonly remaining: PlacementInput;
 
-  private readonly booked = new Map<string, WorkerRuns>();
-  /** Tasks placed by step and worker. */
-  private readonly placed = new Map<Step, Map<string, number>>();
+  private readonly reserved = new Map<string, WorkerRuns>();
+  /** Number of reservations by step and worker. */
+  private readonly placedByStep = new Map<Step, Map<string, number>>();
 
-  /** Creates a booking in which nothing is placed. */
-  constructor(input: PlaceInput) {
-    this.rest = {
-      ...input,
+  /** Creates an empty set of reservations. */
+  constructor(placement: PlacementInput) {
+    this.remaining = {
+      ...placement,
       loadOf: worker => {
-        const load = input.loadOf(worker);
-        const booked = this.booked.get(worker);
-        return booked === undefined ? load : withBooked(load, booked);
+        const load = placement.loadOf(worker);
+        const reserved = this.reserved.get(worker);
+        return reserved === undefined ? load : addLoads(load, reserved);
       },
       spreadOf: (task, worker) =>
-        input.spreadOf(task, worker) +
-        (this.placed.get(task.step)?.get(worker) ?? 0),
+        placement.spreadOf(task, worker) +
+        (this.placedByStep.get(task.step)?.get(worker) ?? 0),
     };
   }
 
-  /** Returns the worker that suits the task best and takes the room there, undefined when none has room. */
-  place(task: Task): string | undefined {
-    const worker = chooseWorker(this.rest, task)?.info.id;
+  /** Reserves capacity on the most suitable worker and returns its id, or undefined if the task fits nowhere. */
+  reserve(task: Task): string | undefined {
+    const worker = chooseWorker(this.remaining, task)?.info.id;
     if (worker === undefined) {
       return undefined;
     }
-    const booked = this.booked.get(worker) ?? emptyRuns();
-    addLoad(booked, task.step, 1);
-    this.booked.set(worker, booked);
-    this.notePlaced(task.step, worker);
+    const reserved = this.reserved.get(worker) ?? emptyRuns();
+    addLoad(reserved, task.step, 1);
+    this.reserved.set(worker, reserved);
+    this.countPlaced(task.step, worker);
     return worker;
   }
 
-  private notePlaced(step: Step, worker: string): void {
-    const byWorker = this.placed.get(step) ?? new Map<string, number>();
+  private countPlaced(step: Step, worker: string): void {
+    const byWorker = this.placedByStep.get(step) ?? new Map<string, number>();
     byWorker.set(worker, (byWorker.get(worker) ?? 0) + 1);
-    this.placed.set(step, byWorker);
+    this.placedByStep.set(step, byWorker);
   }
 }
 
-function withBooked(load: WorkerRuns, booked: WorkerRuns): WorkerRuns {
+function addLoads(load: WorkerRuns, reserved: WorkerRuns): WorkerRuns {
   return {
     runs: load.runs,
-    cpuMilli: load.cpuMilli + booked.cpuMilli,
-    servingCpuMilli: load.servingCpuMilli + booked.servingCpuMilli,
-    fillerCpuMilli: load.fillerCpuMilli + booked.fillerCpuMilli,
-    memoryMiB: load.memoryMiB + booked.memoryMiB,
-    accelerators: load.accelerators + booked.accelerators,
+    cpuMilli: load.cpuMilli + reserved.cpuMilli,
+    servingCpuMilli: load.servingCpuMilli + reserved.servingCpuMilli,
+    fillerCpuMilli: load.fillerCpuMilli + reserved.fillerCpuMilli,
+    memoryMiB: load.memoryMiB + reserved.memoryMiB,
+    accelerators: load.accelerators + reserved.accelerators,
   };
 }
--- a/packages/domain/src/jobs/copies.test.ts
+++ b/packages/domain/src/jobs/copies.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { isBehind, planCopies } from './copies.js';
+import { isStraggler, planCopies } from './copies.js';
 import type { Run } from './job.js';
 import type { JobsState } from './jobs-state.js';
 import {
@@ -64,8 +64,8 @@
 
 test('a run on a worker that has fallen silent gets a copy', () => {
   const { run } = site(COPIES, 90);
-  assert.equal(isBehind(run, EXPECTED_MS, 2_000), false);
-  assert.equal(isBehind(run, EXPECTED_MS, 2_700), true);
+  assert.equal(isStraggler(run, EXPECTED_MS, 2_000), false);
+  assert.equal(isStraggler(run, EXPECTED_MS, 2_700), true);
 });
 
 test('a step that does not allow it has no copies', () => {
--- a/packages/domain/src/jobs/copies.ts
+++ b/packages/domain/src/jobs/copies.ts
@@ -1,53 +1,53 @@
 /**
- * Decides which running tasks get a copy on another worker. Only steps that allow it have copies;
- * the first one to be done counts, and the other is stopped.
+ * Decides which running tasks get a speculative copy on another worker. Only steps that allow it have copies.
+ * The first run to complete counts, and the other one is stopped.
  */
 import type { Instant, Millis } from '../core/time.js';
 import { blameOf } from './blame.js';
 import type { Run, Step } from './job.js';
-import { placeInputOf, type ApplyStart, type PlanInput } from './plan.js';
-import { chooseWorker, type PlaceInput } from './placement.js';
+import { placementInputOf, type ApplyStart, type PlanInput } from './plan.js';
+import { chooseWorker, type PlacementInput } from './placement.js';
 
-/** A run is not judged before this long: reports come up to a second apart. */
-const MIN_AGE_MS: Millis = 600;
-/** Time that a copy takes to begin and to be told of, beyond its run time. */
-const COPY_EXTRA_MS: Millis = 300;
-/** A copy has to be expected to end this much sooner than the run, as a share of a run time. */
-const GAIN_SHARE = 0.5;
-/** A worker that has not reported for this long may be lost: looks wait 1 s and time out 0.4 s later. */
-const SILENCE_MS: Millis = 1_600;
-/** Most copies that one round starts: they take room that other tasks may need soon. */
-const MAX_COPIES = 8;
+/** Run time before which a run is never a straggler, since reports come up to a second apart. */
+const MIN_RUN_TIME_MS: Millis = 600;
+/** Time to start a copy and to receive its result, beyond its run time. */
+const COPY_OVERHEAD_MS: Millis = 300;
+/** Least expected time saved by a copy, as a fraction of the expected run time. */
+const MIN_GAIN_FRACTION = 0.5;
+/** Time without a report after which a worker may be lost: polls wait 1 s and time out 0.4 s later. */
+const SILENCE_TIMEOUT_MS: Millis = 1_600;
+/** Most copies started in one round, since they take capacity that other tasks may need soon. */
+const MAX_COPIES_PER_ROUND = 8;
 
-/** Starts copies of runs that are far behind, in room that nothing waits for. */
+/** Starts copies of stragglers in capacity that no waiting task needs. */
 export function planCopies(input: PlanInput, start: ApplyStart): void {
-  const place = placeInputOf(input);
-  let left = MAX_COPIES;
-  for (const run of singleRuns(input)) {
-    if (left === 0) {
+  const placement = placementInputOf(input);
+  let copiesLeft = MAX_COPIES_PER_ROUND;
+  for (const run of runsWithoutCopy(input)) {
+    if (copiesLeft === 0) {
       return;
     }
     const expected = input.times.expect(run.task.step);
     if (
-      isBehind(run, expected, input.time.now) &&
-      startCopy(place, run, start)
+      isStraggler(run, expected, input.time.now) &&
+      startCopy(placement, run, start)
     ) {
-      left -= 1;
+      copiesLeft -= 1;
     }
   }
 }
 
-/** Runs that are the only one of a task that may have copies. */
-function* singleRuns({ state }: PlanInput): Iterable<Run> {
+/** Yields the runs that may get a copy and have none yet. */
+function* runsWithoutCopy({ state }: PlanInput): Iterable<Run> {
   for (const job of state.open) {
     for (const { steps } of job.occurrences.values()) {
-      for (const step of steps.filter(mayHaveCopies)) {
-        // A copy of what may bring its worker down would cost another one.
-        const sound = step.tasks.filter(task => blameOf(task) === 0);
-        for (const { status, runs } of sound) {
-          const [only] = runs;
-          if (status === 'running' && only !== undefined && runs.length === 1) {
-            yield only;
+      for (const step of steps.filter(allowsCopies)) {
+        // A copy of a task that may crash its worker could crash a second worker.
+        const healthyTasks = step.tasks.filter(task => blameOf(task) === 0);
+        for (const { status, runs } of healthyTasks) {
+          const [run] = runs;
+          if (status === 'running' && run !== undefined && runs.length === 1) {
+            yield run;
           }
         }
       }
@@ -55,32 +55,42 @@
   }
 }
 
-function mayHaveCopies({ spec, remaining }: Step): boolean {
+function allowsCopies({ spec, remaining }: Step): boolean {
   return spec.speculative && !spec.lasting && !spec.gang && remaining > 0;
 }
 
-/** Tells whether a copy that begins now is expected to end well before the run. */
-export function isBehind(run: Run, expected: Millis, now: Instant): boolean {
+/** Tells whether a copy started now is expected to end well before the run. */
+export function isStraggler(
+  run: Run,
+  expectedMs: Millis,
+  now: Instant,
+): boolean {
   const { progress } = run;
   if (progress?.confirmed !== true || progress.stopping) {
     return false;
   }
-  if (now - progress.seenAt > SILENCE_MS) {
+  if (now - progress.seenAt > SILENCE_TIMEOUT_MS) {
     return true;
   }
-  const age = progress.seenAt - progress.since;
-  if (age < MIN_AGE_MS) {
+  const runTimeMs = progress.seenAt - progress.since;
+  if (runTimeMs < MIN_RUN_TIME_MS) {
     return false;
   }
   const done = progress.percent / 100;
-  const runLeft = done === 0 ? Infinity : (age * (1 - done)) / done;
-  return runLeft > expected * (1 + GAIN_SHARE) + COPY_EXTRA_MS;
+  const remainingMs = done === 0 ? Infinity : (runTimeMs * (1 - done)) / done;
+  return remainingMs > expectedMs * (1 + MIN_GAIN_FRACTION) + COPY_OVERHEAD_MS;
 }
 
-function startCopy(place: PlaceInput, run: Run, start: ApplyStart): boolean {
+function startCopy(
+  placement: PlacementInput,
+  run: Run,
+  start: ApplyStart,
+): boolean {
   const { task } = run;
-  const elsewhere = place.workers.filter(({ info }) => info.id !== run.worker);
-  const worker = chooseWorker({ ...place, workers: elsewhere }, task);
+  const otherWorkers = placement.workers.filter(
+    ({ info }) => info.id !== run.worker,
+  );
+  const worker = chooseWorker({ ...placement, workers: otherWorkers }, task);
   if (worker === undefined) {
     return false;
   }
--- a/packages/domain/src/jobs/estimate.ts
+++ b/packages/domain/src/jobs/estimate.ts
@@ -1,81 +1,81 @@
-/** Quantities that are known up to a variance, which grows with time (scalar Kalman filters). */
+/** Scalar Kalman filters: estimates with a variance that grows over time. */
 import type { Instant } from '../core/time.js';
 
 const MS_PER_S = 1000;
 
-/** What is known of a quantity. */
+/** Estimate of a quantity. */
 export interface Estimate {
   readonly mean: number;
   readonly variance: number;
 }
 
-/** Growth of a variance each second. */
+/** Growth of a variance per second. */
 export interface Drift {
-  readonly fixed: number;
-  /** Times the square of the mean. */
-  readonly ofMean: number;
+  readonly constant: number;
+  /** Growth per square of the mean. */
+  readonly perSquaredMean: number;
 }
 
-interface Dated extends Estimate {
+interface DatedEstimate extends Estimate {
   readonly at: Instant;
 }
 
 /** Estimates by key. */
 export class Estimates<K> {
-  private readonly known = new Map<K, Dated>();
+  private readonly estimates = new Map<K, DatedEstimate>();
 
-  /** Creates estimates that begin with `first` and whose variance grows by `drift`. */
+  /** Creates estimates that start at `initial` and whose variance grows by `drift`. */
   constructor(
-    private readonly first: Estimate,
+    private readonly initial: Estimate,
     private readonly drift: Drift,
   ) {}
 
-  /** Takes over what another one knew of a quantity at `at`. */
+  /** Sets an estimate to one that was made elsewhere, as of `at`. */
   seed(key: K, estimate: Estimate, at: Instant): void {
-    this.known.set(key, { ...estimate, at });
+    this.estimates.set(key, { ...estimate, at });
   }
 
-  /** Returns all that is known, the last corrected at the end. */
+  /** Returns all estimates, the most recently corrected one last. */
   entries(): Iterable<readonly [K, Estimate]> {
-    return this.known.entries();
+    return this.estimates.entries();
   }
 
   /** Returns the estimate as of its last correction. */
-  newest(key: K): Estimate {
-    return this.known.get(key) ?? this.first;
+  latest(key: K): Estimate {
+    return this.estimates.get(key) ?? this.initial;
   }
 
-  /** Returns the estimate as of `now`, its variance at most the first one. */
-  at(key: K, now: Instant): Dated {
-    const known = this.known.get(key);
+  /** Returns the estimate as of `now`; its variance never exceeds the initial one. */
+  at(key: K, now: Instant): DatedEstimate {
+    const known = this.estimates.get(key);
     if (known === undefined) {
-      return { ...this.first, at: now };
+      return { ...this.initial, at: now };
     }
-    const { fixed, ofMean } = this.drift;
+    const { constant: fixed, perSquaredMean: ofMean } = this.drift;
     const growth = fixed + ofMean * known.mean ** 2;
     const grown = known.variance + (growth * (now - known.at)) / MS_PER_S;
-    const variance = Math.min(grown, this.first.variance);
+    const variance = Math.min(grown, this.initial.variance);
     return { mean: known.mean, variance, at: now };
   }
 
   /**
-   * Corrects an estimate that entered the expectation of an observation with `weight`; `surprise` is
-   * the observation's error and the variance that was expected of it.
+   * Corrects an estimate by an observation. `weight` is the factor of the estimate in the expected
+   * observation; `innovation` is the observation's error and the variance that was expected of it.
    */
   correct(
     key: K,
-    { mean, variance, at }: Dated,
+    { mean, variance, at }: DatedEstimate,
     weight: number,
-    surprise: { readonly error: number; readonly variance: number },
+    innovation: { readonly error: number; readonly variance: number },
     bounds: readonly [number, number],
   ): void {
-    const share = (variance * weight) / surprise.variance;
-    const corrected = mean + share * surprise.error;
+    const kalmanGain = (variance * weight) / innovation.variance;
+    const corrected = mean + kalmanGain * innovation.error;
     const [lowest, highest] = bounds;
-    this.known.delete(key);
-    this.known.set(key, {
+    this.estimates.delete(key);
+    this.estimates.set(key, {
       mean: Math.min(highest, Math.max(lowest, corrected)),
-      variance: variance * (1 - share * weight),
+      variance: variance * (1 - kalmanGain * weight),
       at,
     });
   }
--- a/packages/domain/src/jobs/evacuation.ts
+++ b/packages/domain/src/jobs/evacuation.ts
@@ -1,40 +1,42 @@
-/** Decides which lasting tasks move off workers that are about to leave. */
+/** Decides which long-running tasks move off workers that are about to leave. */
 import type { Run } from './job.js';
-import { bookingOf, type PlanInput } from './plan.js';
+import { reservationsOf, type PlanInput } from './plan.js';
 
 /**
- * Why a lasting task is still on a worker that is about to leave: no other worker has room for it; its run
- * is not known to have begun; it was told to stop; it moves only with its gang.
+ * Why a long-running task is still on a leaving worker: no other worker has capacity for it; its start is not
+ * confirmed yet; its stop was already ordered; it is a gang member, and a single member is not moved.
  */
 export type StayReason = 'no_room' | 'not_confirmed' | 'stopping' | 'gang';
 
-/** What becomes of the lasting tasks on workers that are about to leave. */
+/** Decisions on the long-running tasks on workers that are about to leave. */
 export interface Evacuation {
-  /** Runs to stop, so that their tasks begin again elsewhere. */
+  /** Runs to stop, so that their tasks restart elsewhere. */
   readonly stop: readonly Run[];
-  /** The other ones. */
+  /** Runs that stay for now, with the reason. */
   readonly stay: ReadonlyMap<Run, StayReason>;
 }
 
 /**
- * Decides on the runs on workers that are about to leave. A task that ends with its worker is away until
- * its lease has certainly lapsed, 5 to 9 s; one that moves is away for a stop and a start. Only as many
- * move as have room elsewhere, which is kept for them in the rest of the round: it is asked for before
- * other tasks are placed, since these would take each place that comes free for as long as more of them
- * come. Tasks that end by themselves mostly do so before the worker goes.
+ * Decides which long-running runs to stop on workers that are about to leave. A task that goes down with its
+ * worker is unavailable until its lease has certainly expired, 5 to 9 s; one that moves is unavailable only
+ * for a stop and a start. A task moves only if it fits elsewhere, and that capacity stays reserved for the
+ * rest of the round. Call this before other tasks are placed: a steady supply of them would otherwise take
+ * all capacity that becomes free. Batch tasks stay, since most end before the worker leaves.
  */
 export function planEvacuation(
   input: PlanInput,
-  onLeaving: readonly Run[],
+  runsOnLeaving: readonly Run[],
 ): Evacuation {
-  const booking = bookingOf(input);
+  const reservations = reservationsOf(input);
   const stop: Run[] = [];
   const stay = new Map<Run, StayReason>();
-  for (const run of onLeaving.filter(({ task }) => task.step.spec.lasting)) {
-    const fixed = whyFixed(run);
-    if (fixed !== undefined) {
-      stay.set(run, fixed);
-    } else if (booking.place(run.task) === undefined) {
+  for (const run of runsOnLeaving.filter(
+    ({ task }) => task.step.spec.lasting,
+  )) {
+    const reason = stayReasonOf(run);
+    if (reason !== undefined) {
+      stay.set(run, reason);
+    } else if (reservations.reserve(run.task) === undefined) {
       stay.set(run, 'no_room');
     } else {
       stop.push(run);
@@ -43,7 +45,7 @@
   return { stop, stay };
 }
 
-function whyFixed({ task, progress }: Run): StayReason | undefined {
+function stayReasonOf({ task, progress }: Run): StayReason | undefined {
   if (task.step.spec.gang) {
     return 'gang';
   }
--- a/packages/domain/src/jobs/filler-speeds.ts
+++ b/packages/domain/src/jobs/filler-speeds.ts
@@ -1,88 +1,91 @@
-/** How fast further fillers would run beside what serves, worked out once in a round of planning. */
+/** Speeds at which further best-effort fillers could run beside serving tasks, cached for one planning round. */
 import type { Run, Step } from './job.js';
 import type { WorkerRuns } from './jobs-state.js';
 import type { StepSpec } from './spec.js';
 
-/** Gain of a load, as a share of it, below which a filler is taken not to disturb. */
-export const HARMLESS_GAIN = 0.02;
+/** Relative increase of a serving load below which a filler counts as harmless. */
+export const NEGLIGIBLE_GAIN = 0.02;
 
-/** The runs of a worker that serve. */
-export function servingOf(runs: ReadonlyMap<string, Run>): Run[] {
+/** Returns the runs of serving tasks, those with a tail latency target. */
+export function servingRuns(runs: ReadonlyMap<string, Run>): Run[] {
   return [...runs.values()].filter(
     ({ task }) => task.step.spec.tailTargetMs !== undefined,
   );
 }
 
-/** What is known of loads and pressures. */
-export interface SpeedSource {
-  /** Gain of a serving step's load that the fillers of a worker leave to one more. */
-  readonly leftBeside: (
+/** Current estimates of loads and pressures. */
+export interface SpeedInputs {
+  /** Relative increase of a serving step's load that one more filler may cause beside those of the worker. */
+  readonly headroomBeside: (
     serving: Step,
     load: WorkerRuns,
     cpuMilli: number,
   ) => number;
-  /** Whether a run that serves has been over its target for a while. */
-  readonly isOver: (serving: Run) => boolean;
-  /** Pressure of a filler, with caution. */
+  /** Whether a serving run has been over its target for a while. */
+  readonly isOverTarget: (serving: Run) => boolean;
+  /** Pressure of a filler on a serving task, with a safety margin. */
   readonly pressure: (serving: StepSpec, filler: StepSpec) => number;
 }
 
-/** A serving step at a worker, and what is left beside it once that is known. */
-interface Serving {
+/** A serving step on a worker, with the headroom beside it once that has been worked out. */
+interface ServingStep {
   readonly step: Step;
-  left: number | undefined;
+  headroom: number | undefined;
 }
 
-interface Beside {
-  /** Number of runs for which the rest holds: runs only begin. */
-  readonly runs: number;
-  readonly serving: readonly Serving[];
-  /** Whether one of them has been over its target: what disturbs it may be blamed on others, and nothing is added. */
-  readonly isOver: boolean;
+interface ServingTasks {
+  /** Number of runs of the worker when this was worked out; runs are only added while the cache lives. */
+  readonly runCount: number;
+  readonly steps: readonly ServingStep[];
+  /** Whether one of them is over its target. No filler is added then: the model may blame the wrong ones. */
+  readonly isOverTarget: boolean;
 }
 
-/** Valid while runs only begin and nothing is learnt. */
+/** Cached filler speeds, valid as long as runs are only added and no report is handled. */
 export class FillerSpeeds {
-  private readonly beside = new Map<ReadonlyMap<string, Run>, Beside>();
-  /** By image of the filler and of what serves. */
+  private readonly servingByRuns = new Map<
+    ReadonlyMap<string, Run>,
+    ServingTasks
+  >();
+  /** Pressures by image of the filler, then by image of the serving task. */
   private readonly pressures = new Map<string, Map<string, number>>();
 
-  /** Creates speeds of which nothing is worked out yet. */
-  constructor(private readonly source: SpeedSource) {}
+  /** Creates an empty cache. */
+  constructor(private readonly source: SpeedInputs) {}
 
-  /** Share of its speed, 0 to 1, at which one more filler could run at a worker. */
-  of(load: WorkerRuns, cpuMilli: number, filler: StepSpec): number {
+  /** Returns the fraction of its full speed, 0 to 1, at which one more filler could run on a worker. */
+  speedOf(load: WorkerRuns, cpuMilli: number, filler: StepSpec): number {
     let speed = 1;
-    const taken = filler.size.cpuMilli / cpuMilli;
+    const cpuFraction = filler.size.cpuMilli / cpuMilli;
     const pressures = this.pressuresOf(filler);
-    const beside = this.besideOf(load);
-    if (beside.isOver) {
+    const beside = this.servingTasksOf(load);
+    if (beside.isOverTarget) {
       return 0;
     }
-    for (const serving of beside.serving) {
+    for (const serving of beside.steps) {
       const { step } = serving;
-      const gain = this.pressure(pressures, step.spec, filler) * taken;
-      if (gain > HARMLESS_GAIN) {
-        serving.left ??= this.source.leftBeside(step, load, cpuMilli);
-        speed = Math.min(speed, serving.left / gain);
+      const gain = this.pressure(pressures, step.spec, filler) * cpuFraction;
+      if (gain > NEGLIGIBLE_GAIN) {
+        serving.headroom ??= this.source.headroomBeside(step, load, cpuMilli);
+        speed = Math.min(speed, serving.headroom / gain);
       }
     }
     return Math.max(0, speed);
   }
 
-  private besideOf({ runs }: WorkerRuns): Beside {
-    const known = this.beside.get(runs);
-    if (known?.runs === runs.size) {
+  private servingTasksOf({ runs }: WorkerRuns): ServingTasks {
+    const known = this.servingByRuns.get(runs);
+    if (known?.runCount === runs.size) {
       return known;
     }
-    const serves = servingOf(runs);
-    const steps = new Set(serves.map(({ task }) => task.step));
+    const serving = servingRuns(runs);
+    const steps = new Set(serving.map(({ task }) => task.step));
     const found = {
-      runs: runs.size,
-      serving: [...steps].map(step => ({ step, left: undefined })),
-      isOver: serves.some(run => this.source.isOver(run)),
+      runCount: runs.size,
+      steps: [...steps].map(step => ({ step, headroom: undefined })),
+      isOverTarget: serving.some(run => this.source.isOverTarget(run)),
     };
-    this.beside.set(runs, found);
+    this.servingByRuns.set(runs, found);
     return found;
   }
 
--- a/packages/domain/src/jobs/gang.ts
+++ b/packages/domain/src/jobs/gang.ts
@@ -1,26 +1,26 @@
-/** Gangs: tasks that work only all together, on one rack where they ask for it. */
-import { Booking } from './booking.js';
+/** Gang scheduling: tasks that run only all together, on one rack if the step asks for it. */
+import { Reservations } from './booking.js';
 import type { Run, Step } from './job.js';
-import type { PlaceInput, PlanWorker } from './placement.js';
+import type { PlacementInput, PlanWorker } from './placement.js';
 
-/** Returns a worker for each task of the step, undefined when not all have room at once. */
+/** Returns a worker for each task of the step, or undefined if they do not all fit at once. */
 export function placeGang(
-  input: PlaceInput,
+  input: PlacementInput,
   step: Step,
 ): readonly string[] | undefined {
   if (step.spec.sameRack) {
-    for (const workers of byRack(input.workers)) {
-      const found = placeAll({ ...input, workers }, step);
+    for (const workers of groupByRack(input.workers)) {
+      const found = placeAllTasks({ ...input, workers }, step);
       if (found !== undefined) {
         return found;
       }
     }
   }
-  // On several racks a gang that asks for one is slow, which is better than not to run.
-  return placeAll(input, step);
+  // A gang that asks for one rack is slow on several, which is better than not running at all.
+  return placeAllTasks(input, step);
 }
 
-/** Tells whether a member is missing, so that the others wait in vain. */
+/** Tells whether a member of the run's gang is missing (not done, and without this run): the others cannot go on. */
 export function isBrokenGang({ task, number }: Run): boolean {
   const { spec, tasks } = task.step;
   return (
@@ -32,7 +32,7 @@
   );
 }
 
-function byRack(workers: readonly PlanWorker[]): PlanWorker[][] {
+function groupByRack(workers: readonly PlanWorker[]): PlanWorker[][] {
   const racks = new Map<string, PlanWorker[]>();
   for (const worker of workers) {
     const rack = worker.info.rack ?? '';
@@ -41,12 +41,15 @@
   return [...racks.values()];
 }
 
-/** Places all tasks of the step, or none. */
-function placeAll(input: PlaceInput, step: Step): string[] | undefined {
-  const booking = new Booking(input);
+/** Finds workers for all tasks of the step, or for none. */
+function placeAllTasks(
+  input: PlacementInput,
+  step: Step,
+): string[] | undefined {
+  const reservations = new Reservations(input);
   const placed: string[] = [];
   for (const task of step.tasks) {
-    const worker = booking.place(task);
+    const worker = reservations.reserve(task);
     if (worker === undefined) {
       return undefined;
     }
--- a/packages/domain/src/jobs/interference.ts
+++ b/packages/domain/src/jobs/interference.ts
@@ -1,15 +1,15 @@
 /**
- * How fillers disturb tasks that serve, learnt from their tail latencies, and what follows.
+ * Interference of best-effort fillers with serving tasks, learned from tail latencies, and the limits on fillers
+ * that follow from it.
  *
- * A serving task is taken for a queue: its tail is `floor / (1 - load)`. The load is its own, which
- * all tasks of a step share, times `1 + sum of pressure * used` over the fillers beside it: `used`
- * is a filler's share of the worker's processors, and the pressure depends on the images of both. Own
- * loads and pressures are estimates with a variance, corrected by each report in proportion to what
- * it tells of each.
+ * A serving task is modelled as a queue with a tail latency of `floor / (1 - load)`. The load is the task's own
+ * load, the same for all tasks of a step, times `1 + sum of pressure * used` over the fillers beside it: `used`
+ * is the fraction of the worker's processors that a filler uses, and the pressure depends on the images of both.
+ * Own loads and pressures are estimated by Kalman filters, which each report corrects.
  */
 import type { Instant, Millis } from '../core/time.js';
 import { Estimates, type Drift, type Estimate } from './estimate.js';
-import { FillerSpeeds, HARMLESS_GAIN, servingOf } from './filler-speeds.js';
+import { FillerSpeeds, NEGLIGIBLE_GAIN, servingRuns } from './filler-speeds.js';
 import type { Run, Step } from './job.js';
 import type { WorkerRuns } from './jobs-state.js';
 import {
@@ -18,19 +18,16 @@
   type Learnt,
   type LearntAt,
 } from './learnt.js';
-import { OverTarget } from './over-target.js';
+import { OverTargetTracker } from './over-target.js';
 import type { StepSpec } from './spec.js';
 import { Trends, type TrendModel } from './trend.js';
 
-/** Pressure of a pair of images before anything was learnt: low, so that pairs are tried. */
-const FIRST_PRESSURE: Estimate = { mean: 0.8, variance: 2 ** 2 };
+/** Initial pressure of a pair of images: low, so that unknown pairs are tried. */
+const INITIAL_PRESSURE: Estimate = { mean: 0.8, variance: 2 ** 2 };
 const MAX_PRESSURE = 12;
-/** Growth of a pressure's variance each second: pressures change within seconds, large ones by more. */
-const PRESSURE_DRIFT: Drift = { fixed: 0.05, ofMean: 0.25 ** 2 };
-/**
- * A step's own load before a tail was seen, and how it swings: by up to 0.1 a second, and that turns over
- * within some 3 s.
- */
+/** Growth of a pressure's variance per second: pressures change within seconds, large ones by more. */
+const PRESSURE_DRIFT: Drift = { constant: 0.05, perSquaredMean: 0.25 ** 2 };
+/** Initial own load of a step, and its dynamics: it changes by up to 0.1 per second, and reverses within about 3 s. */
 const LOAD_MODEL: TrendModel = {
   mean: 0.5,
   variance: 0.2 ** 2,
@@ -38,81 +35,81 @@
   drift: 0.001,
   rateDrift: 0.003,
 };
-/** Variance of a load read off one tail: tails without any filler scatter by 0.06 around the trend. */
-const TAIL_VARIANCE = 0.05 ** 2;
-/** How far ahead a load is looked at when fillers are limited: until the next report. */
+/** Variance of a load derived from one tail: without fillers, loads scatter by 0.06 around the trend. */
+const LOAD_READING_VARIANCE = 0.05 ** 2;
+/** How far ahead loads are predicted when fillers are limited: until the next report. */
 const LIMIT_AHEAD_MS: Millis = 350;
-/** How far ahead a load is looked at when a filler is placed: most of a run. */
-const PLACE_AHEAD_MS: Millis = 1_200;
-/** For how long a rate of change is taken to hold. */
-const RATE_REACH_MS: Millis = 2_000;
-/** An own load is never taken for less, so that a gain on it can be learnt. */
+/** How far ahead loads are predicted when a filler is placed: most of its run. */
+const PLACEMENT_AHEAD_MS: Millis = 1_200;
+/** Longest time over which a rate of change is extrapolated. */
+const MAX_EXTRAPOLATION_MS: Millis = 2_000;
+/** Lower bound of own loads, so that their increase by fillers can be learned. */
 const MIN_LOAD = 0.05;
-/** Loads above this are not told apart by the tail. */
+/** Upper bound of loads, since tails do not distinguish loads above it. */
 const MAX_LOAD = 0.98;
-/** A tail target is taken for this many times the floor before a tail was seen. */
-const FIRST_TARGET_FACTOR = 5;
-/** Low tails, as a share of which the floor is taken: tasks are never quite idle. */
-const FLOOR_SHARE = 0.78;
-/** Weight of a tail below the low one, and of one above it: about one in a hundred is below. */
-const LOWER_WEIGHT = 0.2;
-const HIGHER_WEIGHT = 0.001;
+/** Assumed ratio of the tail target to the floor before a tail was reported. */
+const INITIAL_TARGET_FACTOR = 5;
+/** Floor as a fraction of the low tail, which is higher because tasks are never quite idle. */
+const FLOOR_FRACTION = 0.78;
+/** Weights by which the low tail follows tails below and above it, so that about one in a hundred is below. */
+const WEIGHT_BELOW_LOW_TAIL = 0.2;
+const WEIGHT_ABOVE_LOW_TAIL = 0.001;
 /**
- * Load kept free below the target, beyond what the trend foresees. By the trend and this margin callers are
- * served 0.013 more of what their work is worth than by the newest load and a margin of 0.12 for places and
- * 0.06 for limits: the mean of ten simulated days on 45 workers. Without the trend, margins of 0.03 keep
- * tasks that serve over their target for 1.35 times as long as this one does with it.
+ * Load kept free below the target, on top of the predicted load. Prediction with this margin serves 0.013 more
+ * of the value of callers' work than the latest load with margins of 0.12 for placement and 0.06 for limits
+ * (mean of ten simulated days on 45 workers). The latest load with margins of 0.03 would keep serving tasks over
+ * their targets for 1.35 times as long.
  */
-const CONTROL_MARGIN = 0.02;
-/** Standard deviations added to a pressure when a filler is placed, and when it is limited. */
-const PLACE_CAUTION = 0.3;
-const LIMIT_CAUTION = 0.3;
+const LOAD_MARGIN = 0.02;
+/** Standard deviations added to a pressure as a safety margin when a filler is placed, and when it is limited. */
+const PLACEMENT_CAUTION_SIGMAS = 0.3;
+const LIMIT_CAUTION_SIGMAS = 0.3;
 /**
- * A task over its target for this long has every filler that presses on it paused, and after twice
- * as long every filler beside it: it may be disturbed for some 4 s on end at most.
+ * Time over the target after which the fillers that disturb a task are paused; after twice this time all
+ * fillers beside it are. A task may be disturbed for at most about 4 s at a stretch.
  */
-const OVER_MS: Millis = 1_100;
-/** Room for a further gain of the load below which a worker is watched closely. */
-const TIGHT_GAIN = 0.3;
-/** Shares are ordered in steps of this many percent, so that small changes cause no order. */
-const SHARE_STEP = 10;
-/** Span of the readings in a report, in milliseconds. */
-const READING_SPAN_MS: Millis = 500;
+const PAUSE_AFTER_MS: Millis = 1_100;
+/** Headroom for a further relative increase of a load below which the worker reports more often. */
+const LOW_HEADROOM = 0.3;
+/** Speed limits are multiples of this, so that small changes cause no order to the worker. */
+const SPEED_STEP_PERCENT = 10;
+/** Time over which the readings of a report are averaged. */
+const READING_WINDOW_MS: Millis = 500;
 
-/** A filler that ended a short while ago, and the share of the processors it used. */
+/** A filler that ended recently, and the fraction of the processors that it used. */
 interface EndedFiller {
   readonly spec: StepSpec;
   readonly at: Instant;
   readonly used: number;
 }
 
-/** A filler's part in a reading. */
-interface Part {
+/** The fraction of the processors that a filler used during a reading. */
+interface FillerUsage {
   readonly spec: StepSpec;
   readonly used: number;
 }
 
-/** A run that was over its target, and for how long. */
-export interface OverRun {
+/** A run that was over its target but no longer is, and for how long it was. */
+export interface OverTargetRun {
   readonly run: Run;
   readonly overMs: Millis;
 }
 
-/** Learns pressures and loads, and limits fillers by them. */
+/** Learns pressures and loads from reports, and derives placement speeds and limits of fillers. */
 export class Interference {
   private readonly pressures = new Estimates<string>(
-    FIRST_PRESSURE,
+    INITIAL_PRESSURE,
     PRESSURE_DRIFT,
   );
   private readonly loads = new Trends<Step>(LOAD_MODEL);
   /** Monotonic time of the newest report. */
   private reportedAt: Instant = -Infinity;
   /** Low tail by image. */
-  private readonly low = new Map<string, Millis>();
-  private readonly ended = new Map<WorkerRuns, EndedFiller[]>();
-  private readonly over = new OverTarget();
+  private readonly lowTails = new Map<string, Millis>();
+  private readonly endedFillers = new Map<WorkerRuns, EndedFiller[]>();
+  private readonly overTarget = new OverTargetTracker();
 
-  /** Creates a model that begins with what an earlier one has learnt. */
+  /** Creates a model that starts from the estimates of an earlier one, if any. */
   constructor(earlier?: LearntAt) {
     if (earlier !== undefined) {
       const { learnt, readAt } = earlier;
@@ -120,12 +117,12 @@
         this.pressures.seed(pair, { mean, variance }, readAt);
       }
       for (const [image, low] of learnt.lowTails) {
-        this.low.set(image, low);
+        this.lowTails.set(image, low);
       }
     }
   }
 
-  /** Returns what was learnt, for another model to begin with. */
+  /** Returns the learned estimates, from which another model can start. */
   learnt(): Pick<Learnt, 'pressures' | 'lowTails'> {
     const pressures = [...this.pressures.entries()].slice(-MAX_LEARNT);
     return {
@@ -134,194 +131,204 @@
         roundLearnt(mean),
         roundLearnt(variance),
       ]),
-      lowTails: [...this.low]
+      lowTails: [...this.lowTails]
         .slice(-MAX_LEARNT)
         .map(([image, low]) => [image, roundLearnt(low)]),
     };
   }
 
-  /** Notes that a filler has ended, whose effect is in the readings for a while. */
+  /** Records the end of a filler, since the next readings still include its effect. */
   noteEnd(load: WorkerRuns, run: Run, cpuMilli: number, now: Instant): void {
     const { spec } = run.task.step;
     if (spec.filler) {
       const used = (run.progress?.reading ?? 0) / cpuMilli;
-      const list = this.ended.get(load) ?? [];
-      this.ended.set(load, [...list, { spec, at: now, used }]);
+      const list = this.endedFillers.get(load) ?? [];
+      this.endedFillers.set(load, [...list, { spec, at: now, used }]);
     }
   }
 
   /**
-   * Takes in a report of a worker with `cpuMilli`, whose runs' readings are up to date; returns the tasks
-   * that were over their targets and are no more.
+   * Learns from a report of a worker with `cpuMilli`; the readings of its runs have to be up to date. Returns the
+   * runs that were over their targets until now.
    */
-  learn(load: WorkerRuns, cpuMilli: number, now: Instant): OverRun[] {
+  learn(load: WorkerRuns, cpuMilli: number, now: Instant): OverTargetRun[] {
     this.reportedAt = now;
-    const parts = this.partsOf(load, cpuMilli, now);
-    const ended: OverRun[] = [];
-    for (const run of servingOf(load.runs)) {
+    const usages = this.fillerUsagesOf(load, cpuMilli, now);
+    const recovered: OverTargetRun[] = [];
+    for (const run of servingRuns(load.runs)) {
       const tail = run.progress?.reading ?? 0;
       if (tail > 0) {
-        const overMs = this.over.note(run, tail, now);
+        const overMs = this.overTarget.recordReading(run, tail, now);
         if (overMs !== undefined) {
-          ended.push({ run, overMs });
+          recovered.push({ run, overMs });
         }
-        this.learnFrom(run.task.step, tail, parts, now);
+        this.updateEstimates(run.task.step, tail, usages, now);
       }
     }
-    return ended;
+    return recovered;
   }
 
-  /** Share of its speed, 0 to 1, at which one more filler could run beside what is there. */
+  /** Returns the fraction of its full speed, 0 to 1, at which one more filler could run on a worker. */
   speedOf(load: WorkerRuns, cpuMilli: number, filler: StepSpec): number {
-    return this.speeds().of(load, cpuMilli, filler);
+    return this.speeds().speedOf(load, cpuMilli, filler);
   }
 
-  /** Returns the speeds of further fillers for as long as runs only begin and nothing is learnt. */
+  /** Returns the speeds of further fillers, valid as long as runs are only added and no report is handled. */
   speeds(): FillerSpeeds {
     return new FillerSpeeds({
-      leftBeside: (serving, load, cpuMilli) =>
-        this.freeGain(serving, PLACE_AHEAD_MS) -
-        this.gainBy(serving, fillersOf(load), cpuMilli),
-      // Sooner, a reading that is a little above would cost fillers 0.01 of what their work is worth.
-      isOver: run => this.over.spanOf(run, this.reportedAt) > OVER_MS,
+      headroomBeside: (serving, load, cpuMilli) =>
+        this.headroomOf(serving, PLACEMENT_AHEAD_MS) -
+        this.gainFrom(serving, fillersOf(load), cpuMilli),
+      // Without this delay, single readings slightly above the target would cost fillers 0.01 of their value.
+      isOverTarget: run =>
+        this.overTarget.overTargetMs(run, this.reportedAt) > PAUSE_AFTER_MS,
       pressure: (serving, filler) => {
         const { mean, variance } = this.pressureOf(serving, filler);
-        return mean + PLACE_CAUTION * Math.sqrt(variance);
+        return mean + PLACEMENT_CAUTION_SIGMAS * Math.sqrt(variance);
       },
     });
   }
 
-  /** Tells whether fillers leave a serving task so little room that its next swing may use it up. */
+  /** Tells whether fillers leave a serving task so little headroom that its next load swing may exceed it. */
   isTight(load: WorkerRuns, cpuMilli: number): boolean {
     const fillers = fillersOf(load);
     return (
       fillers.length > 0 &&
-      servingOf(load.runs).some(({ task }) => {
-        const gain = this.gainBy(task.step, fillers, cpuMilli);
-        return this.freeGain(task.step, LIMIT_AHEAD_MS) - gain < TIGHT_GAIN;
+      servingRuns(load.runs).some(({ task }) => {
+        const gain = this.gainFrom(task.step, fillers, cpuMilli);
+        return this.headroomOf(task.step, LIMIT_AHEAD_MS) - gain < LOW_HEADROOM;
       })
     );
   }
 
-  /** Shares in percent that keep every serving task of the worker below its target. */
+  /** Returns speed limits of fillers, in percent, that keep every serving task of the worker below its target. */
   shares(load: WorkerRuns, cpuMilli: number, now: Instant): Map<Run, number> {
     const fillers = fillersOf(load);
-    const shares = new Map(fillers.map(run => [run, 100]));
-    for (const run of servingOf(load.runs)) {
-      const overMs = this.over.spanOf(run, now);
-      if (overMs > 2 * OVER_MS) {
+    const limits = new Map(fillers.map(run => [run, 100]));
+    for (const run of servingRuns(load.runs)) {
+      const overMs = this.overTarget.overTargetMs(run, now);
+      if (overMs > 2 * PAUSE_AFTER_MS) {
         return new Map(fillers.map(filler => [filler, 0]));
       }
-      const free =
-        overMs > OVER_MS ? 0 : this.freeGain(run.task.step, LIMIT_AHEAD_MS);
-      this.limit(run.task.step, free, fillers, shares, cpuMilli);
+      const headroom =
+        overMs > PAUSE_AFTER_MS
+          ? 0
+          : this.headroomOf(run.task.step, LIMIT_AHEAD_MS);
+      this.limitFillers(run.task.step, headroom, fillers, limits, cpuMilli);
     }
-    return shares;
+    return limits;
   }
 
-  /** Cuts the shares of the fillers that press on `serving` the most until they fit. */
-  private limit(
+  /** Lowers the limits of the fillers that disturb `serving` the most until the others fit its headroom. */
+  private limitFillers(
     serving: Step,
-    free: number,
+    headroom: number,
     fillers: readonly Run[],
-    shares: Map<Run, number>,
+    limits: Map<Run, number>,
     cpuMilli: number,
   ): void {
-    const pressing = fillers
-      .map(run => ({ run, full: this.gainBy(serving, [run], cpuMilli) }))
-      .filter(({ full }) => full > HARMLESS_GAIN)
+    const disturbing = fillers
+      .map(run => ({ run, full: this.gainFrom(serving, [run], cpuMilli) }))
+      .filter(({ full }) => full > NEGLIGIBLE_GAIN)
       .sort((a, b) => a.full - b.full);
-    let left = Math.max(0, free);
-    for (const { run, full } of pressing) {
-      const allowed = shares.get(run) ?? 100;
+    let left = Math.max(0, headroom);
+    for (const { run, full } of disturbing) {
+      const allowed = limits.get(run) ?? 100;
       const percent = Math.floor((100 * left) / full);
-      const stepped = Math.floor(percent / SHARE_STEP) * SHARE_STEP;
-      const kept = Math.min(allowed, Math.max(0, stepped));
-      shares.set(run, kept);
-      left = Math.max(0, left - (full * kept) / 100);
+      const stepped =
+        Math.floor(percent / SPEED_STEP_PERCENT) * SPEED_STEP_PERCENT;
+      const limit = Math.min(allowed, Math.max(0, stepped));
+      limits.set(run, limit);
+      left = Math.max(0, left - (full * limit) / 100);
     }
   }
 
-  private partsOf(load: WorkerRuns, cpuMilli: number, now: Instant): Part[] {
-    const recent = (this.ended.get(load) ?? []).filter(
-      ({ at }) => now - at < READING_SPAN_MS,
+  private fillerUsagesOf(
+    load: WorkerRuns,
+    cpuMilli: number,
+    now: Instant,
+  ): FillerUsage[] {
+    const recent = (this.endedFillers.get(load) ?? []).filter(
+      ({ at }) => now - at < READING_WINDOW_MS,
     );
-    this.ended.set(load, recent);
+    this.endedFillers.set(load, recent);
     const running = fillersOf(load).map(run => ({
       spec: run.task.step.spec,
       used: (run.progress?.reading ?? 0) / cpuMilli,
     }));
-    const left = recent.map(({ spec, at, used }) => ({
+    const ended = recent.map(({ spec, at, used }) => ({
       spec,
-      used: used * (1 - (now - at) / READING_SPAN_MS),
+      used: used * (1 - (now - at) / READING_WINDOW_MS),
     }));
-    return [...running, ...left].filter(({ used }) => used > 0);
+    return [...running, ...ended].filter(({ used }) => used > 0);
   }
 
-  /** Splits the error of the expected load between own load and pressures by their variances. */
-  private learnFrom(
+  /** Corrects the own load and the pressures by the error of the expected load, in proportion to their variances. */
+  private updateEstimates(
     step: Step,
     tail: Millis,
-    parts: readonly Part[],
+    usages: readonly FillerUsage[],
     now: Instant,
   ): void {
     const { spec } = step;
-    this.noteTail(spec, tail);
-    const total = 1 - this.floorOf(spec) / tail;
+    this.updateLowTail(spec, tail);
+    const total = 1 - this.tailFloorOf(spec) / tail;
     const own = this.loads.at(step, now);
-    const pressing = parts.map(part => ({
-      key: pairOf(spec, part.spec),
-      used: part.used,
-      pressure: this.pressures.at(pairOf(spec, part.spec), now),
+    const contributions = usages.map(usage => ({
+      key: pairOf(spec, usage.spec),
+      used: usage.used,
+      pressure: this.pressures.at(pairOf(spec, usage.spec), now),
     }));
     let gain = 1;
-    let variance = TAIL_VARIANCE;
-    for (const { used, pressure } of pressing) {
+    let variance = LOAD_READING_VARIANCE;
+    for (const { used, pressure } of contributions) {
       gain += pressure.mean * used;
       variance += pressure.variance * (own.mean * used) ** 2;
     }
     const expected = own.mean * gain;
     variance += own.variance * gain ** 2;
-    const seen = Math.min(MAX_LOAD, Math.max(0, total));
-    if (seen >= MAX_LOAD && expected >= MAX_LOAD) {
+    const observed = Math.min(MAX_LOAD, Math.max(0, total));
+    if (observed >= MAX_LOAD && expected >= MAX_LOAD) {
       return;
     }
-    const surprise = { error: seen - expected, variance };
-    this.loads.correct(step, own, gain, surprise, [MIN_LOAD, MAX_LOAD]);
-    for (const { key, used, pressure } of pressing) {
+    const innovation = { error: observed - expected, variance };
+    this.loads.correct(step, own, gain, innovation, [MIN_LOAD, MAX_LOAD]);
+    for (const { key, used, pressure } of contributions) {
       const bounds = [0, MAX_PRESSURE] as const;
       const weight = own.mean * used;
-      this.pressures.correct(key, pressure, weight, surprise, bounds);
+      this.pressures.correct(key, pressure, weight, innovation, bounds);
     }
   }
 
-  private noteTail(spec: StepSpec, tail: Millis): void {
+  private updateLowTail(spec: StepSpec, tail: Millis): void {
     const image = spec.image ?? '';
-    const low = this.low.get(image) ?? tail;
-    const weight = tail < low ? LOWER_WEIGHT : HIGHER_WEIGHT;
-    this.low.set(image, low + weight * (tail - low));
+    const low = this.lowTails.get(image) ?? tail;
+    const weight = tail < low ? WEIGHT_BELOW_LOW_TAIL : WEIGHT_ABOVE_LOW_TAIL;
+    this.lowTails.set(image, low + weight * (tail - low));
   }
 
-  private floorOf(spec: StepSpec): Millis {
-    const first = (spec.tailTargetMs ?? 0) / FIRST_TARGET_FACTOR;
-    const low = this.low.get(spec.image ?? '');
-    return low === undefined ? first : Math.min(first, low * FLOOR_SHARE);
+  private tailFloorOf(spec: StepSpec): Millis {
+    const initial = (spec.tailTargetMs ?? 0) / INITIAL_TARGET_FACTOR;
+    const low = this.lowTails.get(spec.image ?? '');
+    return low === undefined
+      ? initial
+      : Math.min(initial, low * FLOOR_FRACTION);
   }
 
-  /** Gain that fillers may give a step's own load, which is negative when that is too high. */
-  private freeGain(step: Step, aheadMs: Millis): number {
+  /** Returns the relative increase of a step's own load that fillers may cause; negative if the load is too high. */
+  private headroomOf(step: Step, aheadMs: Millis): number {
     const target = step.spec.tailTargetMs ?? Infinity;
-    const limit = 1 - this.floorOf(step.spec) / target - CONTROL_MARGIN;
+    const limit = 1 - this.tailFloorOf(step.spec) / target - LOAD_MARGIN;
     const own = Math.max(
-      this.loads.expect(step, this.reportedAt, RATE_REACH_MS),
-      this.loads.expect(step, this.reportedAt + aheadMs, RATE_REACH_MS),
+      this.loads.predict(step, this.reportedAt, MAX_EXTRAPOLATION_MS),
+      this.loads.predict(step, this.reportedAt + aheadMs, MAX_EXTRAPOLATION_MS),
       MIN_LOAD,
     );
     return limit / own - 1;
   }
 
-  /** Gain of a step's own load by fillers at full speed. */
-  private gainBy(
+  /** Returns the relative increase of a step's own load by fillers at full speed. */
+  private gainFrom(
     serving: Step,
     fillers: readonly Run[],
     cpuMilli: number,
@@ -329,34 +336,34 @@
     return fillers.reduce((sum, { task }) => {
       const { spec } = task.step;
       const { mean, variance } = this.pressureOf(serving.spec, spec);
-      const pressure = mean + LIMIT_CAUTION * Math.sqrt(variance);
+      const pressure = mean + LIMIT_CAUTION_SIGMAS * Math.sqrt(variance);
       return sum + (pressure * spec.size.cpuMilli) / cpuMilli;
     }, 0);
   }
 
   private pressureOf(serving: StepSpec, filler: StepSpec): Estimate {
-    return this.pressures.newest(pairOf(serving, filler));
+    return this.pressures.latest(pairOf(serving, filler));
   }
 }
 
-/** Share in percent up to which a filler is better off elsewhere. */
-const SLOWED_SHARE = 40;
-/** How long a filler has to be slowed before it is moved, in milliseconds. */
-const SLOWED_MS: Millis = 800;
+/** Speed limit in percent up to which a filler should run elsewhere. */
+const RELOCATE_SPEED_PERCENT = 40;
+/** Time for which a filler has to be slowed before it is moved. */
+const RELOCATE_AFTER_MS: Millis = 800;
 
-/** Share of its work in percent up to which a filler that saves no checkpoints may begin anew. */
-const CHEAP_LOSS_PERCENT = 15;
+/** Progress in percent that a filler without checkpoints may lose by starting from scratch. */
+const MAX_LOST_WORK_PERCENT = 15;
 
-/** Tells whether a filler has been slowed for so long that it should run elsewhere. */
+/** Tells whether a filler has been slowed for so long that it should move to another worker. */
 export function isSlowed({ task, progress }: Run, now: Instant): boolean {
   const { spec } = task.step;
   return (
     spec.filler &&
     progress !== undefined &&
     !progress.stopping &&
-    (spec.checkpoints || progress.percent <= CHEAP_LOSS_PERCENT) &&
-    (progress.allowed ?? 100) <= SLOWED_SHARE &&
-    now - progress.allowedSince > SLOWED_MS
+    (spec.checkpoints || progress.percent <= MAX_LOST_WORK_PERCENT) &&
+    (progress.allowed ?? 100) <= RELOCATE_SPEED_PERCENT &&
+    now - progress.allowedSince > RELOCATE_AFTER_MS
   );
 }
 
--- a/packages/domain/src/jobs/needless.ts
+++ b/packages/domain/src/jobs/needless.ts
@@ -1,11 +1,11 @@
-/** Runs that nobody needs: they are not started, and stopped where they run. */
+/** Obsolete runs: they are not started any more, and are stopped if they run. */
 import { isBrokenGang } from './gang.js';
 import { isOver, type Run } from './job.js';
 
-/** Why a run is not needed. */
+/** Why a run is obsolete. */
 export type Needless = 'over' | 'done' | 'broken_gang';
 
-/** Tells why nobody needs a run: its job is over, a copy of its task is done, or its gang lacks a member. */
+/** Returns why a run is obsolete: its job is finished, its task is done by a copy, or its gang lacks a member. */
 export function whyNeedless(run: Run): Needless | undefined {
   const { task } = run;
   if (isOver(task.step.occurrence.job)) {
--- a/packages/domain/src/jobs/objective.ts
+++ b/packages/domain/src/jobs/objective.ts
@@ -1,62 +1,66 @@
-/** When an occurrence has to end, and whether it still can. */
+/** Latency objectives of occurrences, and whether they can still be met. */
 import type { Instant, Millis } from '../core/time.js';
 import type { Occurrence, Step } from './job.js';
 import type { RunTimes } from './run-times.js';
 
-/** Whether an occurrence can still meet its objective, be late, or has missed even that. */
+/** Best outcome still possible: in time for the objective, late but of some value, or too late for any. */
 export type Outlook = 'in_time' | 'late' | 'overdue';
 
-/** A late end is worth something up to this many times the objective, as the users' rules say. */
-const LATE_FACTOR = 3;
+/** A late result keeps some value up to this many times the objective, as the users' rules say. */
+const MAX_LATE_FACTOR = 3;
 
-/** The clocks of one planning round. */
+/** Clock readings of one planning round. */
 export interface PlanTime {
-  /** Monotonic. */
+  /** Monotonic time. */
   readonly now: Instant;
   readonly nowWall: Instant;
 }
 
-/** Where an occurrence stands against its objective. */
-export interface Standing {
+/** State of an occurrence relative to its objective. */
+export interface ObjectiveStatus {
   readonly outlook: Outlook;
-  /** Monotonic time from which the objective counts. */
+  /** Monotonic time at which the objective starts to count. */
   readonly since: Instant;
 }
 
-/** Returns where an occurrence stands against its objective. */
-export function standingOf(
+/** Returns the state of an occurrence relative to its objective. */
+export function objectiveStatusOf(
   occurrence: Occurrence,
   times: RunTimes,
   time: PlanTime,
-): Standing {
-  const since = beginningOf(occurrence, time);
+): ObjectiveStatus {
+  const since = objectiveStartOf(occurrence, time);
   const allowedMs = objectiveOf(occurrence, times);
-  const leftMs = longestChain(occurrence, times, step => step.remaining > 0);
-  const latestStart = since + allowedMs - leftMs;
-  const lastStart = since + LATE_FACTOR * allowedMs - leftMs;
-  return { outlook: outlookOf(time.now, latestStart, lastStart), since };
+  const remainingMs = longestChainMs(
+    occurrence,
+    times,
+    step => step.remaining > 0,
+  );
+  const latestStart = since + allowedMs - remainingMs;
+  const lastUsefulStart = since + MAX_LATE_FACTOR * allowedMs - remainingMs;
+  return { outlook: outlookOf(time.now, latestStart, lastUsefulStart), since };
 }
 
-/** How long an occurrence may take to meet its objective. */
+/** Returns the time in which an occurrence has to end to meet its objective. */
 export function objectiveOf(occurrence: Occurrence, times: RunTimes): Millis {
   const { deadlineFactor, targetLatencyMs } = occurrence.job.spec.terms;
-  const chainMs = longestChain(occurrence, times, () => true);
+  const chainMs = longestChainMs(occurrence, times, () => true);
   return deadlineFactor * chainMs + targetLatencyMs;
 }
 
 function outlookOf(
   now: Instant,
   latestStart: Instant,
-  lastStart: Instant,
+  lastUsefulStart: Instant,
 ): Outlook {
   if (now <= latestStart) {
     return 'in_time';
   }
-  return now <= lastStart ? 'late' : 'overdue';
+  return now <= lastUsefulStart ? 'late' : 'overdue';
 }
 
-/** Monotonic time from which the objective counts. */
-function beginningOf(occurrence: Occurrence, time: PlanTime): Instant {
+/** Returns the monotonic time at which the objective starts to count. */
+function objectiveStartOf(occurrence: Occurrence, time: PlanTime): Instant {
   const { job, number } = occurrence;
   const { repetition } = job.spec;
   if (repetition === undefined) {
@@ -66,16 +70,16 @@
   return time.now - (time.nowWall - dueAtWall);
 }
 
-/** Expected time of the longest chain of steps that `counts` holds for. */
-function longestChain(
+/** Returns the expected duration of the critical path, counting only the included steps. */
+function longestChainMs(
   { steps }: Occurrence,
   times: RunTimes,
-  counts: (step: Step) => boolean,
+  isIncluded: (step: Step) => boolean,
 ): Millis {
   const ends: Millis[] = [];
   for (const step of steps) {
     const before = step.spec.after.map(at => ends[at] ?? 0);
-    const own = counts(step) ? times.expect(step) : 0;
+    const own = isIncluded(step) ? times.expect(step) : 0;
     ends.push(Math.max(0, ...before) + own);
   }
   return Math.max(0, ...ends);
--- a/packages/domain/src/jobs/order.ts
+++ b/packages/domain/src/jobs/order.ts
@@ -1,4 +1,4 @@
-/** The order in which steps are given room. */
+/** The order in which waiting steps are given capacity. */
 import type { Instant } from '../core/time.js';
 import {
   isReady,
@@ -8,9 +8,9 @@
   type Occurrence,
   type Step,
 } from './job.js';
-import { standingOf, type Outlook, type PlanTime } from './objective.js';
+import { objectiveStatusOf, type Outlook, type PlanTime } from './objective.js';
 import type { RunTimes } from './run-times.js';
-import { MeanWork, workOf, yieldOf } from './worth.js';
+import { MeanWork, workOf, valuePerWork } from './worth.js';
 
 const OUTLOOK_ORDER: Readonly<Record<Outlook, number>> = {
   in_time: 0,
@@ -18,31 +18,31 @@
   overdue: 2,
 };
 
-/** A step that may start tasks, with its place in the order. */
+/** A step with tasks that may start, and the criteria of its position in the order. */
 export interface Candidate {
   readonly step: Step;
   readonly priority: number;
   /** Whether a task of the occurrence was ever started. */
-  readonly begun: boolean;
-  /** What the occurrence can still be worth. */
+  readonly started: boolean;
+  /** Best outcome still possible for the occurrence. */
   readonly outlook: Outlook;
-  /** What the occurrence's end is worth for each core-millisecond that it still has to be given. */
-  readonly yield: number;
-  /** Monotonic time from which the occurrence's objective counts. */
+  /** Value of completing the occurrence for each core-millisecond that its waiting tasks still need. */
+  readonly valuePerWork: number;
+  /** Monotonic time at which the occurrence's objective starts to count. */
   readonly since: Instant;
 }
 
 /**
- * Returns the steps with tasks that may start: lower priority numbers first; within one number tasks that
- * end before those that last.
+ * Returns the steps with tasks that may start, in scheduling order: by priority number, and within a priority
+ * batch tasks (those that end by themselves) before long-running ones.
  *
- * Of occurrences that end those that are begun go first, what is worth the most for the work that it still
- * has to be given before the rest: few are left half done. Others begin by what they can still be worth,
- * and the newest first. Which of them begin under overload thus has nothing to do with their size, so that
- * small ones can't keep large ones waiting for as long as more of them come; and what begins has most of
- * its time left, where by the latest start all would begin at the last moment and most end late.
+ * Batch occurrences that have started go first, by value per outstanding work, so that few are left half done.
+ * The others are ordered by the best outcome still possible, and the newest first. Under overload their size
+ * therefore does not matter, and a steady supply of small ones cannot starve large ones. It also means that an
+ * occurrence starts with most of its time left; ordered by latest possible start, all would start at the last
+ * moment and most would end late.
  *
- * Of occurrences that last the oldest go first: time takes nothing from their worth.
+ * Long-running occurrences are ordered by age, the oldest first, since they lose no value by waiting.
  */
 export function candidates(
   jobs: Iterable<Job>,
@@ -83,21 +83,21 @@
   return (
     a.priority - b.priority ||
     Number(lasting) - Number(b.step.spec.lasting) ||
-    (lasting ? compareAge(a, b) : compareEnding(a, b))
+    (lasting ? compareByAge(a, b) : compareBatch(a, b))
   );
 }
 
-function compareEnding(a: Candidate, b: Candidate): number {
-  if (a.begun !== b.begun) {
-    return a.begun ? -1 : 1;
+function compareBatch(a: Candidate, b: Candidate): number {
+  if (a.started !== b.started) {
+    return a.started ? -1 : 1;
   }
-  return a.begun
-    ? b.yield - a.yield
-    : OUTLOOK_ORDER[a.outlook] - OUTLOOK_ORDER[b.outlook] || compareAge(b, a);
+  return a.started
+    ? b.valuePerWork - a.valuePerWork
+    : OUTLOOK_ORDER[a.outlook] - OUTLOOK_ORDER[b.outlook] || compareByAge(b, a);
 }
 
-/** The oldest first; a new leader sees all jobs at once, and tells them apart by their arrival. */
-function compareAge(a: Candidate, b: Candidate): number {
+/** Sorts the oldest first; a new leader first sees all jobs at once, so that their order of arrival decides. */
+function compareByAge(a: Candidate, b: Candidate): number {
   return a.since - b.since || arrivalOf(a) - arrivalOf(b);
 }
 
@@ -133,13 +133,17 @@
   }
   const shared = {
     priority: occurrence.job.spec.terms.priority,
-    begun: isBegun(occurrence),
-    yield: yieldOf(occurrence, meanWork.of(queueOf(occurrence)), times),
-    ...standingOf(occurrence, times, time),
+    started: isStarted(occurrence),
+    valuePerWork: valuePerWork(
+      occurrence,
+      meanWork.meanOf(queueOf(occurrence)),
+      times,
+    ),
+    ...objectiveStatusOf(occurrence, times, time),
   };
   return ready.map(step => ({ step, ...shared }));
 }
 
-function isBegun({ steps }: Occurrence): boolean {
+function isStarted({ steps }: Occurrence): boolean {
   return steps.some(({ tasks }) => tasks.some(({ lastRun }) => lastRun > 0));
 }
--- a/packages/domain/src/jobs/placement.ts
+++ b/packages/domain/src/jobs/placement.ts
@@ -1,17 +1,17 @@
-/** Chooses the worker for a task: which may have it, where it has room, and which suits it best. */
+/** Chooses the worker for a task among those that may run it and have capacity for it. */
 import type { Advice } from './advice.js';
 import { blameOf } from './blame.js';
 import type { FillerSpeeds } from './filler-speeds.js';
 import type { Step, Task } from './job.js';
 import type { WorkerRuns } from './jobs-state.js';
 import type { Quarantine } from './quarantine.js';
-import type { RoomShares } from './room-shares.js';
+import type { SizeClassShares } from './room-shares.js';
 import type { StepSpec, TaskSize } from './spec.js';
 import type { Instant } from '../core/time.js';
 
-/** A worker as the platform's registry describes it. */
+/** A worker as described by the platform's registry. */
 export interface WorkerInfo {
-  /** Names one incarnation of a worker. */
+  /** Identifies one incarnation of a worker. */
   readonly id: string;
   readonly address: string;
   readonly service: string;
@@ -25,27 +25,27 @@
 /** A worker that may be given tasks. */
 export interface PlanWorker {
   readonly info: WorkerInfo;
-  /** Whether it may be given a run while another one that will end is under way. */
+  /** Whether it may run several batch tasks at once; an untrusted worker gets one at a time, to prove itself. */
   readonly trusted: boolean;
 }
 
-/** What a choice goes by. */
-export interface PlaceInput {
+/** Input for choosing workers. */
+export interface PlacementInput {
   readonly workers: readonly PlanWorker[];
   readonly speeds: FillerSpeeds;
   readonly advice: Advice;
   readonly quarantine: Quarantine;
-  readonly shares: RoomShares;
+  readonly shares: SizeClassShares;
   readonly now: Instant;
-  /** What runs on a worker, or is about to. */
+  /** Returns the load of a worker, including runs about to start. */
   readonly loadOf: (worker: string) => WorkerRuns;
-  /** Runs of the task's step on a worker, also those about to start. */
+  /** Returns the number of runs of the task's step on a worker, including those about to start. */
   readonly spreadOf: (task: Task, worker: string) => number;
 }
 
-/** Returns the worker that suits the task best, undefined when none has room for it. */
+/** Returns the most suitable worker for the task, or undefined if none has capacity for it. */
 export function chooseWorker(
-  input: PlaceInput,
+  input: PlacementInput,
   task: Task,
 ): PlanWorker | undefined {
   let best: PlanWorker | undefined;
@@ -64,7 +64,7 @@
   return best;
 }
 
-/** Why a worker may not have a task now, in the order in which that is checked. */
+/** Reasons why a worker cannot be given a task now, in the order in which they are checked. */
 export const OBSTACLES = [
   'service',
   'label',
@@ -78,18 +78,18 @@
   'accelerators',
 ] as const;
 
-/** Why a worker may not have a task now. */
+/** Reason why a worker cannot be given a task now. */
 export type Obstacle = (typeof OBSTACLES)[number];
 
-/** Returns the first obstacle to a task at a worker, undefined when it may have it. */
+/** Returns the first reason why a worker cannot be given a task now, or undefined if it can. */
 export function obstacleAt(
-  input: PlaceInput,
+  input: PlacementInput,
   worker: PlanWorker,
   task: Task,
 ): Obstacle | undefined {
-  const refusal = refusalAt(input, worker, task);
-  if (refusal !== undefined) {
-    return refusal;
+  const staticObstacle = staticObstacleAt(input, worker, task);
+  if (staticObstacle !== undefined) {
+    return staticObstacle;
   }
   if (!input.quarantine.admits(worker.info.id, task)) {
     return 'quarantine';
@@ -98,20 +98,20 @@
     return 'kept';
   }
   const load = input.loadOf(worker.info.id);
-  if (!worker.trusted && hasTrial(load)) {
+  if (!worker.trusted && hasBatchRun(load)) {
     return 'trust';
   }
-  return lackAt(worker.info, load, task.step.spec);
+  return missingResource(worker.info, load, task.step.spec);
 }
 
-/** Tells whether a run that will end by itself is under way: it shows whether the worker is sound. */
-function hasTrial({ runs }: WorkerRuns): boolean {
+/** Tells whether a batch task (one that ends by itself) is running; its end will show whether the worker is healthy. */
+function hasBatchRun({ runs }: WorkerRuns): boolean {
   return [...runs.values()].some(({ task }) => !task.step.spec.lasting);
 }
 
-/** Returns what keeps a worker from having a task whatever runs there. */
-export function refusalAt(
-  { advice, now, spreadOf }: PlaceInput,
+/** Returns the reason why a worker cannot be given a task that does not depend on the free capacity there. */
+export function staticObstacleAt(
+  { advice, now, spreadOf }: PlacementInput,
   { info }: PlanWorker,
   task: Task,
 ): Obstacle | undefined {
@@ -131,8 +131,8 @@
   return isFree ? undefined : 'spread';
 }
 
-/** Share of its declared processors that a serving task is taken to use, for fillers beside it. */
-const SERVING_USE = 0.5;
+/** Fraction of its requested processors that a serving task is assumed to use, when fillers share the rest. */
+const ASSUMED_SERVING_USE = 0.5;
 
 /** Tells whether a task of the step fits on a worker. */
 export function hasRoom(
@@ -140,16 +140,18 @@
   load: WorkerRuns,
   spec: StepSpec,
 ): boolean {
-  return lackAt(info, load, spec) === undefined;
+  return missingResource(info, load, spec) === undefined;
 }
 
-/** Returns what a worker lacks for a task of the step, undefined when it fits. */
-function lackAt(
+/** Returns the first resource that a worker lacks for a task of the step, or undefined if it fits. */
+function missingResource(
   { capacity }: WorkerInfo,
   load: WorkerRuns,
   { size, filler }: StepSpec,
 ): Obstacle | undefined {
-  if (size.cpuMilli > (filler ? fillerRoom : plainRoom)(capacity, load)) {
+  if (
+    size.cpuMilli > (filler ? freeFillerCpuMilli : freeCpuMilli)(capacity, load)
+  ) {
     return 'processors';
   }
   if (size.memoryMiB > capacity.memoryMiB - load.memoryMiB) {
@@ -160,41 +162,41 @@
     : undefined;
 }
 
-function plainRoom(capacity: TaskSize, load: WorkerRuns): number {
+function freeCpuMilli(capacity: TaskSize, load: WorkerRuns): number {
   return capacity.cpuMilli - load.cpuMilli;
 }
 
-/** Fillers are not counted against capacity; they share what the others don't use. */
-function fillerRoom(capacity: TaskSize, load: WorkerRuns): number {
-  const unused = (1 - SERVING_USE) * load.servingCpuMilli;
+/** Returns the processors left for fillers, which do not count against capacity but share what the others don't use. */
+function freeFillerCpuMilli(capacity: TaskSize, load: WorkerRuns): number {
+  const unused = (1 - ASSUMED_SERVING_USE) * load.servingCpuMilli;
   return capacity.cpuMilli - load.cpuMilli + unused - load.fillerCpuMilli;
 }
 
-/** Worth of the data's rack, in shares of a worker's processors. */
+/** Bonus of a worker on the data's rack. Ranks are in units of all processors of a worker. */
 const NEAR_DATA_BONUS = 2;
-/** Cost of a worker on which the task failed before. */
+/** Rank penalty of a worker on which the task has failed before. */
 const FAILED_HERE_COST = 4;
-/** Cost of a worker that has to prove itself, for a task that has failed before. */
+/** Rank penalty of an untrusted worker, for a task that has failed before. */
 const UNTRUSTED_COST = 4;
-/** Cost of a worker where tasks serve, for a filler. */
+/** Rank penalty of a worker with serving tasks, for a filler. */
 const SERVING_HERE_COST = 1;
-/** Lowest share of its speed at which a filler is placed. */
+/** Lowest fraction of its full speed at which a filler is placed. */
 const MIN_SPEED = 0.7;
 
-/** Cost of each other image that serves at a worker: fillers have to suit all of them. */
+/** Rank penalty of each other serving image on a worker, since fillers have to suit all of them. */
 const OTHER_IMAGE_COST = 1;
 
-/** Rates what is left of a worker's processors: more than any worker of today has. */
-const LARGE_CPU_MILLI = 128_000;
+/** Scale of free processors in the rank of a serving task: more than any present worker has. */
+const RANK_SCALE_CPU_MILLI = 128_000;
 
 /**
- * Cost of each other step that serves at a worker, unless both are spread: fillers have to suit the one with
- * the highest load. Keeping steps apart serves callers 0.006 more of what their work is worth (the mean of
+ * Rank penalty of each other serving step on a worker, unless both limit their tasks per worker: fillers have to
+ * suit the step with the highest load. Separating steps serves 0.006 more of the value of callers' work (mean of
  * twelve simulated days on 45 workers, with and without).
  */
 const OTHER_STEP_COST = 0.3;
 
-/** Packs tasks that serve beside those of their own step, else of their image. */
+/** Ranks a worker for a serving task: packs it with tasks of its own step, or else of its own image. */
 function servingRank(capacity: TaskSize, load: WorkerRuns, step: Step): number {
   const images = new Set<string | undefined>();
   const steps = new Set<Step>();
@@ -212,24 +214,24 @@
       }
     }
   }
-  const left = capacity.cpuMilli - load.cpuMilli;
+  const freeMilli = capacity.cpuMilli - load.cpuMilli;
   return (
     1 -
-    left / LARGE_CPU_MILLI -
+    freeMilli / RANK_SCALE_CPU_MILLI -
     images.size * OTHER_IMAGE_COST -
     steps.size * OTHER_STEP_COST
   );
 }
 
 /**
- * Gives a filler the worker whose processors are the least promised, and any other task the one
- * whose room it fills best, so that room for large tasks is left.
+ * Ranks a worker by its load: for a filler the one with the least requested processors is best, for any other
+ * task the one that it fills best, so that capacity for large tasks remains elsewhere.
  */
 function baseRank(capacity: TaskSize, load: WorkerRuns, task: Task): number {
   const { step } = task;
   const { size, filler, tailTargetMs } = step.spec;
   if (blameOf(task) > 0) {
-    // The next loss takes few others along, and tells apart those that were lost together.
+    // The next worker loss then affects few other tasks, and separates those that were lost together before.
     return -load.runs.size;
   }
   if (tailTargetMs !== undefined) {
@@ -237,16 +239,16 @@
   }
   if (filler) {
     const serving = load.servingCpuMilli > 0 ? SERVING_HERE_COST : 0;
-    const promised = load.cpuMilli + load.fillerCpuMilli;
-    return 1 - promised / capacity.cpuMilli - serving;
+    const requested = load.cpuMilli + load.fillerCpuMilli;
+    return 1 - requested / capacity.cpuMilli - serving;
   }
-  const left = capacity.cpuMilli - load.cpuMilli - size.cpuMilli;
-  return 1 - left / capacity.cpuMilli;
+  const freeMilli = capacity.cpuMilli - load.cpuMilli - size.cpuMilli;
+  return 1 - freeMilli / capacity.cpuMilli;
 }
 
-/** Tells whether a worker could have a task beside `load`, now or once what else runs there is over. */
-export function couldHave(
-  input: PlaceInput,
+/** Tells whether a worker could run a task beside `load`, now or once its other runs have ended. */
+export function couldRunLater(
+  input: PlacementInput,
   worker: PlanWorker,
   load: WorkerRuns,
   task: Task,
@@ -255,7 +257,7 @@
   const { spec } = task.step;
   if (
     !trusted ||
-    refusalAt(input, worker, task) !== undefined ||
+    staticObstacleAt(input, worker, task) !== undefined ||
     !hasRoom(info, load, spec)
   ) {
     return false;
@@ -264,51 +266,51 @@
   return (
     !spec.filler ||
     load.servingCpuMilli === 0 ||
-    input.speeds.of(load, cpuMilli, spec) >= MIN_SPEED
+    input.speeds.speedOf(load, cpuMilli, spec) >= MIN_SPEED
   );
 }
 
 /**
- * Rates a worker with room for the task; `-Infinity` for one that does not suit it, or that cannot
- * be rated above `least`.
+ * Ranks a worker with capacity for the task; `-Infinity` if the task would be too slow there, or if the rank
+ * cannot exceed `minRank`.
  */
 function rankOf(
   worker: PlanWorker,
   load: WorkerRuns,
   task: Task,
   speeds: FillerSpeeds,
-  least: number,
+  minRank: number,
 ): number {
   const { info } = worker;
   const { spec } = task.step;
   const { cpuMilli } = info.capacity;
   const rank = baseRank(info.capacity, load, task);
   if (!spec.filler || load.servingCpuMilli === 0) {
-    return adjusted(rank, worker, task);
+    return adjustRank(rank, worker, task);
   }
-  // Speeds take long to work out, and most workers are behind the best one even at full speed.
-  if (adjusted(rank + 1, worker, task) <= least) {
+  // Speeds are expensive to compute, and most workers would not be the best one even at full speed.
+  if (adjustRank(rank + 1, worker, task) <= minRank) {
     return -Infinity;
   }
-  const speed = speeds.of(load, cpuMilli, spec);
+  const speed = speeds.speedOf(load, cpuMilli, spec);
   return speed < MIN_SPEED
     ? -Infinity
-    : adjusted(rank + Math.min(1, speed), worker, task);
+    : adjustRank(rank + Math.min(1, speed), worker, task);
 }
 
-/** Adds to a rank what depends on the worker's rack and on how runs have ended. */
-function adjusted(rank: number, worker: PlanWorker, task: Task): number {
+/** Adds the bonus for the worker's rack and the penalties for earlier failures to a rank. */
+function adjustRank(rank: number, worker: PlanWorker, task: Task): number {
   const { info, trusted } = worker;
   const { dataRack } = task.step.spec;
-  let found = rank;
+  let result = rank;
   if (dataRack !== undefined && info.rack === dataRack) {
-    found += NEAR_DATA_BONUS;
+    result += NEAR_DATA_BONUS;
   }
   if (task.failedOn.has(info.id)) {
-    found -= FAILED_HERE_COST;
+    result -= FAILED_HERE_COST;
   }
   if (!trusted && task.failures > 0) {
-    found -= UNTRUSTED_COST;
+    result -= UNTRUSTED_COST;
   }
-  return found;
+  return result;
 }
--- a/packages/domain/src/jobs/plan.ts
+++ b/packages/domain/src/jobs/plan.ts
@@ -1,8 +1,8 @@
-/** Decides which waiting tasks start where. */
+/** Planning rounds: decide which waiting tasks start on which workers. */
 import type { Instant, Millis } from '../core/time.js';
 import type { Advice } from './advice.js';
 import { isSuspect } from './blame.js';
-import { Booking } from './booking.js';
+import { Reservations } from './booking.js';
 import { placeGang } from './gang.js';
 import type { Interference } from './interference.js';
 import { isWaiting, type Run, type Step, type Task } from './job.js';
@@ -11,14 +11,14 @@
 import { candidates } from './order.js';
 import {
   chooseWorker,
-  couldHave,
+  couldRunLater,
   hasRoom,
-  refusalAt,
-  type PlaceInput,
+  staticObstacleAt,
+  type PlacementInput,
   type PlanWorker,
 } from './placement.js';
 import { Quarantine } from './quarantine.js';
-import { RoomShares } from './room-shares.js';
+import { SizeClassShares } from './room-shares.js';
 import type { RunTimes } from './run-times.js';
 
 /** A decision to start a task. */
@@ -28,7 +28,7 @@
   readonly worker: string;
 }
 
-/** What a round of planning goes by. */
+/** Input of a planning round. */
 export interface PlanInput {
   readonly state: JobsState;
   readonly workers: readonly PlanWorker[];
@@ -36,13 +36,13 @@
   readonly interference: Interference;
   readonly advice: Advice;
   readonly time: PlanTime;
-  /** Monotonic time at which this leader took over: how long tasks had waited by then it may not know. */
+  /** Monotonic time at which this leader took over; it may not know how long tasks had waited before that. */
   readonly leadsSince: Instant;
-  /** Most starts that are decided in this round, but for those of tasks that move and of suspected ones. */
+  /** Most starts decided in this round, not counting those of moving and of suspected tasks. */
   readonly mostStarts: number;
-  /** Whether starts wait for their turn on the link of this leader, not for room alone. */
+  /** Whether starts are delayed by the bandwidth of this leader's link, and not only by lack of capacity. */
   readonly isLinkBusy: boolean;
-  /** Tasks that move off workers which leave: they are placed first, and room is kept for them until then. */
+  /** Tasks that move off leaving workers: they start first, and capacity is reserved for them until then. */
   readonly moving: Iterable<Task>;
 }
 
@@ -50,94 +50,107 @@
 export type ApplyStart = (decision: StartDecision) => void;
 
 /**
- * Whether lasting tasks on a worker that leaves are given room ahead of all that waits, or behind tasks
- * that end and ahead of lasting ones.
+ * When capacity is reserved for the long-running tasks of a leaving worker. `urgent`: before all waiting tasks;
+ * `patient`: after waiting batch tasks (those that end by themselves) and before waiting long-running ones.
  */
 export type Urgency = 'urgent' | 'patient';
 
-/** Keeps room for lasting tasks that have to leave their workers. */
-export type KeepRoom = (urgency: Urgency) => void;
+/** Reserves capacity for long-running tasks on leaving workers. */
+export type ReserveCapacity = (urgency: Urgency) => void;
 
 /**
- * Decides the starts of one round and returns their number. First of all lasting tasks begin again; then
- * `keepRoom` is called for urgent tasks, and before the first lasting one that waits for patient ones:
- * what waits would else take each place that comes free for as long as more of it comes.
+ * Decides the starts of one round and returns their number. Moving tasks, suspected tasks and long-running tasks
+ * that have waited for too long start first. Then `reserveCapacity` is called for urgent tasks, and before the
+ * first waiting long-running task for patient ones. Without it a steady supply of waiting tasks would take all
+ * capacity that becomes free.
  */
 export function planStarts(
   input: PlanInput,
   apply: ApplyStart,
-  keepRoom: KeepRoom = () => undefined,
+  reserveCapacity: ReserveCapacity = () => undefined,
 ): number {
   const { state, times, time } = input;
-  const place = placeInputOf(input);
-  const { quarantine } = place;
+  const placement = placementInputOf(input);
+  const { quarantine } = placement;
   const start: ApplyStart = decision => {
     apply(decision);
     quarantine.noteStart(decision.task, decision.worker);
   };
-  const full = new Set<string>();
-  let started = startFirst(place, input.moving, start);
-  started += startSuspects(place, start);
-  const left = (): number => Math.max(0, input.mostStarts - started);
-  started += startFirst(place, overdueLasting(input), start, left());
-  keepForSuspects(place);
-  keepRoom('urgent');
-  const keepOnce = once(() => {
-    keepRoom('patient');
+  const fullKeys = new Set<string>();
+  let started = startInOrder(placement, input.moving, start);
+  started += startSuspectedTasks(placement, start);
+  const startsLeft = (): number => Math.max(0, input.mostStarts - started);
+  started += startInOrder(
+    placement,
+    overdueLongRunning(input),
+    start,
+    startsLeft(),
+  );
+  reserveForSuspects(placement);
+  reserveCapacity('urgent');
+  const reservePatientOnce = once(() => {
+    reserveCapacity('patient');
   });
   const steps = candidates(state.open, times, time).map(({ step }) => step);
-  keepShares(place, state, steps);
+  reserveForLargeTasks(placement, state, steps);
   for (const step of steps) {
     if (step.spec.lasting) {
-      keepOnce();
+      reservePatientOnce();
     }
-    const key = shapeOf(step);
-    if (left() === 0) {
+    const key = placementKeyOf(step);
+    if (startsLeft() === 0) {
       break;
     }
-    if (!full.has(key)) {
-      const found = step.spec.gang
-        ? startGang(place, step, start)
-        : startTasks(place, step, start, left());
-      started += found.started;
-      if (found.full && step.spec.maxPerWorker === undefined) {
-        full.add(key);
+    if (!fullKeys.has(key)) {
+      const result = step.spec.gang
+        ? startGang(placement, step, start)
+        : startTasks(placement, step, start, startsLeft());
+      started += result.started;
+      if (result.isFull && step.spec.maxPerWorker === undefined) {
+        fullKeys.add(key);
       }
     }
   }
-  keepOnce();
+  reservePatientOnce();
   return started;
 }
 
-/** Starts suspected tasks; of those that are alike none is looked at once one has found no place. */
-function startSuspects(place: PlaceInput, start: ApplyStart): number {
-  const { quarantine } = place;
-  const full = new Set<string>();
+/** Starts suspected tasks; once one of them fits nowhere, similar ones are skipped. */
+function startSuspectedTasks(
+  placement: PlacementInput,
+  start: ApplyStart,
+): number {
+  const { quarantine } = placement;
+  const fullKeys = new Set<string>();
   let started = 0;
   for (const task of quarantine.waiting) {
     const { spec } = task.step;
-    const key = `${shapeOf(task.step)}/${quarantine.isPatienceOver(task)}`;
-    if (spec.gang || full.has(key)) {
+    const key = `${placementKeyOf(task.step)}/${quarantine.isPatienceOver(task)}`;
+    if (spec.gang || fullKeys.has(key)) {
       continue;
     }
-    const found = startFirst(place, [task], start);
-    started += found;
-    if (found === 0 && isWaiting(task) && spec.maxPerWorker === undefined) {
-      full.add(key);
+    const startedNow = startInOrder(placement, [task], start);
+    started += startedNow;
+    if (
+      startedNow === 0 &&
+      isWaiting(task) &&
+      spec.maxPerWorker === undefined
+    ) {
+      fullKeys.add(key);
     }
   }
   return started;
 }
 
-/** Workers on which nothing begins are calm, and can have a suspected task, once what runs there is over. */
-function keepForSuspects(place: PlaceInput): void {
-  const { quarantine, workers } = place;
+/** Reserves workers for suspected tasks: nothing else starts there, so that they are free once their runs have ended. */
+function reserveForSuspects(placement: PlacementInput): void {
+  const { quarantine, workers } = placement;
   if (quarantine.waiting.length > 0) {
     quarantine.keep(workers.length, task =>
       workers
         .filter(
           worker =>
-            refusalAt(place, worker, task) === undefined &&
+            staticObstacleAt(placement, worker, task) === undefined &&
             hasRoom(worker.info, emptyRuns(), task.step.spec),
         )
         .map(({ info }) => info.id),
@@ -145,17 +158,18 @@
   }
 }
 
-/** Tasks of one size must not take all room that comes free, since larger ones fit only where more does. */
-function keepShares(
-  place: PlaceInput,
+/** Reserves workers for large tasks, so that small ones do not take all capacity that becomes free. */
+function reserveForLargeTasks(
+  placement: PlacementInput,
   state: JobsState,
-  waiting: readonly Step[],
+  waitingSteps: readonly Step[],
 ): void {
-  const { workers, loadOf, shares } = place;
-  shares.keep(waiting, runsOf(state), {
+  const { workers, loadOf, shares } = placement;
+  shares.reserve(waitingSteps, runsOf(state), {
     workers,
     loadOf,
-    suits: (worker, load, task) => couldHave(place, worker, load, task),
+    canRun: (worker, load, task) =>
+      couldRunLater(placement, worker, load, task),
   });
 }
 
@@ -176,52 +190,55 @@
 }
 
 /**
- * Longest wait in milliseconds of a lasting task that has run before: tasks that end are placed first
- * and would take each place that comes free for as long as more of them come. Under load such tasks were
- * away for 11 to 40 s; their users allow 6 s, of which a start takes up to 2.
+ * Time after which a long-running task that has run before starts ahead of batch tasks, a steady supply of which
+ * would otherwise take all capacity that becomes free. Under load such tasks were unavailable for 11 to 40 s;
+ * their users allow 6 s, of which a start takes up to 2.
  */
-const LASTING_WAIT_MS: Millis = 2_000;
+const LONG_RUNNING_WAIT_MS: Millis = 2_000;
 
 /**
- * Lasting tasks that have run before and have waited for too long since, the longest first. While starts wait
- * for the link also those that never ran: tasks that end would take each turn on it for as long as more come.
+ * Returns long-running tasks that have run before and have waited too long since, the longest wait first. While
+ * the link is busy, those that never ran are included: a steady supply of batch tasks would otherwise use all of
+ * its bandwidth.
  */
-function overdueLasting({
+function overdueLongRunning({
   state,
   time,
   leadsSince,
   isLinkBusy,
 }: PlanInput): Task[] {
-  const overdueBefore = Math.max(time.now - LASTING_WAIT_MS, leadsSince);
-  const found: { readonly task: Task; readonly since: Instant }[] = [];
+  const overdueBefore = Math.max(time.now - LONG_RUNNING_WAIT_MS, leadsSince);
+  const overdue: { readonly task: Task; readonly since: Instant }[] = [];
   for (const { occurrences, seenAt = Infinity } of state.open) {
     for (const { steps } of occurrences.values()) {
-      const lasting = steps.filter(({ spec }) => spec.lasting && !spec.gang);
-      for (const task of lasting.flatMap(({ tasks }) => tasks)) {
+      const longRunning = steps.filter(
+        ({ spec }) => spec.lasting && !spec.gang,
+      );
+      for (const task of longRunning.flatMap(({ tasks }) => tasks)) {
         const isNew = isLinkBusy && task.lastRun === 0;
         const since = isNew ? seenAt : task.endedAt;
         if (isWaiting(task) && since < overdueBefore) {
-          found.push({ task, since });
+          overdue.push({ task, since });
         }
       }
     }
   }
-  return found.sort((a, b) => a.since - b.since).map(({ task }) => task);
+  return overdue.sort((a, b) => a.since - b.since).map(({ task }) => task);
 }
 
-function startFirst(
-  place: PlaceInput,
-  first: Iterable<Task>,
+function startInOrder(
+  placement: PlacementInput,
+  tasks: Iterable<Task>,
   start: ApplyStart,
-  most = Infinity,
+  maxStarts = Infinity,
 ): number {
   let started = 0;
-  for (const task of first) {
-    if (started >= most) {
+  for (const task of tasks) {
+    if (started >= maxStarts) {
       break;
     }
     if (isWaiting(task)) {
-      const worker = chooseWorker(place, task)?.info.id;
+      const worker = chooseWorker(placement, task)?.info.id;
       if (worker !== undefined) {
         start({ task, run: task.lastRun + 1, worker });
         started += 1;
@@ -231,109 +248,115 @@
   return started;
 }
 
-/** Returns the worker on which a task would start now. */
+/** Returns the worker on which a task would start now, or undefined if it fits nowhere. */
 export function findPlace(
   input: PlanInput,
   task: Task,
 ): PlanWorker | undefined {
-  return chooseWorker(placeInputOf(input), task);
+  return chooseWorker(placementInputOf(input), task);
 }
 
-interface Started {
+interface StartResult {
   readonly started: number;
-  /** Whether no worker had room for one more. */
-  readonly full: boolean;
+  /** Whether no worker had capacity for one more. */
+  readonly isFull: boolean;
 }
 
-/** The room that is kept in a round, worked out once: it reads loads as they are at each choice. */
-const bookings = new WeakMap<PlanInput, Booking>();
+/** Reservations by round, created once each; they read the current loads at each choice. */
+const reservationsByRound = new WeakMap<PlanInput, Reservations>();
 
-/** Returns what choices of workers go by in a round: what is kept for others is not theirs. */
-export function placeInputOf(input: PlanInput): PlaceInput {
-  return bookingOf(input).rest;
+/** Returns the input for choosing workers in a round, which excludes reserved capacity. */
+export function placementInputOf(input: PlanInput): PlacementInput {
+  return reservationsOf(input).remaining;
 }
 
 /**
- * Returns the room that is kept in a round, at first for tasks that are about to move. To find that room
- * takes each of them past all workers: with 40 of 624 workers leaving at once and 100 slowed fillers that
- * asked anew, a round took seconds and the leader lost its lead.
+ * Returns the reservations of a round, initially those for tasks that are about to move. They are created once a
+ * round, since each one compares all workers: with 40 of 624 workers leaving at once, and 100 slowed fillers that
+ * each recreated them, a round took seconds and the leader lost its leadership.
  */
-export function bookingOf(input: PlanInput): Booking {
-  const known = bookings.get(input);
+export function reservationsOf(input: PlanInput): Reservations {
+  const known = reservationsByRound.get(input);
   if (known !== undefined) {
     return known;
   }
-  const found = newBooking(input);
-  bookings.set(input, found);
+  const found = createReservations(input);
+  reservationsByRound.set(input, found);
   return found;
 }
 
-function newBooking(input: PlanInput): Booking {
+function createReservations(input: PlanInput): Reservations {
   const { state, workers, interference, advice, time, leadsSince } = input;
-  const booking = new Booking({
+  const reservations = new Reservations({
     workers,
     speeds: interference.speeds(),
     advice,
     quarantine: new Quarantine({ state, now: time.now, leadsSince }),
-    shares: new RoomShares(),
+    shares: new SizeClassShares(),
     now: time.now,
     loadOf: worker => workerRuns(state, worker),
     spreadOf: ({ step }, worker) => step.spread.get(worker) ?? 0,
   });
   for (const task of input.moving) {
     if (!isWaiting(task)) {
-      booking.place(task);
+      reservations.reserve(task);
     }
   }
-  return booking;
+  return reservations;
 }
 
-/** Starts up to `most` of the tasks of a step. */
+/** Starts waiting tasks of a step, at most `maxStarts`. */
 function startTasks(
-  place: PlaceInput,
+  placement: PlacementInput,
   step: Step,
   start: ApplyStart,
-  most: number,
-): Started {
+  maxStarts: number,
+): StartResult {
   let started = 0;
   for (const task of step.tasks) {
-    // Suspected tasks had their turn; that they find no place says nothing of others.
+    // Suspected tasks were handled before; that they fit nowhere does not mean that others do not fit.
     if (!isWaiting(task) || isSuspect(task)) {
       continue;
     }
-    if (started >= most) {
+    if (started >= maxStarts) {
       break;
     }
-    const worker = chooseWorker(place, task);
+    const worker = chooseWorker(placement, task);
     if (worker === undefined) {
-      return { started, full: true };
+      return { started, isFull: true };
     }
     start({ task, run: task.lastRun + 1, worker: worker.info.id });
     started += 1;
   }
-  return { started, full: false };
+  return { started, isFull: false };
 }
 
 /** Starts all tasks of a gang under one run number, or none. */
-function startGang(place: PlaceInput, step: Step, start: ApplyStart): Started {
+function startGang(
+  placement: PlacementInput,
+  step: Step,
+  start: ApplyStart,
+): StartResult {
   const { tasks } = step;
-  const idle = tasks.every(task => isWaiting(task) && task.runs.length === 0);
-  if (!idle) {
-    return { started: 0, full: false };
+  const areIdle = tasks.every(
+    task => isWaiting(task) && task.runs.length === 0,
+  );
+  if (!areIdle) {
+    return { started: 0, isFull: false };
   }
-  const workers = placeGang(place, step);
+  const workers = placeGang(placement, step);
   if (workers === undefined) {
-    return { started: 0, full: false };
+    return { started: 0, isFull: false };
   }
   const run = 1 + Math.max(...tasks.map(({ lastRun }) => lastRun));
   tasks.forEach((task, at) => {
     start({ task, run, worker: workers[at] ?? '' });
   });
-  return { started: tasks.length, full: false };
+  return { started: tasks.length, isFull: false };
 }
 
-/** Steps of one shape fit or fail alike, but for limits of their own. */
-function shapeOf({ spec, occurrence }: Step): string {
+/** Returns a key that is equal for steps that fit on the same workers, apart from limits of tasks per worker. */
+function placementKeyOf({ spec, occurrence }: Step): string {
   const { terms, id } = occurrence.job.spec;
   const { size, filler, label, image } = spec;
   return [
--- a/packages/domain/src/jobs/room-shares.ts
+++ b/packages/domain/src/jobs/room-shares.ts
@@ -1,154 +1,158 @@
 /**
- * Keeps workers for large tasks that have less of the room than is theirs. Small tasks fit wherever a little
- * comes free, and while more of them come a large one finds no place, whatever its turn. So tasks that
- * compete are told apart by size, and each size has a share of the room in use like its share of what is
- * asked for. While one that waits has less, workers are kept from smaller ones until it has.
+ * Reserves workers for large tasks that have less than their share of the capacity. Small tasks fit wherever a
+ * little becomes free, so that a steady supply of them starves large ones regardless of priority. Competing tasks
+ * are therefore divided into size classes, and each class is entitled to a share of the capacity in use that is
+ * proportional to its demand. While a waiting class has less, workers are reserved for it against smaller tasks.
  */
 import { waitingTasks, type Run, type Step, type Task } from './job.js';
 import { addLoad, emptyRuns, type WorkerRuns } from './jobs-state.js';
 import type { TaskSize } from './spec.js';
 
-/** What is asked for and in use of one size of task, in thousandths of a core. */
+/** Processors requested by waiting tasks and in use by running ones of a size class, in thousandths of a core. */
 interface SizeDemand {
   readonly sizeClass: number;
   waiting: number;
   running: number;
-  /** First in turn of those that wait; undefined where none does. */
+  /** The first waiting task in scheduling order; undefined if there is none. */
   first: Task | undefined;
 }
 
-/** Sizes of the tasks that compete for the same room, by class. */
-type Competitors = Map<number, SizeDemand>;
+/** Demand of tasks that compete for the same capacity, by size class. */
+type DemandBySize = Map<number, SizeDemand>;
 
-/** A worker with room to share. */
-export interface RoomWorker {
+/** A worker and its capacity. */
+export interface WorkerCapacity {
   readonly info: { readonly id: string; readonly capacity: TaskSize };
 }
 
-/** What keeping workers goes by. */
-export interface RoomSource<W extends RoomWorker> {
+/** Input for reserving workers. */
+export interface ReservationInput<W extends WorkerCapacity> {
   readonly workers: readonly W[];
   readonly loadOf: (worker: string) => WorkerRuns;
-  /** Whether a task may run there beside `load`, now or once what else runs there is over. */
-  readonly suits: (worker: W, load: WorkerRuns, task: Task) => boolean;
+  /** Tells whether a worker could run a task beside `load`, now or once its other runs have ended. */
+  readonly canRun: (worker: W, load: WorkerRuns, task: Task) => boolean;
 }
 
-/** The workers that are kept in one round. */
-export class RoomShares {
-  private readonly kept = new Map<string, Contest>();
-  /** What will be left on each worker once all that ends there has, as far as it was asked for. */
-  private readonly lasting = new Map<string, WorkerRuns>();
+/** Workers reserved for size classes in one round. */
+export class SizeClassShares {
+  private readonly reservedFor = new Map<string, TaskClass>();
+  /** Cached load of each worker by its long-running tasks alone. */
+  private readonly longRunningLoads = new Map<string, WorkerRuns>();
 
-  /** Whether a worker is not kept from the tasks of a step. */
+  /** Tells whether tasks of a step may use a worker, which may be reserved for larger ones. */
   admits(worker: string, step: Step): boolean {
-    const keeper = this.kept.get(worker);
-    if (keeper === undefined || !competes(step)) {
+    const reservation = this.reservedFor.get(worker);
+    if (reservation === undefined || !competes(step)) {
       return true;
     }
-    const { group, sizeClass } = contestOf(step);
-    return group !== keeper.group || sizeClass >= keeper.sizeClass;
+    const { group, sizeClass } = taskClassOf(step);
+    return group !== reservation.group || sizeClass >= reservation.sizeClass;
   }
 
-  /** Keeps workers for sizes that have too little; `waiting` are steps with tasks that wait, in turn. */
-  keep<W extends RoomWorker>(
+  /** Reserves workers for size classes below their share; `waiting` are steps with waiting tasks, in order. */
+  reserve<W extends WorkerCapacity>(
     waiting: Iterable<Step>,
     running: Iterable<Run>,
-    from: RoomSource<W>,
+    from: ReservationInput<W>,
   ): void {
-    const groups = demandsOf(waiting, running);
-    for (const [group, competitors] of groups) {
-      for (const shortage of shortOf(competitors)) {
-        this.keepFor(group, shortage, from);
+    const groups = demandByGroup(waiting, running);
+    for (const [group, demandBySize] of groups) {
+      for (const shortage of shortagesOf(demandBySize)) {
+        this.reserveFor(group, shortage, from);
       }
     }
   }
 
-  private keepFor<W extends RoomWorker>(
+  private reserveFor<W extends WorkerCapacity>(
     group: string,
-    { task, sizeClass, missing }: Shortage,
-    from: RoomSource<W>,
+    { task, sizeClass, missingCpuMilli }: Shortage,
+    from: ReservationInput<W>,
   ): void {
     const { cpuMilli } = task.step.spec.size;
-    // Half a task is nearer to its share than none.
-    const least = cpuMilli / 2;
-    if (missing < least) {
+    // From half a task on, one task more is closer to the share than none.
+    const minCpuMilli = cpuMilli / 2;
+    if (missingCpuMilli < minCpuMilli) {
       return;
     }
-    let left = missing;
-    for (const { id, room } of this.nearest(task, from)) {
-      if (left < least) {
+    let left = missingCpuMilli;
+    for (const { id, batchCpuMilli } of this.workersFor(task, from)) {
+      if (left < minCpuMilli) {
         return;
       }
-      this.kept.set(id, { group, sizeClass });
-      left -= Math.floor(room / cpuMilli) * cpuMilli;
+      this.reservedFor.set(id, { group, sizeClass });
+      left -= Math.floor(batchCpuMilli / cpuMilli) * cpuMilli;
     }
   }
 
-  /** Workers that could have a task, those first that will have room for it the soonest. */
-  private nearest<W extends RoomWorker>(
+  /** Returns the workers that could run a task, those with the most processors not used by smaller tasks first. */
+  private workersFor<W extends WorkerCapacity>(
     task: Task,
-    { workers, loadOf, suits }: RoomSource<W>,
-  ): Nearby[] {
-    const found: Nearby[] = [];
+    { workers, loadOf, canRun }: ReservationInput<W>,
+  ): ReservableWorker[] {
+    const found: ReservableWorker[] = [];
     for (const worker of workers) {
       const { id, capacity } = worker.info;
       const load = loadOf(id);
-      const lasting = this.lastingAt(id, load);
-      if (!this.kept.has(id) && suits(worker, lasting, task)) {
-        const room = capacity.cpuMilli - lasting.cpuMilli;
-        found.push({ id, room, free: room - inTheWay(load, task.step) });
+      const longRunning = this.longRunningLoadAt(id, load);
+      if (!this.reservedFor.has(id) && canRun(worker, longRunning, task)) {
+        const batchCpuMilli = capacity.cpuMilli - longRunning.cpuMilli;
+        found.push({
+          id,
+          batchCpuMilli,
+          freeCpuMilli: batchCpuMilli - smallerTasksCpuMilli(load, task.step),
+        });
       }
     }
-    return found.sort((a, b) => b.free - a.free);
+    return found.sort((a, b) => b.freeCpuMilli - a.freeCpuMilli);
   }
 
-  private lastingAt(worker: string, load: WorkerRuns): WorkerRuns {
-    const known = this.lasting.get(worker);
+  private longRunningLoadAt(worker: string, load: WorkerRuns): WorkerRuns {
+    const known = this.longRunningLoads.get(worker);
     if (known !== undefined) {
       return known;
     }
-    const found = lastingOf(load);
-    this.lasting.set(worker, found);
+    const found = longRunningLoadOf(load);
+    this.longRunningLoads.set(worker, found);
     return found;
   }
 }
 
-/** A size that has less of the room than is its, and by how much. */
+/** A size class with less than its share of the capacity, and how much it lacks. */
 interface Shortage {
   readonly sizeClass: number;
   readonly task: Task;
-  readonly missing: number;
+  readonly missingCpuMilli: number;
 }
 
-/** A worker, its room for tasks that end, and what of that no smaller ones hold. */
-interface Nearby {
+/** A worker, its processors for batch tasks, and those of them that no smaller tasks use. */
+interface ReservableWorker {
   readonly id: string;
-  readonly room: number;
-  readonly free: number;
+  readonly batchCpuMilli: number;
+  readonly freeCpuMilli: number;
 }
 
-/** Among which tasks those of a step compete, and their size. */
-interface Contest {
+/** The group of competing tasks that a step belongs to, and its size class. */
+interface TaskClass {
   readonly group: string;
   readonly sizeClass: number;
 }
 
-/** Worked out once a step: a round asks for that of each run. */
-const contests = new WeakMap<Step, Contest>();
+/** Task class by step, cached because each round needs that of every run. */
+const taskClasses = new WeakMap<Step, TaskClass>();
 
-function contestOf(step: Step): Contest {
-  const known = contests.get(step);
+function taskClassOf(step: Step): TaskClass {
+  const known = taskClasses.get(step);
   if (known !== undefined) {
     return known;
   }
   const { service, priority } = step.occurrence.job.spec.terms;
   const { filler, size } = step.spec;
-  // Fillers run in room that the others can't have. Sizes within a factor of two are alike.
+  // Fillers use capacity that is not available to other tasks. A size class spans a factor of two.
   const found = {
     group: [service, priority, filler].join('/'),
     sizeClass: Math.floor(Math.log2(Math.max(1, size.cpuMilli))),
   };
-  contests.set(step, found);
+  taskClasses.set(step, found);
   return found;
 }
 
@@ -156,12 +160,12 @@
   return !spec.lasting && !spec.gang;
 }
 
-function demandsOf(
-  waiting: Iterable<Step>,
-  running: Iterable<Run>,
-): Map<string, Competitors> {
-  const groups = new Map<string, Competitors>();
-  for (const step of waiting) {
+function demandByGroup(
+  waitingSteps: Iterable<Step>,
+  runningRuns: Iterable<Run>,
+): Map<string, DemandBySize> {
+  const groups = new Map<string, DemandBySize>();
+  for (const step of waitingSteps) {
     if (competes(step)) {
       const demand = demandOf(groups, step);
       const tasks = waitingTasks(step);
@@ -172,65 +176,67 @@
   if (groups.size === 0) {
     return groups;
   }
-  for (const { task } of running) {
-    // Where nothing waits, nothing is short.
-    if (competes(task.step) && groups.has(contestOf(task.step).group)) {
+  for (const { task } of runningRuns) {
+    // A group without waiting tasks cannot lack capacity.
+    if (competes(task.step) && groups.has(taskClassOf(task.step).group)) {
       demandOf(groups, task.step).running += task.step.spec.size.cpuMilli;
     }
   }
   return groups;
 }
 
-function demandOf(groups: Map<string, Competitors>, step: Step): SizeDemand {
-  const { group, sizeClass } = contestOf(step);
-  const competitors = groups.get(group) ?? new Map<number, SizeDemand>();
-  groups.set(group, competitors);
-  const known = competitors.get(sizeClass);
+function demandOf(groups: Map<string, DemandBySize>, step: Step): SizeDemand {
+  const { group, sizeClass } = taskClassOf(step);
+  const demandBySize = groups.get(group) ?? new Map<number, SizeDemand>();
+  groups.set(group, demandBySize);
+  const known = demandBySize.get(sizeClass);
   if (known !== undefined) {
     return known;
   }
   const created = { sizeClass, waiting: 0, running: 0, first: undefined };
-  competitors.set(sizeClass, created);
+  demandBySize.set(sizeClass, created);
   return created;
 }
 
-/** Sizes that wait and have less than their share, the largest first: the smallest fits anywhere. */
-function shortOf(competitors: Competitors): Shortage[] {
-  const all = [...competitors.values()];
-  const sum = (of: (demand: SizeDemand) => number): number =>
+/** Returns waiting size classes below their share, the largest first; not the smallest one, which fits anywhere. */
+function shortagesOf(demandBySize: DemandBySize): Shortage[] {
+  const all = [...demandBySize.values()];
+  const sumOf = (of: (demand: SizeDemand) => number): number =>
     all.reduce((total, demand) => total + of(demand), 0);
-  const inUse = sum(({ running }) => running);
-  const asked = sum(({ running, waiting }) => running + waiting);
-  const smallest = Math.min(...competitors.keys());
+  const inUse = sumOf(({ running }) => running);
+  const demand = sumOf(({ running, waiting }) => running + waiting);
+  const smallest = Math.min(...demandBySize.keys());
   return all
     .filter(({ sizeClass }) => sizeClass > smallest)
     .sort((a, b) => b.sizeClass - a.sizeClass)
     .flatMap(({ sizeClass, first, running, waiting }) => {
-      const share = (inUse * (running + waiting)) / asked;
-      const missing = Math.min(share - running, waiting);
-      return first === undefined ? [] : [{ sizeClass, task: first, missing }];
+      const share = (inUse * (running + waiting)) / demand;
+      const missingCpuMilli = Math.min(share - running, waiting);
+      return first === undefined
+        ? []
+        : [{ sizeClass, task: first, missingCpuMilli }];
     });
 }
 
-/** What is left of a load once all that ends has. */
-function lastingOf(load: WorkerRuns): WorkerRuns {
-  const left = emptyRuns();
+/** Returns the part of a load that long-running tasks cause. */
+function longRunningLoadOf(load: WorkerRuns): WorkerRuns {
+  const result = emptyRuns();
   for (const [key, run] of load.runs) {
     if (run.task.step.spec.lasting) {
-      left.runs.set(key, run);
-      addLoad(left, run.task.step, 1);
+      result.runs.set(key, run);
+      addLoad(result, run.task.step, 1);
     }
   }
-  return left;
+  return result;
 }
 
-/** Processors of the tasks that end and are smaller than those of the step. */
-function inTheWay({ runs }: WorkerRuns, step: Step): number {
-  const { sizeClass } = contestOf(step);
+/** Returns the processors used by batch tasks of smaller size classes than that of the step. */
+function smallerTasksCpuMilli({ runs }: WorkerRuns, step: Step): number {
+  const { sizeClass } = taskClassOf(step);
   let sum = 0;
   for (const { task } of runs.values()) {
     const { lasting, size } = task.step.spec;
-    const isSmaller = contestOf(task.step).sizeClass < sizeClass;
+    const isSmaller = taskClassOf(task.step).sizeClass < sizeClass;
     sum += !lasting && isSmaller ? size.cpuMilli : 0;
   }
   return sum;
--- a/packages/domain/src/jobs/run-times.ts
+++ b/packages/domain/src/jobs/run-times.ts
@@ -1,44 +1,45 @@
-/** Run times learnt by queue and image; callers' own guesses are rough. */
+/** Run times learned by queue and image, since callers' own estimates are inaccurate. */
 import type { Millis } from '../core/time.js';
 import type { Step } from './job.js';
 import { MAX_LEARNT, type Learnt } from './learnt.js';
 
-/** Weight of a new run time in the average; about ten runs replace what was learnt. */
-const NEW_WEIGHT = 0.1;
+/** Weight of a new run time in the average: about ten runs replace what was learned before. */
+const NEW_RUN_WEIGHT = 0.1;
 
-/** Share of a guess that is used before anything was learnt is all of it; after that, this much. */
-const GUESS_SHARE = 0.25;
+/** Weight of the caller's estimate against the learned average; without an average it is used alone. */
+const CALLER_ESTIMATE_WEIGHT = 0.25;
 
 /** Learns how long tasks run. */
 export interface RunTimes {
-  /** Expected run time of a task of the step on a sound worker. */
+  /** Returns the expected run time of a task of the step on a healthy worker. */
   expect(step: Step): Millis;
-  /** Takes in a run that was done after `took` without having resumed from a checkpoint. */
-  learn(step: Step, took: Millis): void;
-  /** Returns what was learnt, for another one to begin with. */
+  /** Records a run that completed after `runTimeMs` without having resumed from a checkpoint. */
+  learn(step: Step, runTimeMs: Millis): void;
+  /** Returns the learned averages, from which another instance can start. */
   learnt(): Learnt['runTimes'];
 }
 
-/** Creates a learner that knows what an earlier one has learnt. */
+/** Creates run times that start from the averages of an earlier instance. */
 export function createRunTimes(learnt: Learnt['runTimes'] = []): RunTimes {
   const averages = new Map<string, Millis>(learnt);
 
   return {
     expect: step => {
       const average = averages.get(keyOf(step));
-      const guess = step.spec.estimateMs;
+      const estimate = step.spec.estimateMs;
       return average === undefined
-        ? guess
-        : guess * GUESS_SHARE + average * (1 - GUESS_SHARE);
+        ? estimate
+        : estimate * CALLER_ESTIMATE_WEIGHT +
+            average * (1 - CALLER_ESTIMATE_WEIGHT);
     },
-    learn: (step, took) => {
+    learn: (step, runTimeMs) => {
       const key = keyOf(step);
       const average = averages.get(key);
       averages.set(
         key,
         average === undefined
-          ? took
-          : average * (1 - NEW_WEIGHT) + took * NEW_WEIGHT,
+          ? runTimeMs
+          : average * (1 - NEW_RUN_WEIGHT) + runTimeMs * NEW_RUN_WEIGHT,
       );
     },
     learnt: () =>
--- a/packages/domain/src/jobs/size-groups.ts
+++ b/packages/domain/src/jobs/size-groups.ts
@@ -1,16 +1,16 @@
-/** Tells the largest of many apart from the rest, as the users' target on sizes does. */
+/** Size groups by rank among all jobs of a queue, as used in the users' target on job sizes. */
 
-/** Size of a job among all of its queue. */
+/** Group of a job by its size, relative to the other jobs of its queue. */
 export type SizeGroup = 'largest tenth' | 'next largest fifth' | 'smaller';
 
-/** Share of all that are larger than those of a group, and of those that are not smaller. */
+/** Bounds of each group, as fractions of all members sorted from the largest to the smallest. */
 const GROUPS: readonly (readonly [SizeGroup, number, number])[] = [
   ['largest tenth', 0, 0.1],
   ['next largest fifth', 0.1, 0.3],
   ['smaller', 0.3, 1],
 ];
 
-/** Returns the groups that have members. */
+/** Divides `all` into size groups; returns those that are not empty. */
 export function sizeGroupsOf<T>(
   all: readonly T[],
   sizeOf: (each: T) => number,
--- a/packages/domain/src/jobs/trend.test.ts
+++ b/packages/domain/src/jobs/trend.test.ts
@@ -37,14 +37,14 @@
 
 test('nothing is known of a quantity before it is observed', () => {
   const trends = new Trends<string>(MODEL);
-  assert.equal(trends.expect('k', 5_000, 2_000), 0.5);
+  assert.equal(trends.predict('k', 5_000, 2_000), 0.5);
 });
 
 test('a rate is taken to hold for no longer than told', () => {
   const trends = watch(3_500, 1);
   assert.equal(
-    trends.expect('k', 60_000, 1_000),
-    trends.expect('k', 4_500, 1_000),
+    trends.predict('k', 60_000, 1_000),
+    trends.predict('k', 4_500, 1_000),
   );
 });
 
@@ -56,8 +56,8 @@
   for (let seed = 1; seed <= 40; seed += 1) {
     const trends = watch(until, seed);
     const truth = loadAt(until + ahead);
-    foreseen += Math.abs(trends.expect('k', until + ahead, 2_000) - truth);
-    unforeseen += Math.abs(trends.expect('k', until, 2_000) - truth);
+    foreseen += Math.abs(trends.predict('k', until + ahead, 2_000) - truth);
+    unforeseen += Math.abs(trends.predict('k', until, 2_000) - truth);
   }
   assert.ok(foreseen < unforeseen / 2, `${foreseen} against ${unforeseen}`);
 });
--- a/packages/domain/src/jobs/trend.ts
+++ b/packages/domain/src/jobs/trend.ts
@@ -1,20 +1,20 @@
-/** Quantities that swing steadily: Kalman filters of a value and of its rate of change. */
+/** Kalman filters of a value and its rate of change, for quantities that change steadily. */
 import type { Instant, Millis } from '../core/time.js';
 
 const MS_PER_S = 1000;
 
-/** What is known before the first observation, and how much is forgotten each second. */
+/** Initial estimate before the first observation, and growth of the variances. */
 export interface TrendModel {
   readonly mean: number;
   readonly variance: number;
-  /** Variance of the rate, in units a second. */
+  /** Variance of the rate, which is in units per second. */
   readonly rateVariance: number;
-  /** Growth of the variance of the value, and of that of the rate, each second. */
+  /** Growth per second of the variance of the value, and of that of the rate. */
   readonly drift: number;
   readonly rateDrift: number;
 }
 
-/** A value with its rate of change a second, and their covariance, as of `at`. */
+/** A value, its rate of change per second, and their variances and covariance, as of `at`. */
 export interface Trend {
   readonly mean: number;
   readonly rate: number;
@@ -26,24 +26,25 @@
 
 /** Trends by key. */
 export class Trends<K> {
-  private readonly known = new Map<K, Trend>();
+  private readonly trends = new Map<K, Trend>();
 
-  /** Creates trends that begin as `model` says. */
+  /** Creates trends that start from the initial estimate of `model`. */
   constructor(private readonly model: TrendModel) {}
 
-  /** Returns the value that is expected at `time`, by its rate of now for `reachMs` at the most. */
-  expect(key: K, time: Instant, reachMs: Millis): number {
-    const known = this.known.get(key);
+  /** Predicts the value at `time`, extrapolating the current rate for at most `maxAheadMs`. */
+  predict(key: K, time: Instant, maxAheadMs: Millis): number {
+    const known = this.trends.get(key);
     if (known === undefined) {
       return this.model.mean;
     }
-    const seconds = Math.min(reachMs, Math.max(0, time - known.at)) / MS_PER_S;
+    const seconds =
+      Math.min(maxAheadMs, Math.max(0, time - known.at)) / MS_PER_S;
     return known.mean + known.rate * seconds;
   }
 
-  /** Returns the trend carried forward to `now`. */
+  /** Returns the trend extrapolated to `now`. */
   at(key: K, now: Instant): Trend {
-    const known = this.known.get(key);
+    const known = this.trends.get(key);
     const { mean, variance, rateVariance, drift, rateDrift } = this.model;
     if (known === undefined) {
       return { mean, rate: 0, variance, covariance: 0, rateVariance, at: now };
@@ -55,41 +56,43 @@
       seconds ** 2 * known.rateVariance +
       drift * seconds;
     const grownRate = known.rateVariance + rateDrift * seconds;
-    const kept = Math.min(variance, grown);
-    const keptRate = Math.min(rateVariance, grownRate);
-    // Scaled as the variances are, since a covariance beyond these makes the next ones negative.
-    const scale = Math.sqrt((kept / grown) * (keptRate / grownRate));
+    const cappedVariance = Math.min(variance, grown);
+    const cappedRateVariance = Math.min(rateVariance, grownRate);
+    // The covariance is scaled like the variances: one too large for them would make later variances negative.
+    const scale = Math.sqrt(
+      (cappedVariance / grown) * (cappedRateVariance / grownRate),
+    );
     return {
       mean: known.mean + known.rate * seconds,
       rate: known.rate,
-      variance: kept,
+      variance: cappedVariance,
       covariance: (known.covariance + seconds * known.rateVariance) * scale,
-      rateVariance: keptRate,
+      rateVariance: cappedRateVariance,
       at: now,
     };
   }
 
   /**
-   * Corrects a trend whose value entered the expectation of an observation with `weight`; `surprise` is
-   * the observation's error and the variance that was expected of it.
+   * Corrects a trend by an observation. `weight` is the factor of the value in the expected observation;
+   * `innovation` is the observation's error and the variance that was expected of it.
    */
   correct(
     key: K,
     trend: Trend,
     weight: number,
-    surprise: { readonly error: number; readonly variance: number },
+    innovation: { readonly error: number; readonly variance: number },
     bounds: readonly [number, number],
   ): void {
-    const share = (trend.variance * weight) / surprise.variance;
-    const rateShare = (trend.covariance * weight) / surprise.variance;
+    const kalmanGain = (trend.variance * weight) / innovation.variance;
+    const rateGain = (trend.covariance * weight) / innovation.variance;
     const [lowest, highest] = bounds;
-    const mean = trend.mean + share * surprise.error;
-    this.known.set(key, {
+    const mean = trend.mean + kalmanGain * innovation.error;
+    this.trends.set(key, {
       mean: Math.min(highest, Math.max(lowest, mean)),
-      rate: trend.rate + rateShare * surprise.error,
-      variance: trend.variance * (1 - share * weight),
-      covariance: trend.covariance * (1 - share * weight),
-      rateVariance: trend.rateVariance - rateShare * weight * trend.covariance,
+      rate: trend.rate + rateGain * innovation.error,
+      variance: trend.variance * (1 - kalmanGain * weight),
+      covariance: trend.covariance * (1 - kalmanGain * weight),
+      rateVariance: trend.rateVariance - rateGain * weight * trend.covariance,
       at: trend.at,
     });
   }
--- a/packages/domain/src/jobs/worth.test.ts
+++ b/packages/domain/src/jobs/worth.test.ts
@@ -19,11 +19,11 @@
   testJob,
   testWorker,
 } from './test-support.js';
-import { yieldOf } from './worth.js';
+import { valuePerWork } from './worth.js';
 
 function occurrenceYield(state: JobsState, job: string): number {
   const { occurrence } = taskOf(state, job, 0, 0).step;
-  return yieldOf(occurrence, 4_000, createRunTimes());
+  return valuePerWork(occurrence, 4_000, createRunTimes());
 }
 
 /** The jobs that a worker with room for `room` tasks is given first. */
--- a/packages/domain/src/jobs/worth.ts
+++ b/packages/domain/src/jobs/worth.ts
@@ -1,18 +1,18 @@
-/** What the end of an occurrence is worth for the work that it still needs. */
+/** Value of completing an occurrence, in relation to the work that it still needs. */
 import type { Occurrence, Step } from './job.js';
 import type { RunTimes } from './run-times.js';
 
-/** Share of a mean job's worth that every job has; the rest grows with its work, as the users' rules say. */
-const FIXED_WORTH = 0.3;
-/** Most that a job is worth, in mean jobs of its queue, as the users' rules say. */
-const MAX_WORTH = 4;
+/** Fraction of the value of a mean job that every job has; the rest grows with its work, as the users' rules say. */
+const FIXED_VALUE_FRACTION = 0.3;
+/** Upper bound of the value of a job, in mean jobs of its queue, as the users' rules say. */
+const MAX_VALUE = 4;
 const MILLI = 1_000;
 
 /** Mean work of the open occurrences of each queue, in core-milliseconds. */
 export class MeanWork {
   private readonly sums = new Map<string, { work: number; count: number }>();
 
-  /** Takes in the work of an occurrence. */
+  /** Adds the work of an occurrence. */
   add(queue: string, work: number): void {
     const known = this.sums.get(queue) ?? { work: 0, count: 0 };
     known.work += work;
@@ -20,14 +20,14 @@
     this.sums.set(queue, known);
   }
 
-  /** Returns the mean of a queue; 0 for one without work. */
-  of(queue: string): number {
+  /** Returns the mean work of a queue; 0 for one without occurrences. */
+  meanOf(queue: string): number {
     const known = this.sums.get(queue);
     return known === undefined ? 0 : known.work / known.count;
   }
 }
 
-/** Expected work of an occurrence in core-milliseconds, of as many tasks of each step as `tasksOf` says. */
+/** Returns the expected work of an occurrence in core-milliseconds, counting `tasksOf(step)` tasks of each step. */
 export function workOf(
   { steps }: Occurrence,
   times: RunTimes,
@@ -40,21 +40,23 @@
 }
 
 /**
- * Returns what an occurrence is worth, in the work of a mean one of its queue, for each unit of work that
- * it has still to be given: high for one that is small, or of which nearly all tasks run or are done.
+ * Returns the value of completing an occurrence for each unit of work that its waiting tasks need. It is high if
+ * the occurrence is small, or if nearly all of its tasks are running or done. The value is in units of work,
+ * relative to the mean work of the queue.
  */
-export function yieldOf(
+export function valuePerWork(
   occurrence: Occurrence,
   meanWork: number,
   times: RunTimes,
 ): number {
   const work = workOf(occurrence, times);
-  const worth = FIXED_WORTH * meanWork + (1 - FIXED_WORTH) * work;
-  const wanted = workOf(occurrence, times, waitingTasks);
-  return Math.min(MAX_WORTH * meanWork, worth) / Math.max(1, wanted);
+  const value =
+    FIXED_VALUE_FRACTION * meanWork + (1 - FIXED_VALUE_FRACTION) * work;
+  const outstandingWork = workOf(occurrence, times, countWaitingTasks);
+  return Math.min(MAX_VALUE * meanWork, value) / Math.max(1, outstandingWork);
 }
 
-function waitingTasks({ tasks }: Step): number {
+function countWaitingTasks({ tasks }: Step): number {
   let count = 0;
   for (const { status } of tasks) {
     count += Number(status === 'waiting');
