--- a/packages/domain/src/jobs/account.test.ts
+++ b/packages/domain/src/jobs/account.test.ts
@@ -14,9 +14,9 @@
   testWorker,
 } from './test-support.js';
 
-const WHOLE = { cpuMilli: 4_000, memoryMiB: 100, accelerators: 0 };
+const WHOLE_WORKER = { cpuMilli: 4_000, memoryMiB: 100, accelerators: 0 };
 
-function account(
+function snapshot(
   state: JobsState,
   workers: readonly PlanWorker[],
 ): FleetAccount {
@@ -26,21 +26,27 @@
   });
 }
 
-/** Why the tasks of a step wait on one worker that a lasting task takes half of. */
-function reasonsFor(step: Partial<StepSpec>): unknown {
+/** Counts why tasks of a step wait for a single worker, half of which is used by a long-running task. */
+function waitReasonsOf(step: Partial<StepSpec>): unknown {
   const state = stateOf(
-    testJob('held', [{ lasting: true, size: { ...WHOLE, cpuMilli: 2_000 } }]),
+    testJob('held', [
+      { lasting: true, size: { ...WHOLE_WORKER, cpuMilli: 2_000 } },
+    ]),
     testJob('j', [step], { queue: 'wanted' }),
   );
   startOn(state, taskOf(state, 'held', 0, 0), 'w');
-  return account(state, [testWorker('w')]).waiting.wanted;
+  return snapshot(state, [testWorker('w')]).waiting.wanted;
 }
 
-test('processors are told by who holds them', () => {
+test('counts processors by kind of task', () => {
   const state = stateOf(
-    testJob('p', [{ size: { ...WHOLE, cpuMilli: 1_000 } }]),
-    testJob('l', [{ size: { ...WHOLE, cpuMilli: 2_000 }, lasting: true }]),
-    testJob('f', [{ size: { ...WHOLE, cpuMilli: 1_500 }, filler: true }]),
+    testJob('p', [{ size: { ...WHOLE_WORKER, cpuMilli: 1_000 } }]),
+    testJob('l', [
+      { size: { ...WHOLE_WORKER, cpuMilli: 2_000 }, lasting: true },
+    ]),
+    testJob('f', [
+      { size: { ...WHOLE_WORKER, cpuMilli: 1_500 }, filler: true },
+    ]),
   );
   const runs = ['p', 'l', 'f'].map(id =>
     startOn(state, taskOf(state, id, 0, 0), 'w'),
@@ -50,7 +56,7 @@
     progress.reading = 700;
     progress.allowed = 40;
   }
-  assert.deepEqual(account(state, [testWorker('w')]).processors, {
+  assert.deepEqual(snapshot(state, [testWorker('w')]).processors, {
     registered: 4_000,
     usable: 4_000,
     plain: 1_000,
@@ -63,47 +69,49 @@
 });
 
 test('a task that fits nowhere waits for processors', () => {
-  assert.deepEqual(reasonsFor({ tasks: 3, size: WHOLE }), { processors: 3 });
+  assert.deepEqual(waitReasonsOf({ tasks: 3, size: WHOLE_WORKER }), {
+    processors: 3,
+  });
 });
 
 test('a task whose memory fits nowhere waits for memory', () => {
   const size = { cpuMilli: 100, memoryMiB: 9_000, accelerators: 0 };
-  assert.deepEqual(reasonsFor({ size }), { memory: 1 });
+  assert.deepEqual(waitReasonsOf({ size }), { memory: 1 });
 });
 
-test('a task without a worker of its label waits for one', () => {
-  assert.deepEqual(reasonsFor({ label: 'none' }), { label: 1 });
+test('a task without a worker with its label waits for the label', () => {
+  assert.deepEqual(waitReasonsOf({ label: 'none' }), { label: 1 });
 });
 
 test('a task that fits waits for its turn', () => {
-  assert.deepEqual(reasonsFor({}), { turn: 1 });
+  assert.deepEqual(waitReasonsOf({}), { turn: 1 });
 });
 
-test('without a usable worker tasks wait for one', () => {
+test('tasks wait for a worker if none is usable', () => {
   const state = stateOf(testJob('j', [{ tasks: 2 }]));
-  assert.deepEqual(account(state, []).waiting, { q: { no_worker: 2 } });
+  assert.deepEqual(snapshot(state, []).waiting, { q: { no_worker: 2 } });
 });
 
-test('an account stays bounded with many queues and shapes', () => {
+test('a snapshot stays bounded with many queues and kinds of tasks', () => {
   const jobs = Array.from({ length: 100 }, (_, at) =>
-    testJob(`j${at}`, [{ size: { ...WHOLE, cpuMilli: 4_001 + at } }], {
+    testJob(`j${at}`, [{ size: { ...WHOLE_WORKER, cpuMilli: 4_001 + at } }], {
       queue: `q${at}`,
     }),
   );
-  const { waiting } = account(stateOf(...jobs), [testWorker('w')]);
+  const { waiting } = snapshot(stateOf(...jobs), [testWorker('w')]);
   assert.equal(Object.keys(waiting).length, 9);
   assert.deepEqual(waiting[OTHER_QUEUES], { processors: 16, unexamined: 76 });
 });
 
-// Large jobs that waited for ever could not be seen: what waits was told by queue alone.
-test('jobs that wait are told by size, with how long and why', () => {
+// Guards against starved large jobs going unnoticed, as when waiting tasks were reported by queue alone.
+test('reports waiting jobs by size, with waiting time and reason', () => {
   const state = stateOf(
-    testJob('held', [{ lasting: true, size: WHOLE }]),
+    testJob('held', [{ lasting: true, size: WHOLE_WORKER }]),
     testJob('large', [{ tasks: 9 }]),
     ...Array.from({ length: 9 }, (_, at) => testJob(`small${at}`, [{}])),
   );
   startOn(state, taskOf(state, 'held', 0, 0), 'w');
-  assert.deepEqual(account(state, [testWorker('w')]).sizes.q, {
+  assert.deepEqual(snapshot(state, [testWorker('w')]).sizes.q, {
     'largest tenth': {
       jobs: 1,
       notBegun: 1,
--- a/packages/domain/src/jobs/copies.test.ts
+++ b/packages/domain/src/jobs/copies.test.ts
@@ -16,15 +16,15 @@
 } from './test-support.js';
 
 const EXPECTED_MS = 1_000;
-const COPIES = { speculative: true, estimateMs: EXPECTED_MS };
+const SPECULATIVE_STEP = { speculative: true, estimateMs: EXPECTED_MS };
 
-interface Site {
+interface RunningTask {
   readonly state: JobsState;
   readonly run: Run;
 }
 
-/** A task that runs on `w1` since 0 and was last seen at 1 s. */
-function site(step: object, percent: number): Site {
+/** Returns a task running on `w1` since time 0, last reported at 1 s. */
+function runTask(step: object, percent: number): RunningTask {
   const state = stateOf(testJob('j', [step]));
   const run = startOn(state, taskOf(state, 'j', 0, 0), 'w1');
   assert.ok(run.progress);
@@ -33,54 +33,58 @@
 }
 
 /** Plans a round at `now` and returns the workers of the copies. */
-function copiesAt(state: JobsState, now: number, workers: string[]): string[] {
+function planCopiesAt(
+  state: JobsState,
+  now: number,
+  workers: string[],
+): string[] {
   const input = planInput(
     state,
     workers.map(id => testWorker(id)),
   );
-  const found: string[] = [];
+  const copyWorkers: string[] = [];
   planCopies({ ...input, time: { now, nowWall: now } }, decision => {
     applyDecision(state, decision);
-    found.push(decision.worker);
+    copyWorkers.push(decision.worker);
   });
-  return found;
+  return copyWorkers;
 }
 
-test('a run that stands still gets one copy, on another worker', () => {
-  const { state } = site(COPIES, 0);
-  assert.deepEqual(copiesAt(state, 1_000, ['w1', 'w2']), ['w2']);
-  assert.deepEqual(copiesAt(state, 1_250, ['w1', 'w2', 'w3']), []);
+test('a stalled run gets one copy, on another worker', () => {
+  const { state } = runTask(SPECULATIVE_STEP, 0);
+  assert.deepEqual(planCopiesAt(state, 1_000, ['w1', 'w2']), ['w2']);
+  assert.deepEqual(planCopiesAt(state, 1_250, ['w1', 'w2', 'w3']), []);
 });
 
 test('a run at its usual speed gets no copy', () => {
-  const { state } = site(COPIES, 90);
-  assert.deepEqual(copiesAt(state, 1_000, ['w1', 'w2']), []);
+  const { state } = runTask(SPECULATIVE_STEP, 90);
+  assert.deepEqual(planCopiesAt(state, 1_000, ['w1', 'w2']), []);
 });
 
 test('a run on a slow worker gets a copy', () => {
-  const { state } = site(COPIES, 20);
-  assert.deepEqual(copiesAt(state, 1_000, ['w1', 'w2']), ['w2']);
+  const { state } = runTask(SPECULATIVE_STEP, 20);
+  assert.deepEqual(planCopiesAt(state, 1_000, ['w1', 'w2']), ['w2']);
 });
 
-test('a run on a worker that has fallen silent gets a copy', () => {
-  const { run } = site(COPIES, 90);
+test('a run on a worker that no longer reports gets a copy', () => {
+  const { run } = runTask(SPECULATIVE_STEP, 90);
   assert.equal(isStraggler(run, EXPECTED_MS, 2_000), false);
   assert.equal(isStraggler(run, EXPECTED_MS, 2_700), true);
 });
 
-test('a step that does not allow it has no copies', () => {
-  const { state } = site({ estimateMs: EXPECTED_MS }, 0);
-  assert.deepEqual(copiesAt(state, 1_000, ['w1', 'w2']), []);
+test('a step that does not allow copies gets none', () => {
+  const { state } = runTask({ estimateMs: EXPECTED_MS }, 0);
+  assert.deepEqual(planCopiesAt(state, 1_000, ['w1', 'w2']), []);
 });
 
 test('copies count against the limit on each worker', () => {
-  const { state } = site({ ...COPIES, maxPerWorker: 1 }, 0);
-  assert.deepEqual(copiesAt(state, 1_000, ['w1']), []);
+  const { state } = runTask({ ...SPECULATIVE_STEP, maxPerWorker: 1 }, 0);
+  assert.deepEqual(planCopiesAt(state, 1_000, ['w1']), []);
 });
 
-test('the first copy that is done counts, whatever becomes of the other', () => {
-  const { state, run } = site(COPIES, 0);
-  copiesAt(state, 1_000, ['w2']);
+test('the first run to complete counts, whatever happens to the other', () => {
+  const { state, run } = runTask(SPECULATIVE_STEP, 0);
+  planCopiesAt(state, 1_000, ['w2']);
   const { task } = run;
   const copy = task.runs.at(-1);
   assert.ok(copy !== undefined && copy !== run);
@@ -91,9 +95,9 @@
   assert.equal(state.jobs.get('j')?.failure, undefined);
 });
 
-test('a task goes on when one of its copies fails', () => {
-  const { state, run } = site(COPIES, 0);
-  copiesAt(state, 1_000, ['w2']);
+test('a task keeps running when one of its copies fails', () => {
+  const { state, run } = runTask(SPECULATIVE_STEP, 0);
+  planCopiesAt(state, 1_000, ['w2']);
   endRun(state, run, 'failed');
   assert.equal(run.task.status, 'running');
 });
--- a/packages/domain/src/jobs/evacuation.test.ts
+++ b/packages/domain/src/jobs/evacuation.test.ts
@@ -14,23 +14,26 @@
   testWorker,
 } from './test-support.js';
 
-/** One job of four lasting tasks, one of eight that end; a worker has room for four. */
+/** A job of four long-running tasks, and one of eight batch tasks; a worker has capacity for four. */
 const JOBS = [
   testJob('lasting', [{ tasks: 4, lasting: true }]),
   testJob('ending', [{ tasks: 8 }]),
 ];
 
-function runOn(state: ReturnType<typeof stateOf>, index: number): Run {
+function startOnLeaving(state: ReturnType<typeof stateOf>, index: number): Run {
   const run = startOn(state, taskOf(state, 'lasting', 0, index), 'leaving');
   assert.ok(run.progress);
   run.progress.confirmed = true;
   return run;
 }
 
-test('room for a lasting task that has to leave is not given to tasks that end', () => {
+test('capacity for a long-running task that has to move is not given to batch tasks', () => {
   const state = stateOf(...JOBS);
   const input = planInput(state, [testWorker('w')]);
-  const { stop } = planEvacuation(input, [runOn(state, 0), runOn(state, 1)]);
+  const { stop } = planEvacuation(input, [
+    startOnLeaving(state, 0),
+    startOnLeaving(state, 1),
+  ]);
   assert.equal(stop.length, 2);
   const started = planStarts(input, decision => {
     applyDecision(state, decision);
@@ -38,15 +41,18 @@
   assert.equal(started, 2);
 });
 
-/** Has the run of the first lasting task leave with `urgency`; returns `job.index` of what starts in two places. */
-function startsWith(urgency: Urgency, moving: readonly number[]): string[] {
+/** Evacuates the first long-running task with `urgency`; returns `job.index` of the starts on a worker for two. */
+function startsWhileLeaving(
+  urgency: Urgency,
+  moving: readonly number[],
+): string[] {
   const state = stateOf(...JOBS);
   const size = { ...testWorker('w').info.capacity, cpuMilli: 2_000 };
   const { info } = testWorker('w');
   const worker = { info: { ...info, capacity: size }, trusted: true };
   const tasks = moving.map(at => taskOf(state, 'lasting', 0, at));
   const input = { ...planInput(state, [worker]), moving: tasks };
-  const leaving = runOn(state, 0);
+  const leaving = startOnLeaving(state, 0);
   const starts: string[] = [];
   planStarts(
     input,
@@ -55,8 +61,8 @@
       const { step, index } = decision.task;
       starts.push(`${step.occurrence.job.spec.id}.${index}`);
     },
-    asked => {
-      if (asked === urgency) {
+    current => {
+      if (current === urgency) {
         planEvacuation(input, [leaving]);
       }
     },
@@ -64,22 +70,25 @@
   return starts;
 }
 
-test('an urgent lasting task has room kept ahead of all that waits', () => {
-  assert.deepEqual(startsWith('urgent', []), ['ending.0']);
+test('capacity for an urgent long-running task is reserved before all waiting tasks', () => {
+  assert.deepEqual(startsWhileLeaving('urgent', []), ['ending.0']);
 });
 
-test('a patient one leaves room to tasks that end', () => {
-  assert.deepEqual(startsWith('patient', []), ['ending.0', 'ending.1']);
+test('a patient long-running task leaves capacity to batch tasks', () => {
+  assert.deepEqual(startsWhileLeaving('patient', []), ['ending.0', 'ending.1']);
 });
 
-test('lasting tasks that move have their places before those that have to leave', () => {
-  assert.deepEqual(startsWith('urgent', [1, 2]), ['lasting.1', 'lasting.2']);
+test('moving long-running tasks start before capacity is reserved for further ones', () => {
+  assert.deepEqual(startsWhileLeaving('urgent', [1, 2]), [
+    'lasting.1',
+    'lasting.2',
+  ]);
 });
 
-test('a patient lasting task has room kept ahead of lasting ones that wait', () => {
+test('capacity for a patient long-running task is reserved before waiting ones', () => {
   const state = stateOf(testJob('lasting', [{ tasks: 9, lasting: true }]));
   const input = planInput(state, [testWorker('w')]);
-  const leaving = [0, 1, 2].map(at => runOn(state, at));
+  const leaving = [0, 1, 2].map(at => startOnLeaving(state, at));
   const started = planStarts(
     input,
     decision => {
@@ -92,10 +101,12 @@
   assert.equal(started, 1);
 });
 
-test('tells why lasting tasks are still on a worker that leaves', () => {
+test('returns why long-running tasks stay on a leaving worker', () => {
   const gang = testJob('gang', [{ tasks: 1, lasting: true, gang: true }]);
   const state = stateOf(...JOBS, gang);
-  const [full, unknown, stopping] = [0, 1, 2].map(at => runOn(state, at));
+  const [full, unknown, stopping] = [0, 1, 2].map(at =>
+    startOnLeaving(state, at),
+  );
   const member = startOn(state, taskOf(state, 'gang', 0, 0), 'leaving');
   assert.ok(full && unknown?.progress && stopping?.progress);
   unknown.progress.confirmed = false;
--- a/packages/domain/src/jobs/interference.test.ts
+++ b/packages/domain/src/jobs/interference.test.ts
@@ -12,7 +12,7 @@
 const FLOOR_MS = 10;
 const OWN_LOAD = 0.5;
 
-interface Site {
+interface Scenario {
   readonly state: JobsState;
   readonly serving: Run;
   readonly filler: Run;
@@ -20,11 +20,14 @@
   now: number;
 }
 
-function site(): Site {
-  const serves = { lasting: true, tailTargetMs: TARGET_MS, image: 's' };
+function createScenario(): Scenario {
+  const servingStep = { lasting: true, tailTargetMs: TARGET_MS, image: 's' };
   const size = { cpuMilli: 1_000, memoryMiB: 1, accelerators: 0 };
-  const fills = { filler: true, image: 'f', size };
-  const state = stateOf(testJob('s', [serves]), testJob('f', [fills]));
+  const fillerStep = { filler: true, image: 'f', size };
+  const state = stateOf(
+    testJob('s', [servingStep]),
+    testJob('f', [fillerStep]),
+  );
   return {
     state,
     serving: startOn(state, taskOf(state, 's', 0, 0), 'w'),
@@ -34,82 +37,96 @@
   };
 }
 
-/** Lets the model see reports of a filler with `pressure` at its present share. */
-function report(at: Site, pressure: number, times: number): void {
-  const load = workerRuns(at.state, 'w');
-  for (let i = 0; i < times; i += 1) {
-    at.now += REPORT_MS;
-    const { progress } = at.filler;
-    assert.ok(progress && at.serving.progress);
+/** Simulates `count` reports of a filler with `pressure` at its current limit, and applies the new limits. */
+function handleReports(
+  scenario: Scenario,
+  pressure: number,
+  count: number,
+): void {
+  const load = workerRuns(scenario.state, 'w');
+  for (let i = 0; i < count; i += 1) {
+    scenario.now += REPORT_MS;
+    const { progress } = scenario.filler;
+    assert.ok(progress && scenario.serving.progress);
     assert.ok(progress.allowed !== undefined);
     const used = 0.1 * (progress.allowed / 100);
     progress.reading = used * CPU_MILLI;
     const total = Math.min(0.98, OWN_LOAD * (1 + pressure * used));
-    at.serving.progress.reading = FLOOR_MS / (1 - total);
-    at.model.learn(load, CPU_MILLI, at.now);
-    const share = at.model.shares(load, CPU_MILLI, at.now).get(at.filler);
+    scenario.serving.progress.reading = FLOOR_MS / (1 - total);
+    scenario.model.learn(load, CPU_MILLI, scenario.now);
+    const share = scenario.model
+      .shares(load, CPU_MILLI, scenario.now)
+      .get(scenario.filler);
     progress.allowed = share ?? 100;
   }
 }
 
-test('a filler that does not disturb keeps its speed', () => {
-  const at = site();
-  report(at, 0, 20);
-  assert.equal(at.filler.progress?.allowed, 100);
+test('a harmless filler runs at full speed', () => {
+  const scenario = createScenario();
+  handleReports(scenario, 0, 20);
+  assert.equal(scenario.filler.progress?.allowed, 100);
 });
 
-test('a filler that disturbs is slowed until the tail is below its target', () => {
-  const at = site();
-  report(at, 12, 20);
-  assert.ok((at.filler.progress?.allowed ?? 100) < 100);
-  assert.ok((at.serving.progress?.reading ?? 99) <= TARGET_MS);
+test('a disturbing filler is slowed until the tail is below its target', () => {
+  const scenario = createScenario();
+  handleReports(scenario, 12, 20);
+  assert.ok((scenario.filler.progress?.allowed ?? 100) < 100);
+  assert.ok((scenario.serving.progress?.reading ?? 99) <= TARGET_MS);
 });
 
-test('a slowed filler gets its speed back when it no longer disturbs', () => {
-  const at = site();
-  report(at, 12, 20);
-  report(at, 0, 60);
-  assert.ok((at.filler.progress?.allowed ?? 0) >= 90);
+test('a slowed filler recovers its speed when it no longer disturbs', () => {
+  const scenario = createScenario();
+  handleReports(scenario, 12, 20);
+  handleReports(scenario, 0, 60);
+  assert.ok((scenario.filler.progress?.allowed ?? 0) >= 90);
 });
 
-test('places a filler beside those that it does not disturb', () => {
-  const at = site();
-  report(at, 8, 20);
-  const load = workerRuns(at.state, 'w');
-  const { spec } = at.filler.task.step;
-  const beside = at.model.speedOf(load, CPU_MILLI, spec);
-  const alone = at.model.speedOf(workerRuns(at.state, 'x'), CPU_MILLI, spec);
+test('a filler is slow beside a task that it disturbs, and at full speed elsewhere', () => {
+  const scenario = createScenario();
+  handleReports(scenario, 8, 20);
+  const load = workerRuns(scenario.state, 'w');
+  const { spec } = scenario.filler.task.step;
+  const beside = scenario.model.speedOf(load, CPU_MILLI, spec);
+  const alone = scenario.model.speedOf(
+    workerRuns(scenario.state, 'x'),
+    CPU_MILLI,
+    spec,
+  );
   assert.ok(beside < 0.7);
   assert.equal(alone, 1);
 });
 
 test('every filler is paused when a task stays over its target', () => {
-  const at = site();
-  const load = workerRuns(at.state, 'w');
-  assert.ok(at.serving.progress && at.filler.progress);
-  at.serving.progress.reading = 10 * TARGET_MS;
-  at.filler.progress.reading = 0;
-  at.model.learn(load, CPU_MILLI, 1_000);
-  at.model.learn(load, CPU_MILLI, 3_500);
-  assert.equal(at.model.shares(load, CPU_MILLI, 3_500).get(at.filler), 0);
+  const scenario = createScenario();
+  const load = workerRuns(scenario.state, 'w');
+  assert.ok(scenario.serving.progress && scenario.filler.progress);
+  scenario.serving.progress.reading = 10 * TARGET_MS;
+  scenario.filler.progress.reading = 0;
+  scenario.model.learn(load, CPU_MILLI, 1_000);
+  scenario.model.learn(load, CPU_MILLI, 3_500);
+  assert.equal(
+    scenario.model.shares(load, CPU_MILLI, 3_500).get(scenario.filler),
+    0,
+  );
 });
 
-// Seen: a task was over its target for 3.6 s by its readings, while fillers that had been moved away were placed
-// beside it again, twice: the model found room for them with each reading that was a little below the target.
-test('no filler begins beside a task that has been over its target for a while', () => {
-  const at = site();
-  report(at, 0, 20);
-  const load = workerRuns(at.state, 'w');
+// Guards against placing fillers beside a disturbed task again. A task was over its target for 3.6 s, while fillers
+// moved away from it were twice placed beside it again: each reading slightly below the target made the model see
+// headroom.
+test('no filler is placed beside a task that has been over its target for a while', () => {
+  const scenario = createScenario();
+  handleReports(scenario, 0, 20);
+  const load = workerRuns(scenario.state, 'w');
   const size = { cpuMilli: 200, memoryMiB: 1, accelerators: 0 };
-  const spec = { ...at.filler.task.step.spec, size };
+  const spec = { ...scenario.filler.task.step.spec, size };
   const speedAfter = (reading: number): number => {
-    assert.ok(at.serving.progress && at.filler.progress);
-    // It is paused, so that the model blames something else.
-    at.filler.progress.reading = 0;
-    at.serving.progress.reading = reading;
-    at.now += 350;
-    at.model.learn(load, CPU_MILLI, at.now);
-    return at.model.speedOf(load, CPU_MILLI, spec);
+    assert.ok(scenario.serving.progress && scenario.filler.progress);
+    // The filler is paused, so that the model does not attribute the tail to it.
+    scenario.filler.progress.reading = 0;
+    scenario.serving.progress.reading = reading;
+    scenario.now += 350;
+    scenario.model.learn(load, CPU_MILLI, scenario.now);
+    return scenario.model.speedOf(load, CPU_MILLI, spec);
   };
   assert.equal(speedAfter(FLOOR_MS / (1 - OWN_LOAD)), 1);
   for (let reports = 0; reports < 4; reports += 1) {
@@ -121,21 +138,21 @@
   assert.ok(speedAfter(FLOOR_MS / (1 - OWN_LOAD)) > 0);
 });
 
-test('a filler that would lose much of its work stays', () => {
-  const at = site();
-  assert.ok(at.filler.progress);
-  at.filler.progress.allowed = 20;
-  at.filler.progress.percent = 10;
-  assert.equal(isSlowed(at.filler, 3_000), true);
-  at.filler.progress.percent = 60;
-  assert.equal(isSlowed(at.filler, 3_000), false);
+test('a filler that would lose much of its work is not moved', () => {
+  const scenario = createScenario();
+  assert.ok(scenario.filler.progress);
+  scenario.filler.progress.allowed = 20;
+  scenario.filler.progress.percent = 10;
+  assert.equal(isSlowed(scenario.filler, 3_000), true);
+  scenario.filler.progress.percent = 60;
+  assert.equal(isSlowed(scenario.filler, 3_000), false);
 });
 
-test('a filler is slowed only after a while', () => {
-  const at = site();
-  assert.ok(at.filler.progress);
-  at.filler.progress.allowed = 20;
-  at.filler.progress.allowedSince = 1_000;
-  assert.equal(isSlowed(at.filler, 1_200), false);
-  assert.equal(isSlowed(at.filler, 3_000), true);
+test('a slowed filler is moved only after a while', () => {
+  const scenario = createScenario();
+  assert.ok(scenario.filler.progress);
+  scenario.filler.progress.allowed = 20;
+  scenario.filler.progress.allowedSince = 1_000;
+  assert.equal(isSlowed(scenario.filler, 1_200), false);
+  assert.equal(isSlowed(scenario.filler, 3_000), true);
 });
--- a/packages/domain/src/jobs/overloaded-site.fixture.test.ts
+++ b/packages/domain/src/jobs/overloaded-site.fixture.test.ts
@@ -1,4 +1,4 @@
-/** A site of simulated workers to which more work of one queue comes than there is room for. */
+/** Simulated deployment that receives more work of one queue than it has capacity for. */
 import type { Instant, Millis } from '../core/time.js';
 import { seededRandom, type Random } from '../index.js';
 import { applyInbox } from './fold.js';
@@ -24,41 +24,41 @@
 const MEAN_RUN_MS: Millis = 2_000;
 const MEAN_TASKS = 8;
 const MEAN_STEPS = 2;
-/** Spread of widths and run times (of the logarithm). */
-const SPREAD = 0.6;
+/** Standard deviation of the logarithm of task counts and run times. */
+const LOG_SIGMA = 0.6;
 const MAX_TASKS = 40;
-/** Share of runs that fail by their own fault. */
-const FAILURES = 0.05;
-/** A late end is worth something up to this many times the objective. */
+/** Fraction of runs that fail. */
+const FAILURE_RATE = 0.05;
+/** A late result keeps some value up to this many times the objective. */
 const LATE_FACTOR = 3;
-/** What a late end is worth beside one in time. */
-const LATE_WORTH = 0.15;
+/** Value of a late result relative to one in time. */
+const LATE_VALUE = 0.15;
 
-/** More work than room over a while: `load` is what comes for each unit of room. */
-export interface Load {
+/** A period of overload; `load` is the submitted work relative to the capacity. */
+export interface LoadScenario {
   readonly seed: number;
   readonly load: number;
-  /** The load is that of a sound site but for this span. */
+  /** Period of the overload; outside it the load is normal. */
   readonly from: Instant;
   readonly until: Instant;
   readonly end: Instant;
   readonly workers: number;
-  /** Whether jobs count that come once the load has ended, and may not be over at the end. */
-  readonly countsAll: boolean;
-  /** Cores of a task of each of these kinds of jobs, which come equally often. */
+  /** Whether jobs submitted after the overload count, although they may be unfinished at the end. */
+  readonly countAllJobs: boolean;
+  /** Cores per task of each kind of job; all kinds are equally frequent. */
   readonly taskCores?: readonly number[];
 }
 
-/** What became of a job. */
+/** Result of a job. */
 export interface Outcome {
   readonly work: number;
   readonly taskCores: number;
   readonly kind: 'in_time' | 'late' | 'unserved';
 }
 
-/** What callers were served: shares of the jobs, and of what their work is worth to them. */
-export interface Served {
-  readonly worth: number;
+/** Fractions served: of the value of all jobs, and of the number of jobs by group. */
+export interface ServedShares {
+  readonly value: number;
   readonly inTime: number;
   readonly all: number;
   readonly largestTenth: number;
@@ -71,30 +71,30 @@
   readonly fails: boolean;
 }
 
-/** Load of a site on which all jobs find room. */
-const SOUND_LOAD = 0.7;
+/** Load at which there is capacity for all jobs. */
+const NORMAL_LOAD = 0.7;
 
-/** Plays a load; tells what became of the jobs that count. */
-export function playLoad(load: Load): Outcome[] {
-  const site = new Site(load);
+/** Simulates a load; returns the results of the jobs that count. */
+export function simulateLoad(load: LoadScenario): Outcome[] {
+  const deployment = new SimulatedDeployment(load);
   for (let now = 0; now < load.end; now += ROUND_MS) {
-    site.round(now);
+    deployment.runRound(now);
   }
-  return site.outcomes();
+  return deployment.outcomes();
 }
 
-class Site {
+class SimulatedDeployment {
   private readonly random: Random;
   private readonly input;
-  private readonly open = new Set<OpenRun>();
-  private readonly cameAt = new Map<string, Instant>();
-  private readonly overAt = new Map<string, Instant>();
-  /** Jobs that have come by now, in whole and fractions. */
-  private due = 0;
-
-  constructor(private readonly played: Load) {
-    this.random = seededRandom(played.seed);
-    const workers = Array.from({ length: played.workers }, (_, at) => {
+  private readonly openRuns = new Set<OpenRun>();
+  private readonly submittedAt = new Map<string, Instant>();
+  private readonly finishedAt = new Map<string, Instant>();
+  /** Jobs due but not submitted yet, including a fraction. */
+  private dueJobs = 0;
+
+  constructor(private readonly scenario: LoadScenario) {
+    this.random = seededRandom(scenario.seed);
+    const workers = Array.from({ length: scenario.workers }, (_, at) => {
       const worker = testWorker(`w${at}`);
       const capacity = { ...worker.info.capacity, memoryMiB: 1_000_000 };
       return { ...worker, info: { ...worker.info, capacity } };
@@ -102,16 +102,16 @@
     this.input = planInput(emptyJobsState(), workers);
   }
 
-  round(now: Instant): void {
+  runRound(now: Instant): void {
     this.endRuns(now);
-    this.takeJobs(now);
+    this.submitJobs(now);
     const time = { now, nowWall: now };
     const { state, times } = this.input;
     planStarts({ ...this.input, time }, decision => {
       const run = applyDecision(state, decision);
-      const tookMs = times.expect(decision.task.step) * this.spread(0.3);
-      const fails = this.random() < FAILURES;
-      this.open.add({ run, endsAt: now + tookMs, fails });
+      const tookMs = times.expect(decision.task.step) * this.drawFactor(0.3);
+      const fails = this.random() < FAILURE_RATE;
+      this.openRuns.add({ run, endsAt: now + tookMs, fails });
     });
   }
 
@@ -119,52 +119,52 @@
     const { state, times } = this.input;
     return [...state.jobs.values()].flatMap(job => {
       const { id } = job.spec;
-      const cameAt = this.cameAt.get(id) ?? Infinity;
+      const submittedAt = this.submittedAt.get(id) ?? Infinity;
       const [occurrence] = job.occurrences.values();
       if (
         occurrence === undefined ||
-        (!this.played.countsAll && cameAt >= this.played.until)
+        (!this.scenario.countAllJobs && submittedAt >= this.scenario.until)
       ) {
         return [];
       }
-      const tookMs = (this.overAt.get(id) ?? Infinity) - cameAt;
-      const share = tookMs / objectiveOf(occurrence, times);
+      const tookMs = (this.finishedAt.get(id) ?? Infinity) - submittedAt;
+      const ratio = tookMs / objectiveOf(occurrence, times);
       const kind =
-        share <= 1 ? 'in_time' : share <= LATE_FACTOR ? 'late' : 'unserved';
+        ratio <= 1 ? 'in_time' : ratio <= LATE_FACTOR ? 'late' : 'unserved';
       const taskCores = coresOf(job.spec);
       return [{ work: workOf(occurrence, times), taskCores, kind } as const];
     });
   }
 
   private get taskCores(): readonly number[] {
-    return this.played.taskCores ?? [1];
+    return this.scenario.taskCores ?? [1];
   }
 
   private endRuns(now: Instant): void {
-    for (const each of this.open) {
+    for (const each of this.openRuns) {
       if (each.endsAt <= now) {
-        this.open.delete(each);
+        this.openRuns.delete(each);
         const { run, fails } = each;
         const { job } = run.task.step.occurrence;
         endRun(this.input.state, run, fails ? 'failed' : 'done');
         if (isOver(job)) {
-          this.overAt.set(job.spec.id, now);
+          this.finishedAt.set(job.spec.id, now);
         }
       }
     }
   }
 
-  private takeJobs(now: Instant): void {
-    const { load, from, until, workers } = this.played;
-    const share = now >= from && now < until ? load : SOUND_LOAD;
+  private submitJobs(now: Instant): void {
+    const { load, from, until, workers } = this.scenario;
+    const currentLoad = now >= from && now < until ? load : NORMAL_LOAD;
     const kinds = this.taskCores;
     const meanCores = kinds.reduce((sum, cores) => sum + cores) / kinds.length;
     const perRound =
-      (share * workers * CORES * ROUND_MS) /
+      (currentLoad * workers * CORES * ROUND_MS) /
       (MEAN_RUN_MS * MEAN_TASKS * MEAN_STEPS * meanCores);
-    for (this.due += perRound; this.due >= 1; this.due -= 1) {
-      const job = this.drawJob(`j${this.cameAt.size}`);
-      this.cameAt.set(job.id, now);
+    for (this.dueJobs += perRound; this.dueJobs >= 1; this.dueJobs -= 1) {
+      const job = this.drawJob(`j${this.submittedAt.size}`);
+      this.submittedAt.set(job.id, now);
       applyInbox(this.input.state, { kind: 'submit', job, atWall: now });
     }
   }
@@ -172,24 +172,24 @@
   private drawJob(id: string): JobSpec {
     const count = 1 + Math.floor(this.random() * (2 * MEAN_STEPS - 1));
     const kinds = this.taskCores;
-    const cores = kinds[this.cameAt.size % kinds.length] ?? 1;
+    const cores = kinds[this.submittedAt.size % kinds.length] ?? 1;
     const size = { ...PLAIN_STEP.size, cpuMilli: cores * MILLI };
     const steps = Array.from({ length: count }, (_, at) => ({
       tasks: this.drawTasks(),
       size,
-      estimateMs: MEAN_RUN_MS * this.spread(SPREAD),
+      estimateMs: MEAN_RUN_MS * this.drawFactor(LOG_SIGMA),
       after: at === 0 ? [] : [at - 1],
     }));
     return testJob(id, steps, { ...TERMS, maxAttempts: 10 });
   }
 
   private drawTasks(): number {
-    const drawn = Math.round(MEAN_TASKS * this.spread(SPREAD));
+    const drawn = Math.round(MEAN_TASKS * this.drawFactor(LOG_SIGMA));
     return Math.max(1, Math.min(MAX_TASKS, drawn));
   }
 
-  /** Draws a factor with a mean of 1. */
-  private spread(sigma: number): number {
+  /** Draws a log-normal factor with a mean of 1. */
+  private drawFactor(sigma: number): number {
     const radius = Math.sqrt(-2 * Math.log(1 - this.random()));
     const normal = radius * Math.cos(2 * Math.PI * this.random());
     return Math.exp(sigma * normal - sigma ** 2 / 2);
@@ -200,43 +200,46 @@
   return (first?.size.cpuMilli ?? 0) / MILLI;
 }
 
-/** Share of a job's worth that does not grow with its work, and the most it is worth, in mean jobs. */
-const FIXED_WORTH = 0.3;
-const MAX_WORTH = 4;
+/** Fraction of a job's value that does not grow with its work, and its highest value, in mean jobs. */
+const FIXED_VALUE_FRACTION = 0.3;
+const MAX_VALUE = 4;
 
-/** Sums what callers were served. */
-export function servedOf(outcomes: readonly Outcome[]): Served {
+/** Returns the fractions that callers were served. */
+export function servedSharesOf(outcomes: readonly Outcome[]): ServedShares {
   const sorted = [...outcomes].sort((a, b) => b.work - a.work);
   const at = (share: number): number => Math.round(share * sorted.length);
   const mean = sorted.reduce((sum, { work }) => sum + work, 0) / sorted.length;
-  const worthOf = ({ work }: Outcome): number =>
-    Math.min(MAX_WORTH, FIXED_WORTH + (1 - FIXED_WORTH) * (work / mean));
-  const earned = (outcome: Outcome): number =>
-    worthOf(outcome) * creditOf(outcome);
+  const valueOf = ({ work }: Outcome): number =>
+    Math.min(
+      MAX_VALUE,
+      FIXED_VALUE_FRACTION + (1 - FIXED_VALUE_FRACTION) * (work / mean),
+    );
+  const servedValueOf = (outcome: Outcome): number =>
+    valueOf(outcome) * valueFractionOf(outcome);
   const sumOf = (of: (outcome: Outcome) => number): number =>
     sorted.reduce((sum, outcome) => sum + of(outcome), 0);
   return {
-    worth: sumOf(earned) / sumOf(worthOf),
+    value: sumOf(servedValueOf) / sumOf(valueOf),
     inTime: sumOf(({ kind }) => Number(kind === 'in_time')) / sorted.length,
-    all: shareServed(sorted),
-    largestTenth: shareServed(sorted.slice(0, at(0.1))),
-    nextLargestFifth: shareServed(sorted.slice(at(0.1), at(0.3))),
+    all: servedShareOf(sorted),
+    largestTenth: servedShareOf(sorted.slice(0, at(0.1))),
+    nextLargestFifth: servedShareOf(sorted.slice(at(0.1), at(0.3))),
   };
 }
 
-function creditOf({ kind }: Outcome): number {
+function valueFractionOf({ kind }: Outcome): number {
   switch (kind) {
     case 'in_time':
       return 1;
     case 'late':
-      return LATE_WORTH;
+      return LATE_VALUE;
     case 'unserved':
       return 0;
   }
 }
 
-/** Share of jobs that were served. */
-export function shareServed(outcomes: readonly Outcome[]): number {
+/** Returns the fraction of jobs that were served. */
+export function servedShareOf(outcomes: readonly Outcome[]): number {
   const served = outcomes.filter(({ kind }) => kind !== 'unserved');
   return served.length / Math.max(1, outcomes.length);
 }
--- a/packages/domain/src/jobs/plan-choice.test.ts
+++ b/packages/domain/src/jobs/plan-choice.test.ts
@@ -21,43 +21,43 @@
 const SERVING = { lasting: true, tailTargetMs: 50, image: 's' };
 const FILLER = { filler: true, image: 'f' };
 const LARGE = { cpuMilli: 1_200, memoryMiB: 1_000, accelerators: 0 };
-/** A tail that leaves little to fillers, and a low one. */
-const TAILS = [
+/** Tail latencies in milliseconds by worker: one that leaves little to fillers, and a low one. */
+const TAILS_MS = [
   ['near', 30],
   ['far', 10],
 ] as const;
-/** Reports before a filler begins, and after it. */
-const REPORTS = 6;
-/** A tail in milliseconds that shows a filler to press, and leaves room for one that does not. */
-const PRESSED_TAIL = 24;
+/** Number of reports before a filler starts, and after it. */
+const REPORT_COUNT = 6;
+/** Tail latency that shows a filler to disturb, and leaves headroom for a harmless one. */
+const DISTURBED_TAIL_MS = 24;
 const SEEDS = 40;
 const WORKERS = 12;
 
-function pick(random: Random, below: number): number {
+function randomInt(random: Random, below: number): number {
   return Math.floor(random() * below);
 }
 
-function anyStep(random: Random): Partial<StepSpec> {
+function randomStep(random: Random): Partial<StepSpec> {
   const size = {
-    cpuMilli: 200 * (1 + pick(random, 8)),
-    memoryMiB: 300 * (1 + pick(random, 8)),
+    cpuMilli: 200 * (1 + randomInt(random, 8)),
+    memoryMiB: 300 * (1 + randomInt(random, 8)),
     accelerators: 0,
   };
-  const tasks = 1 + pick(random, 4);
-  switch (pick(random, 3)) {
+  const tasks = 1 + randomInt(random, 4);
+  switch (randomInt(random, 3)) {
     case 0:
-      return { tasks, size, filler: true, image: `f${pick(random, 3)}` };
+      return { tasks, size, filler: true, image: `f${randomInt(random, 3)}` };
     case 1: {
-      const image = `s${pick(random, 3)}`;
+      const image = `s${randomInt(random, 3)}`;
       return { tasks, size, lasting: true, tailTargetMs: 50, image };
     }
     default:
-      return { tasks, size, maxPerWorker: 1 + pick(random, 3) };
+      return { tasks, size, maxPerWorker: 1 + randomInt(random, 3) };
   }
 }
 
-/** Fillers of the first image disturb what serves, others don't. */
-function read({ runs }: WorkerRuns, random: Random): void {
+/** Sets readings as if fillers of the first image disturbed serving tasks and others did not. */
+function setReadings({ runs }: WorkerRuns, random: Random): void {
   const all = [...runs.values()];
   const disturbed = all.some(({ task }) => task.step.spec.image === 'f0');
   for (const { task, progress } of all) {
@@ -69,10 +69,10 @@
   }
 }
 
-/** Jobs of all kinds, of which some run, and tails from which pressures are learnt. */
-function busyInput(random: Random): PlanInput {
+/** Creates jobs of all kinds, some of them running, and reports from which pressures are learned. */
+function createBusyRound(random: Random): PlanInput {
   const jobs = Array.from({ length: 40 }, (_, at) =>
-    testJob(`j${at}`, [anyStep(random)]),
+    testJob(`j${at}`, [randomStep(random)]),
   );
   const state = stateOf(...jobs);
   const workers = Array.from({ length: WORKERS }, (_, at) =>
@@ -80,19 +80,23 @@
   );
   const input = planInput(state, workers);
   for (let at = 0; at < 20; at += 1) {
-    startOn(state, taskOf(state, `j${at}`, 0, 0), `w${pick(random, WORKERS)}`);
+    startOn(
+      state,
+      taskOf(state, `j${at}`, 0, 0),
+      `w${randomInt(random, WORKERS)}`,
+    );
   }
   for (let report = 1; report <= 4; report += 1) {
     for (const { info } of workers) {
       const load = workerRuns(state, info.id);
-      read(load, random);
+      setReadings(load, random);
       input.interference.learn(load, info.capacity.cpuMilli, 500 * report);
     }
   }
   return input;
 }
 
-function waitingOf(state: JobsState, input: PlanInput): string[] {
+function waitingWithPlace(state: JobsState, input: PlanInput): string[] {
   return candidates(state.open, input.times, input.time)
     .filter(({ step }) => !isOver(step.occurrence.job))
     .flatMap(({ step }) => step.tasks.filter(task => task.status === 'waiting'))
@@ -100,19 +104,19 @@
     .map(task => `${task.step.occurrence.job.spec.id}.${task.index}`);
 }
 
-test('a round leaves nothing waiting that has a place', () => {
+test('a round leaves no task waiting that fits on a worker', () => {
   for (let seed = 1; seed <= SEEDS; seed += 1) {
-    const input = busyInput(seededRandom(seed));
+    const input = createBusyRound(seededRandom(seed));
     planStarts(input, decision => {
       applyDecision(input.state, decision);
     });
-    assert.deepEqual(waitingOf(input.state, input), [], `seed ${seed}`);
+    assert.deepEqual(waitingWithPlace(input.state, input), [], `seed ${seed}`);
   }
 });
 
-test('each start goes to the worker that a search on its own would choose', () => {
+test('each start goes to the worker that a separate search would choose', () => {
   for (let seed = 1; seed <= SEEDS; seed += 1) {
-    const input = busyInput(seededRandom(seed));
+    const input = createBusyRound(seededRandom(seed));
     planStarts(input, decision => {
       const alone = findPlace(input, decision.task);
       assert.equal(decision.worker, alone?.info.id, `seed ${seed}`);
@@ -121,9 +125,9 @@
   }
 });
 
-test('a choice is that of the best of single workers, each rated on its own', () => {
+test('the chosen worker is preferred to each other one that fits', () => {
   for (let seed = 1; seed <= SEEDS; seed += 1) {
-    const input = busyInput(seededRandom(seed));
+    const input = createBusyRound(seededRandom(seed));
     for (const { step } of candidates(
       input.state.open,
       input.times,
@@ -141,7 +145,7 @@
           worker =>
             worker === best ||
             findPlace(
-              { ...input, workers: pairOf(input, best, worker) },
+              { ...input, workers: twoWorkers(input, best, worker) },
               task,
             ) === best,
         );
@@ -151,7 +155,7 @@
   }
 });
 
-function pairOf(
+function twoWorkers(
   { workers }: PlanInput,
   a: PlanInput['workers'][number] | undefined,
   b: PlanInput['workers'][number],
@@ -159,7 +163,7 @@
   return workers.filter(worker => worker === a || worker === b);
 }
 
-test('a worker where a filler is faster goes before one that is less promised', () => {
+test('a worker where a filler is faster is preferred to one with more free capacity', () => {
   const input = planInput(
     stateOf(
       testJob('quiet', [SERVING]),
@@ -171,7 +175,7 @@
   const { state, interference } = input;
   startOn(state, taskOf(state, 'quiet', 0, 0), 'near');
   startOn(state, taskOf(state, 'loaded', 0, 0), 'far');
-  for (const [worker, tail] of TAILS) {
+  for (const [worker, tail] of TAILS_MS) {
     const load = workerRuns(state, worker);
     for (const { progress } of load.runs.values()) {
       assert.ok(progress !== undefined);
@@ -183,7 +187,7 @@
   assert.equal(findPlace(input, task)?.info.id, 'far');
 });
 
-test('a filler of one image that finds no place keeps none of another from its own', () => {
+test('a filler that fits nowhere does not keep one of another image from starting', () => {
   const input = planInput(
     stateOf(
       testJob('serves', [SERVING]),
@@ -195,13 +199,13 @@
   const { state, interference } = input;
   startOn(state, taskOf(state, 'serves', 0, 0), 'only');
   const load = workerRuns(state, 'only');
-  for (let report = 1; report <= 2 * REPORTS; report += 1) {
-    if (report === REPORTS) {
+  for (let report = 1; report <= 2 * REPORT_COUNT; report += 1) {
+    if (report === REPORT_COUNT) {
       startOn(state, taskOf(state, 'presses', 0, 0), 'only');
     }
     for (const { task, progress } of load.runs.values()) {
       assert.ok(progress !== undefined);
-      const tail = report < REPORTS ? 12 : PRESSED_TAIL;
+      const tail = report < REPORT_COUNT ? 12 : DISTURBED_TAIL_MS;
       progress.reading = task.step.spec.filler ? 1_000 : tail;
     }
     interference.learn(load, 4_000, 500 * report);
--- a/packages/domain/src/jobs/round-cost.test.ts
+++ b/packages/domain/src/jobs/round-cost.test.ts
@@ -1,8 +1,8 @@
 /*
- * Seen: on a fleet of 624 workers 40 were about to leave at once, and the leader fell silent for over a
- * second and lost its lead. How: room is kept in each round for every task that moves, which takes each
- * past all workers, and every slowed filler had that worked out anew. What a round looks at may grow with
- * tasks x workers, and not with moving tasks x slowed fillers x workers.
+ * Guards against planning rounds that take too long. With 40 of 624 workers about to leave at once, the leader
+ * did not respond for over a second and lost its leadership: capacity is reserved in each round for every moving
+ * task by comparing all workers, and this was repeated for every slowed filler. The cost of a round may grow with
+ * tasks x workers, but not with moving tasks x slowed fillers x workers.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -23,14 +23,14 @@
   testWorker,
 } from './test-support.js';
 
-const MOVING = 60;
-const SLOWED = 40;
+const MOVING_TASKS = 60;
+const SLOWED_FILLERS = 40;
 const WORKERS = 100;
-const SUSPECTED = 200;
+const SUSPECTED_TASKS = 200;
 const SIZE = { cpuMilli: 100, memoryMiB: 10, accelerators: 0 };
 
-/** Workers that count how often all of them are gone over. */
-function countedWorkers(): {
+/** Returns workers, and a counter of the iterations over all of them. */
+function workersCountingPasses(): {
   workers: PlanWorker[];
   passes: () => number;
 } {
@@ -46,7 +46,11 @@
   return { workers, passes: () => passes };
 }
 
-function runsOf(input: PlanInput, job: string, count: number): Run[] {
+function startConfirmedRuns(
+  input: PlanInput,
+  job: string,
+  count: number,
+): Run[] {
   return Array.from({ length: count }, (_, at) => {
     const run = startOn(input.state, taskOf(input.state, job, 0, at), 'gone');
     if (run.progress !== undefined) {
@@ -56,34 +60,39 @@
   });
 }
 
-test('a round goes over the workers once for each task that it places', () => {
-  const { workers, passes } = countedWorkers();
+test('a round iterates over the workers once for each task that it places', () => {
+  const { workers, passes } = workersCountingPasses();
   const state = stateOf(
-    testJob('moving', [{ tasks: MOVING, size: SIZE, lasting: true }]),
-    testJob('leaving', [{ tasks: MOVING, size: SIZE, lasting: true }]),
-    testJob('slowed', [{ tasks: SLOWED, size: SIZE, filler: true }]),
+    testJob('moving', [{ tasks: MOVING_TASKS, size: SIZE, lasting: true }]),
+    testJob('leaving', [{ tasks: MOVING_TASKS, size: SIZE, lasting: true }]),
+    testJob('slowed', [{ tasks: SLOWED_FILLERS, size: SIZE, filler: true }]),
   );
   const input = planInput(state, workers);
-  const moving: Task[] = runsOf(input, 'moving', MOVING).map(run => run.task);
-  const leaving = runsOf(input, 'leaving', MOVING);
-  const slowed = runsOf(input, 'slowed', SLOWED);
+  const moving: Task[] = startConfirmedRuns(input, 'moving', MOVING_TASKS).map(
+    run => run.task,
+  );
+  const leaving = startConfirmedRuns(input, 'leaving', MOVING_TASKS);
+  const slowed = startConfirmedRuns(input, 'slowed', SLOWED_FILLERS);
   const round = { ...input, moving };
   planStarts(round, () => undefined);
   planEvacuation(round, leaving);
   slowed.forEach(({ task }) => findPlace(round, task));
-  assert.ok(passes() <= 2 * MOVING + SLOWED + 10, `${passes()} passes`);
+  assert.ok(
+    passes() <= 2 * MOVING_TASKS + SLOWED_FILLERS + 10,
+    `${passes()} passes`,
+  );
 });
 
-test('a round with many suspected tasks goes over the workers a bounded number of times', () => {
-  const { workers, passes } = countedWorkers();
+test('a round with many suspected tasks iterates over the workers a bounded number of times', () => {
+  const { workers, passes } = workersCountingPasses();
   const state = stateOf(
-    testJob('suspected', [{ tasks: SUSPECTED, size: SIZE }]),
+    testJob('suspected', [{ tasks: SUSPECTED_TASKS, size: SIZE }]),
     testJob('busy', [{ tasks: WORKERS, size: SIZE }]),
   );
   for (let at = 0; at < WORKERS; at += 1) {
     startOn(state, taskOf(state, 'busy', 0, at), `w${at}`);
   }
-  for (let at = 0; at < SUSPECTED; at += 1) {
+  for (let at = 0; at < SUSPECTED_TASKS; at += 1) {
     const task = taskOf(state, 'suspected', 0, at);
     for (const worker of ['lost1', 'lost2']) {
       const { number: run } = startOn(state, task, worker);
--- a/packages/domain/src/jobs/serving-places.test.ts
+++ b/packages/domain/src/jobs/serving-places.test.ts
@@ -1,7 +1,8 @@
 /**
- * Pattern: lasting tasks that serve hold nine tenths of a fleet's processors, and the load of each job
- * swings alike in all of its tasks and unlike that of other jobs. What fills beside them has to suit the
- * highest load on its worker: with tasks of four jobs on a worker one of them is nearly always high.
+ * Guards against mixing serving tasks of different jobs on a worker. They use nine tenths of a fleet's processors,
+ * and the load of a job rises and falls in all of its tasks together, independently of other jobs. Best-effort
+ * fillers have to suit the highest load on their worker, and with four jobs on a worker one of them is nearly
+ * always high.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -17,9 +18,9 @@
 } from './test-support.js';
 
 const WORKERS = 8;
-const TASKS = 4;
+const TASKS_PER_JOB = 4;
 
-/** Plans until nothing starts any more; returns the jobs that serve at each worker. */
+/** Plans a round; returns the jobs with serving tasks on each worker. */
 function placeAll(state: JobsState): Set<string>[] {
   const workers = Array.from({ length: WORKERS }, (_, at) =>
     testWorker(`w${at}`),
@@ -39,13 +40,19 @@
   const size = { cpuMilli: 1_000, memoryMiB: 100, accelerators: 0 };
   const jobs = Array.from({ length: WORKERS }, (_, at) =>
     testJob(`j${at}`, [
-      { tasks: TASKS, size, lasting: true, tailTargetMs: 50, image: image(at) },
+      {
+        tasks: TASKS_PER_JOB,
+        size,
+        lasting: true,
+        tailTargetMs: 50,
+        image: image(at),
+      },
     ]),
   );
   return stateOf(...jobs);
 }
 
-test('a worker serves for one job where each job fits on a worker', () => {
+test('a worker serves one job if each job fits on a worker', () => {
   const jobs = placeAll(servingJobs(() => 's'));
   assert.deepEqual(
     jobs.map(({ size }) => size),
@@ -53,7 +60,7 @@
   );
 });
 
-test('a worker serves for one image where each image has whole workers', () => {
+test('a worker serves one job of one image if each image fills whole workers', () => {
   const jobs = placeAll(servingJobs(at => `s${at % 2}`));
   assert.ok(jobs.every(({ size }) => size === 1));
 });
--- a/packages/domain/src/jobs/trend.test.ts
+++ b/packages/domain/src/jobs/trend.test.ts
@@ -13,16 +13,16 @@
 };
 const NOISE_VARIANCE = 0.0025;
 const BOUNDS = [0, 1] as const;
-/** Gain of a load a second on the flank of its swing. */
-const RATE = 0.08;
+/** Increase per second of a steadily rising load. */
+const RATE_PER_S = 0.08;
 const REPORT_MS = 350;
 
 function loadAt(ms: number): number {
-  return 0.2 + (RATE * ms) / 1_000;
+  return 0.2 + (RATE_PER_S * ms) / 1_000;
 }
 
-/** Lets trends see noisy readings of the load up to `until`. */
-function watch(until: number, seed: number): Trends<string> {
+/** Returns trends corrected by noisy readings of the load up to `until`. */
+function observe(until: number, seed: number): Trends<string> {
   const random = seededRandom(seed);
   const trends = new Trends<string>(MODEL);
   for (let now = 0; now <= until; now += REPORT_MS) {
@@ -35,26 +35,26 @@
   return trends;
 }
 
-test('nothing is known of a quantity before it is observed', () => {
+test('predicts the initial mean before the first observation', () => {
   const trends = new Trends<string>(MODEL);
   assert.equal(trends.predict('k', 5_000, 2_000), 0.5);
 });
 
-test('a rate is taken to hold for no longer than told', () => {
-  const trends = watch(3_500, 1);
+test('extrapolates the rate for no longer than the given limit', () => {
+  const trends = observe(3_500, 1);
   assert.equal(
     trends.predict('k', 60_000, 1_000),
     trends.predict('k', 4_500, 1_000),
   );
 });
 
-test('a load that rises is foreseen better than by its newest value', () => {
+test('the prediction of a rising load is better than its latest value', () => {
   const until = 6_000;
   const ahead = 1_200;
   let foreseen = 0;
   let unforeseen = 0;
   for (let seed = 1; seed <= 40; seed += 1) {
-    const trends = watch(until, seed);
+    const trends = observe(until, seed);
     const truth = loadAt(until + ahead);
     foreseen += Math.abs(trends.predict('k', until + ahead, 2_000) - truth);
     unforeseen += Math.abs(trends.predict('k', until, 2_000) - truth);
@@ -62,8 +62,9 @@
   assert.ok(foreseen < unforeseen / 2, `${foreseen} against ${unforeseen}`);
 });
 
-// A leader resigned every 2.5 s: after tasks that serve had been away, what it had learnt held figures that are no numbers.
-test('variances stay sound where nothing was seen for long', () => {
+// Guards against NaN in learned estimates after serving tasks were unavailable for a while: a leader that had them
+// resigned every 2.5 s.
+test('variances stay valid after long times without observations', () => {
   for (let seed = 1; seed <= 50; seed += 1) {
     const random = seededRandom(seed);
     const trends = new Trends<string>(MODEL);
--- a/packages/domain/src/jobs/worth.test.ts
+++ b/packages/domain/src/jobs/worth.test.ts
@@ -1,7 +1,7 @@
 /**
- * Pattern: more jobs come than there is room for, wide ones and small ones, each worth 0.3 of a mean job
- * and 0.7 by its work. By the latest start each would begin at the last moment and most would end late; by
- * their worth for their work small ones would keep wide ones waiting for ever.
+ * Order of jobs under overload, with wide and small jobs whose value is 0.3 of a mean job plus 0.7 by their work.
+ * Ordered by latest possible start, each would start at the last moment and most would end late; ordered by value
+ * per work alone, small jobs would starve wide ones.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -21,15 +21,15 @@
 } from './test-support.js';
 import { valuePerWork } from './worth.js';
 
-function occurrenceYield(state: JobsState, job: string): number {
+function valuePerWorkOf(state: JobsState, job: string): number {
   const { occurrence } = taskOf(state, job, 0, 0).step;
   return valuePerWork(occurrence, 4_000, createRunTimes());
 }
 
-/** The jobs that a worker with room for `room` tasks is given first. */
-function firstJobs(state: JobsState, room: number): string[] {
+/** Returns the jobs whose tasks start first on a worker with capacity for `taskSlots` tasks. */
+function firstStartedJobs(state: JobsState, taskSlots: number): string[] {
   const worker = testWorker('w');
-  const capacity = { ...worker.info.capacity, cpuMilli: room * 1_000 };
+  const capacity = { ...worker.info.capacity, cpuMilli: taskSlots * 1_000 };
   const info = { ...worker.info, capacity };
   const started: string[] = [];
   planStarts(planInput(state, [{ ...worker, info }]), decision => {
@@ -39,7 +39,7 @@
   return started;
 }
 
-test('of jobs that are not begun the newest goes first, whatever its size', () => {
+test('of jobs that have not started the newest goes first, whatever its size', () => {
   const wide = testJob('wide', [{ tasks: 8 }]);
   const small = testJob('small', [{ tasks: 2 }]);
   const asked = [
@@ -48,19 +48,19 @@
   ] as const;
   for (const [first, newest] of asked) {
     const { id } = newest;
-    assert.deepEqual(firstJobs(stateOf(first, newest), 2), [id, id]);
+    assert.deepEqual(firstStartedJobs(stateOf(first, newest), 2), [id, id]);
   }
 });
 
-test('of lasting jobs the oldest goes first', () => {
+test('of long-running jobs the oldest goes first', () => {
   const state = stateOf(
     testJob('wide', [{ tasks: 8, lasting: true }]),
     testJob('small', [{ tasks: 2, lasting: true }]),
   );
-  assert.deepEqual(firstJobs(state, 2), ['wide', 'wide']);
+  assert.deepEqual(firstStartedJobs(state, 2), ['wide', 'wide']);
 });
 
-test('the last tasks of a wide job go before a small one that is not begun', () => {
+test('the last tasks of a wide job go before a small job that has not started', () => {
   const state = stateOf(
     testJob('small', [{ tasks: 2 }]),
     testJob('wide', [{ tasks: 8 }]),
@@ -69,12 +69,12 @@
     const run = startOn(state, taskOf(state, 'wide', 0, index), 'other');
     endRun(state, run, 'done');
   }
-  assert.deepEqual(firstJobs(state, 1), ['wide']);
+  assert.deepEqual(firstStartedJobs(state, 1), ['wide']);
 });
 
-test('a job yields more with each task that was started', () => {
+test('the value of a job per outstanding work grows with each started task', () => {
   const state = stateOf(testJob('j', [{ tasks: 4 }]));
-  const before = occurrenceYield(state, 'j');
+  const before = valuePerWorkOf(state, 'j');
   startOn(state, taskOf(state, 'j', 0, 0), 'w');
-  assert.ok(occurrenceYield(state, 'j') > before);
+  assert.ok(valuePerWorkOf(state, 'j') > before);
 });
