--- a/packages/domain/src/jobs/account.test.ts
+++ b/packages/domain/src/jobs/account.test.ts
@@ -54,7 +54,7 @@
   for (const { progress } of runs) {
     assert.ok(progress);
     progress.reading = 700;
-    progress.allowed = 40;
+    progress.allowedPercent = 40;
   }
   assert.deepEqual(snapshot(state, [testWorker('w')]).processors, {
     registered: 4_000,
--- a/packages/domain/src/jobs/account.ts
+++ b/packages/domain/src/jobs/account.ts
@@ -1,7 +1,7 @@
 /** Snapshot of a fleet: how its processors are used, and why tasks wait. */
 import type { Millis } from '../core/time.js';
 import { waitingTasks, type Occurrence, type Run, type Step } from './job.js';
-import { candidates, type Candidate } from './order.js';
+import { orderedCandidates, type Candidate } from './order.js';
 import {
   chooseWorker,
   obstacleAt,
@@ -12,7 +12,7 @@
 } from './placement.js';
 import { placementInputOf, type PlanInput } from './plan.js';
 import { sizeGroupsOf, type SizeGroup } from './size-groups.js';
-import { workOf } from './worth.js';
+import { expectedWorkOf } from './worth.js';
 
 /**
  * Why a task waits. An obstacle: what the task lacks on the worker that passed the most checks of `OBSTACLES`;
@@ -84,7 +84,7 @@
 /** Returns a snapshot of the fleet. */
 export function accountFleet(input: AccountInput): FleetAccount {
   const { plan, registered } = input;
-  const ordered = candidates(plan.state.open, plan.times, plan.time);
+  const ordered = orderedCandidates(plan.state.open, plan.times, plan.time);
   return {
     workers: registered.length,
     usableWorkers: plan.workers.length,
@@ -118,7 +118,8 @@
   if (spec.filler) {
     totals.filler += cpuMilli;
     totals.fillerInUse += progress?.reading ?? 0;
-    totals.throttled += (cpuMilli * (100 - (progress?.allowed ?? 100))) / 100;
+    totals.throttled +=
+      (cpuMilli * (100 - (progress?.allowedPercent ?? 100))) / 100;
   } else if (spec.lasting) {
     totals.lasting += cpuMilli;
   } else {
@@ -175,7 +176,7 @@
   ordered: readonly Candidate[],
 ): WaitingBySize {
   const groups = sizeGroupsOf(ordered, ({ step }) =>
-    workOf(step.occurrence, plan.times),
+    expectedWorkOf(step.occurrence, plan.times),
   );
   return Object.fromEntries(
     groups.map(([group, members]) => {
--- a/packages/domain/src/jobs/advice.ts
+++ b/packages/domain/src/jobs/advice.ts
@@ -12,7 +12,7 @@
 const TICKET_MARGIN_MS: Millis = 300;
 
 /** A request for tickets to run a step on any of `workers`. */
-export interface Question {
+export interface AdviceRequest {
   readonly step: Step;
   readonly workers: readonly string[];
 }
@@ -29,7 +29,7 @@
 }
 
 /** Tickets and refusals that the advice service has returned so far. */
-export class Advice {
+export class AdviceTickets {
   private readonly adviceByStep = new WeakMap<Step, StepAdvice>();
 
   /** Tells whether a step may run on a worker now. */
@@ -48,11 +48,11 @@
   }
 
   /** Returns the request to send for a step, or undefined if none is needed. */
-  questionFor(
+  requestFor(
     step: Step,
     workers: readonly string[],
     now: Instant,
-  ): Question | undefined {
+  ): AdviceRequest | undefined {
     const waiting = waitingTasks(step);
     if (!needsAdvice(step) || waiting.length === 0) {
       return undefined;
@@ -75,8 +75,8 @@
   }
 
   /** Records the answer to a request; its tickets are valid until `validUntil`. */
-  take(
-    { step, workers }: Question,
+  recordAnswer(
+    { step, workers }: AdviceRequest,
     approved: ReadonlyMap<string, string>,
     validUntil: Instant,
   ): void {
@@ -95,7 +95,7 @@
   }
 
   /** Discards a ticket that a worker has refused. */
-  refuse(step: Step, worker: string): void {
+  discardTicket(step: Step, worker: string): void {
     this.adviceByStep.get(step)?.tickets.delete(worker);
   }
 }
--- a/packages/domain/src/jobs/disturbance.fuzz.test.ts
+++ b/packages/domain/src/jobs/disturbance.fuzz.test.ts
@@ -175,20 +175,22 @@
         progress.reading = ((this.speeds[at] ?? 0) / 100) * FILLER_MILLI;
       }
     });
-    model.learn(load, CPU_MILLI, now);
+    model.learnFromReport(load, CPU_MILLI, now);
     for (const [run, percent] of model.shares(load, CPU_MILLI, now)) {
-      if (run.progress?.allowed !== percent) {
+      if (run.progress?.allowedPercent !== percent) {
         this.orders.push({
           at: now + ORDER_DELAY_MS + EXTRA_ORDER_DELAY_MS * this.random(),
           filler: fillers.indexOf(run),
           percent,
         });
         if (run.progress !== undefined) {
-          run.progress.allowed = percent;
+          run.progress.allowedPercent = percent;
         }
       }
     }
-    const waitMs = model.isTight(load, CPU_MILLI) ? TIGHT_POLL_MS : POLL_MS;
+    const waitMs = model.hasLowHeadroom(load, CPU_MILLI)
+      ? TIGHT_POLL_MS
+      : POLL_MS;
     return waitMs + REPORT_DELAY_MS * this.random();
   }
 }
--- a/packages/domain/src/jobs/gang.ts
+++ b/packages/domain/src/jobs/gang.ts
@@ -1,5 +1,5 @@
 /** Gang scheduling: tasks that run only all together, on one rack if the step asks for it. */
-import { Reservations } from './booking.js';
+import { Reservations } from './reservations.js';
 import type { Run, Step } from './job.js';
 import type { PlacementInput, PlanWorker } from './placement.js';
 
--- a/packages/domain/src/jobs/interference.test.ts
+++ b/packages/domain/src/jobs/interference.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { Interference, isSlowed } from './interference.js';
+import { Interference, shouldRelocateFiller } from './interference.js';
 import type { Run } from './job.js';
 import { workerRuns, type JobsState } from './jobs-state.js';
 import { startOn, stateOf, taskOf, testJob } from './test-support.js';
@@ -48,29 +48,29 @@
     scenario.now += REPORT_MS;
     const { progress } = scenario.filler;
     assert.ok(progress && scenario.serving.progress);
-    assert.ok(progress.allowed !== undefined);
-    const used = 0.1 * (progress.allowed / 100);
+    assert.ok(progress.allowedPercent !== undefined);
+    const used = 0.1 * (progress.allowedPercent / 100);
     progress.reading = used * CPU_MILLI;
     const total = Math.min(0.98, OWN_LOAD * (1 + pressure * used));
     scenario.serving.progress.reading = FLOOR_MS / (1 - total);
-    scenario.model.learn(load, CPU_MILLI, scenario.now);
+    scenario.model.learnFromReport(load, CPU_MILLI, scenario.now);
     const share = scenario.model
       .shares(load, CPU_MILLI, scenario.now)
       .get(scenario.filler);
-    progress.allowed = share ?? 100;
+    progress.allowedPercent = share ?? 100;
   }
 }
 
 test('a harmless filler runs at full speed', () => {
   const scenario = createScenario();
   handleReports(scenario, 0, 20);
-  assert.equal(scenario.filler.progress?.allowed, 100);
+  assert.equal(scenario.filler.progress?.allowedPercent, 100);
 });
 
 test('a disturbing filler is slowed until the tail is below its target', () => {
   const scenario = createScenario();
   handleReports(scenario, 12, 20);
-  assert.ok((scenario.filler.progress?.allowed ?? 100) < 100);
+  assert.ok((scenario.filler.progress?.allowedPercent ?? 100) < 100);
   assert.ok((scenario.serving.progress?.reading ?? 99) <= TARGET_MS);
 });
 
@@ -78,7 +78,7 @@
   const scenario = createScenario();
   handleReports(scenario, 12, 20);
   handleReports(scenario, 0, 60);
-  assert.ok((scenario.filler.progress?.allowed ?? 0) >= 90);
+  assert.ok((scenario.filler.progress?.allowedPercent ?? 0) >= 90);
 });
 
 test('a filler is slow beside a task that it disturbs, and at full speed elsewhere', () => {
@@ -102,8 +102,8 @@
   assert.ok(scenario.serving.progress && scenario.filler.progress);
   scenario.serving.progress.reading = 10 * TARGET_MS;
   scenario.filler.progress.reading = 0;
-  scenario.model.learn(load, CPU_MILLI, 1_000);
-  scenario.model.learn(load, CPU_MILLI, 3_500);
+  scenario.model.learnFromReport(load, CPU_MILLI, 1_000);
+  scenario.model.learnFromReport(load, CPU_MILLI, 3_500);
   assert.equal(
     scenario.model.shares(load, CPU_MILLI, 3_500).get(scenario.filler),
     0,
@@ -125,7 +125,7 @@
     scenario.filler.progress.reading = 0;
     scenario.serving.progress.reading = reading;
     scenario.now += 350;
-    scenario.model.learn(load, CPU_MILLI, scenario.now);
+    scenario.model.learnFromReport(load, CPU_MILLI, scenario.now);
     return scenario.model.speedOf(load, CPU_MILLI, spec);
   };
   assert.equal(speedAfter(FLOOR_MS / (1 - OWN_LOAD)), 1);
@@ -141,18 +141,18 @@
 test('a filler that would lose much of its work is not moved', () => {
   const scenario = createScenario();
   assert.ok(scenario.filler.progress);
-  scenario.filler.progress.allowed = 20;
+  scenario.filler.progress.allowedPercent = 20;
   scenario.filler.progress.percent = 10;
-  assert.equal(isSlowed(scenario.filler, 3_000), true);
+  assert.equal(shouldRelocateFiller(scenario.filler, 3_000), true);
   scenario.filler.progress.percent = 60;
-  assert.equal(isSlowed(scenario.filler, 3_000), false);
+  assert.equal(shouldRelocateFiller(scenario.filler, 3_000), false);
 });
 
 test('a slowed filler is moved only after a while', () => {
   const scenario = createScenario();
   assert.ok(scenario.filler.progress);
-  scenario.filler.progress.allowed = 20;
+  scenario.filler.progress.allowedPercent = 20;
   scenario.filler.progress.allowedSince = 1_000;
-  assert.equal(isSlowed(scenario.filler, 1_200), false);
-  assert.equal(isSlowed(scenario.filler, 3_000), true);
+  assert.equal(shouldRelocateFiller(scenario.filler, 1_200), false);
+  assert.equal(shouldRelocateFiller(scenario.filler, 3_000), true);
 });
--- a/packages/domain/src/jobs/interference.ts
+++ b/packages/domain/src/jobs/interference.ts
@@ -13,11 +13,11 @@
 import type { Run, Step } from './job.js';
 import type { WorkerRuns } from './jobs-state.js';
 import {
-  MAX_LEARNT,
-  roundLearnt,
-  type Learnt,
-  type LearntAt,
-} from './learnt.js';
+  MAX_LEARNED_ENTRIES,
+  roundEstimate,
+  type LearnedEstimates,
+  type ReceivedEstimates,
+} from './learned-estimates.js';
 import { OverTargetTracker } from './over-target.js';
 import type { StepSpec } from './spec.js';
 import { Trends, type TrendModel } from './trend.js';
@@ -110,7 +110,7 @@
   private readonly overTarget = new OverTargetTracker();
 
   /** Creates a model that starts from the estimates of an earlier one, if any. */
-  constructor(earlier?: LearntAt) {
+  constructor(earlier?: ReceivedEstimates) {
     if (earlier !== undefined) {
       const { learnt, readAt } = earlier;
       for (const [pair, mean, variance] of learnt.pressures) {
@@ -123,22 +123,27 @@
   }
 
   /** Returns the learned estimates, from which another model can start. */
-  learnt(): Pick<Learnt, 'pressures' | 'lowTails'> {
-    const pressures = [...this.pressures.entries()].slice(-MAX_LEARNT);
+  learnt(): Pick<LearnedEstimates, 'pressures' | 'lowTails'> {
+    const pressures = [...this.pressures.entries()].slice(-MAX_LEARNED_ENTRIES);
     return {
       pressures: pressures.map(([pair, { mean, variance }]) => [
         pair,
-        roundLearnt(mean),
-        roundLearnt(variance),
+        roundEstimate(mean),
+        roundEstimate(variance),
       ]),
       lowTails: [...this.lowTails]
-        .slice(-MAX_LEARNT)
-        .map(([image, low]) => [image, roundLearnt(low)]),
+        .slice(-MAX_LEARNED_ENTRIES)
+        .map(([image, low]) => [image, roundEstimate(low)]),
     };
   }
 
   /** Records the end of a filler, since the next readings still include its effect. */
-  noteEnd(load: WorkerRuns, run: Run, cpuMilli: number, now: Instant): void {
+  recordFillerEnd(
+    load: WorkerRuns,
+    run: Run,
+    cpuMilli: number,
+    now: Instant,
+  ): void {
     const { spec } = run.task.step;
     if (spec.filler) {
       const used = (run.progress?.reading ?? 0) / cpuMilli;
@@ -151,7 +156,11 @@
    * Learns from a report of a worker with `cpuMilli`; the readings of its runs have to be up to date. Returns the
    * runs that were over their targets until now.
    */
-  learn(load: WorkerRuns, cpuMilli: number, now: Instant): OverTargetRun[] {
+  learnFromReport(
+    load: WorkerRuns,
+    cpuMilli: number,
+    now: Instant,
+  ): OverTargetRun[] {
     this.reportedAt = now;
     const usages = this.fillerUsagesOf(load, cpuMilli, now);
     const recovered: OverTargetRun[] = [];
@@ -190,7 +199,7 @@
   }
 
   /** Tells whether fillers leave a serving task so little headroom that its next load swing may exceed it. */
-  isTight(load: WorkerRuns, cpuMilli: number): boolean {
+  hasLowHeadroom(load: WorkerRuns, cpuMilli: number): boolean {
     const fillers = fillersOf(load);
     return (
       fillers.length > 0 &&
@@ -355,14 +364,17 @@
 const MAX_LOST_WORK_PERCENT = 15;
 
 /** Tells whether a filler has been slowed for so long that it should move to another worker. */
-export function isSlowed({ task, progress }: Run, now: Instant): boolean {
+export function shouldRelocateFiller(
+  { task, progress }: Run,
+  now: Instant,
+): boolean {
   const { spec } = task.step;
   return (
     spec.filler &&
     progress !== undefined &&
     !progress.stopping &&
     (spec.checkpoints || progress.percent <= MAX_LOST_WORK_PERCENT) &&
-    (progress.allowed ?? 100) <= RELOCATE_SPEED_PERCENT &&
+    (progress.allowedPercent ?? 100) <= RELOCATE_SPEED_PERCENT &&
     now - progress.allowedSince > RELOCATE_AFTER_MS
   );
 }
--- a/packages/domain/src/jobs/plan-choice.test.ts
+++ b/packages/domain/src/jobs/plan-choice.test.ts
@@ -3,10 +3,10 @@
 
 import { seededRandom } from '../core/random.js';
 import type { Random } from '../core/time.js';
-import { isOver } from './job.js';
+import { isFinished } from './job.js';
 import { workerRuns, type JobsState, type WorkerRuns } from './jobs-state.js';
-import { candidates } from './order.js';
-import { findPlace, planStarts, type PlanInput } from './plan.js';
+import { orderedCandidates } from './order.js';
+import { findWorker, planStarts, type PlanInput } from './plan.js';
 import type { StepSpec } from './spec.js';
 import {
   applyDecision,
@@ -90,17 +90,21 @@
     for (const { info } of workers) {
       const load = workerRuns(state, info.id);
       setReadings(load, random);
-      input.interference.learn(load, info.capacity.cpuMilli, 500 * report);
+      input.interference.learnFromReport(
+        load,
+        info.capacity.cpuMilli,
+        500 * report,
+      );
     }
   }
   return input;
 }
 
 function waitingWithPlace(state: JobsState, input: PlanInput): string[] {
-  return candidates(state.open, input.times, input.time)
-    .filter(({ step }) => !isOver(step.occurrence.job))
+  return orderedCandidates(state.open, input.times, input.time)
+    .filter(({ step }) => !isFinished(step.occurrence.job))
     .flatMap(({ step }) => step.tasks.filter(task => task.status === 'waiting'))
-    .filter(task => findPlace(input, task) !== undefined)
+    .filter(task => findWorker(input, task) !== undefined)
     .map(task => `${task.step.occurrence.job.spec.id}.${task.index}`);
 }
 
@@ -118,7 +122,7 @@
   for (let seed = 1; seed <= SEEDS; seed += 1) {
     const input = createBusyRound(seededRandom(seed));
     planStarts(input, decision => {
-      const alone = findPlace(input, decision.task);
+      const alone = findWorker(input, decision.task);
       assert.equal(decision.worker, alone?.info.id, `seed ${seed}`);
       applyDecision(input.state, decision);
     });
@@ -128,23 +132,23 @@
 test('the chosen worker is preferred to each other one that fits', () => {
   for (let seed = 1; seed <= SEEDS; seed += 1) {
     const input = createBusyRound(seededRandom(seed));
-    for (const { step } of candidates(
+    for (const { step } of orderedCandidates(
       input.state.open,
       input.times,
       input.time,
     )) {
       const [task] = step.tasks.filter(({ status }) => status === 'waiting');
       if (task !== undefined) {
-        const best = findPlace(input, task);
+        const best = findWorker(input, task);
         const suits = input.workers.filter(
           worker =>
-            findPlace({ ...input, workers: [worker] }, task) !== undefined,
+            findWorker({ ...input, workers: [worker] }, task) !== undefined,
         );
         assert.equal(best === undefined, suits.length === 0, `seed ${seed}`);
         const beaten = suits.every(
           worker =>
             worker === best ||
-            findPlace(
+            findWorker(
               { ...input, workers: twoWorkers(input, best, worker) },
               task,
             ) === best,
@@ -181,10 +185,10 @@
       assert.ok(progress !== undefined);
       progress.reading = tail;
     }
-    interference.learn(load, 4_000, 0);
+    interference.learnFromReport(load, 4_000, 0);
   }
   const task = taskOf(state, 'f', 0, 0);
-  assert.equal(findPlace(input, task)?.info.id, 'far');
+  assert.equal(findWorker(input, task)?.info.id, 'far');
 });
 
 test('a filler that fits nowhere does not keep one of another image from starting', () => {
@@ -208,7 +212,7 @@
       const tail = report < REPORT_COUNT ? 12 : DISTURBED_TAIL_MS;
       progress.reading = task.step.spec.filler ? 1_000 : tail;
     }
-    interference.learn(load, 4_000, 500 * report);
+    interference.learnFromReport(load, 4_000, 500 * report);
   }
   const started: string[] = [];
   planStarts(input, decision => {
--- a/packages/domain/src/jobs/plan.ts
+++ b/packages/domain/src/jobs/plan.ts
@@ -1,24 +1,24 @@
 /** Planning rounds: decide which waiting tasks start on which workers. */
 import type { Instant, Millis } from '../core/time.js';
-import type { Advice } from './advice.js';
-import { isSuspect } from './blame.js';
-import { Reservations } from './booking.js';
+import type { AdviceTickets } from './advice.js';
+import { isSuspect } from './suspect-tasks.js';
+import { Reservations } from './reservations.js';
 import { placeGang } from './gang.js';
 import type { Interference } from './interference.js';
 import { isWaiting, type Run, type Step, type Task } from './job.js';
 import { emptyRuns, workerRuns, type JobsState } from './jobs-state.js';
 import type { PlanTime } from './objective.js';
-import { candidates } from './order.js';
+import { orderedCandidates } from './order.js';
 import {
   chooseWorker,
   couldRunLater,
-  hasRoom,
+  hasCapacity,
   staticObstacleAt,
   type PlacementInput,
   type PlanWorker,
 } from './placement.js';
 import { Quarantine } from './quarantine.js';
-import { SizeClassShares } from './room-shares.js';
+import { SizeClassShares } from './size-class-shares.js';
 import type { RunTimes } from './run-times.js';
 
 /** A decision to start a task. */
@@ -34,16 +34,16 @@
   readonly workers: readonly PlanWorker[];
   readonly times: RunTimes;
   readonly interference: Interference;
-  readonly advice: Advice;
+  readonly advice: AdviceTickets;
   readonly time: PlanTime;
   /** Monotonic time at which this leader took over; it may not know how long tasks had waited before that. */
   readonly leadsSince: Instant;
   /** Most starts decided in this round, not counting those of moving and of suspected tasks. */
-  readonly mostStarts: number;
+  readonly maxStarts: number;
   /** Whether starts are delayed by the bandwidth of this leader's link, and not only by lack of capacity. */
   readonly isLinkBusy: boolean;
   /** Tasks that move off leaving workers: they start first, and capacity is reserved for them until then. */
-  readonly moving: Iterable<Task>;
+  readonly movingTasks: Iterable<Task>;
 }
 
 /** Applies a decision before the next one is made. */
@@ -77,9 +77,9 @@
     quarantine.noteStart(decision.task, decision.worker);
   };
   const fullKeys = new Set<string>();
-  let started = startInOrder(placement, input.moving, start);
+  let started = startInOrder(placement, input.movingTasks, start);
   started += startSuspectedTasks(placement, start);
-  const startsLeft = (): number => Math.max(0, input.mostStarts - started);
+  const startsLeft = (): number => Math.max(0, input.maxStarts - started);
   started += startInOrder(
     placement,
     overdueLongRunning(input),
@@ -91,7 +91,9 @@
   const reservePatientOnce = once(() => {
     reserveCapacity('patient');
   });
-  const steps = candidates(state.open, times, time).map(({ step }) => step);
+  const steps = orderedCandidates(state.open, times, time).map(
+    ({ step }) => step,
+  );
   reserveForLargeTasks(placement, state, steps);
   for (const step of steps) {
     if (step.spec.lasting) {
@@ -125,7 +127,7 @@
   let started = 0;
   for (const task of quarantine.waiting) {
     const { spec } = task.step;
-    const key = `${placementKeyOf(task.step)}/${quarantine.isPatienceOver(task)}`;
+    const key = `${placementKeyOf(task.step)}/${quarantine.hasIsolationWaitExpired(task)}`;
     if (spec.gang || fullKeys.has(key)) {
       continue;
     }
@@ -146,12 +148,12 @@
 function reserveForSuspects(placement: PlacementInput): void {
   const { quarantine, workers } = placement;
   if (quarantine.waiting.length > 0) {
-    quarantine.keep(workers.length, task =>
+    quarantine.reserveWorkers(workers.length, task =>
       workers
         .filter(
           worker =>
             staticObstacleAt(placement, worker, task) === undefined &&
-            hasRoom(worker.info, emptyRuns(), task.step.spec),
+            hasCapacity(worker.info, emptyRuns(), task.step.spec),
         )
         .map(({ info }) => info.id),
     );
@@ -249,7 +251,7 @@
 }
 
 /** Returns the worker on which a task would start now, or undefined if it fits nowhere. */
-export function findPlace(
+export function findWorker(
   input: PlanInput,
   task: Task,
 ): PlanWorker | undefined {
@@ -295,9 +297,9 @@
     shares: new SizeClassShares(),
     now: time.now,
     loadOf: worker => workerRuns(state, worker),
-    spreadOf: ({ step }, worker) => step.spread.get(worker) ?? 0,
+    spreadOf: ({ step }, worker) => step.openRunsByWorker.get(worker) ?? 0,
   });
-  for (const task of input.moving) {
+  for (const task of input.movingTasks) {
     if (!isWaiting(task)) {
       reservations.reserve(task);
     }
--- a/packages/domain/src/jobs/run-times.ts
+++ b/packages/domain/src/jobs/run-times.ts
@@ -1,7 +1,10 @@
 /** Run times learned by queue and image, since callers' own estimates are inaccurate. */
 import type { Millis } from '../core/time.js';
 import type { Step } from './job.js';
-import { MAX_LEARNT, type Learnt } from './learnt.js';
+import {
+  MAX_LEARNED_ENTRIES,
+  type LearnedEstimates,
+} from './learned-estimates.js';
 
 /** Weight of a new run time in the average: about ten runs replace what was learned before. */
 const NEW_RUN_WEIGHT = 0.1;
@@ -12,19 +15,21 @@
 /** Learns how long tasks run. */
 export interface RunTimes {
   /** Returns the expected run time of a task of the step on a healthy worker. */
-  expect(step: Step): Millis;
+  expectedMs(step: Step): Millis;
   /** Records a run that completed after `runTimeMs` without having resumed from a checkpoint. */
   learn(step: Step, runTimeMs: Millis): void;
   /** Returns the learned averages, from which another instance can start. */
-  learnt(): Learnt['runTimes'];
+  learnt(): LearnedEstimates['runTimes'];
 }
 
 /** Creates run times that start from the averages of an earlier instance. */
-export function createRunTimes(learnt: Learnt['runTimes'] = []): RunTimes {
+export function createRunTimes(
+  learnt: LearnedEstimates['runTimes'] = [],
+): RunTimes {
   const averages = new Map<string, Millis>(learnt);
 
   return {
-    expect: step => {
+    expectedMs: step => {
       const average = averages.get(keyOf(step));
       const estimate = step.spec.estimateMs;
       return average === undefined
@@ -44,7 +49,7 @@
     },
     learnt: () =>
       [...averages]
-        .slice(-MAX_LEARNT)
+        .slice(-MAX_LEARNED_ENTRIES)
         .map(([key, average]) => [key, Math.round(average)]),
   };
 }
--- a/packages/domain/src/jobs/copies.test.ts
+++ b/packages/domain/src/jobs/speculative-copies.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { isStraggler, planCopies } from './copies.js';
+import { isStraggler, planSpeculativeCopies } from './speculative-copies.js';
 import type { Run } from './job.js';
 import type { JobsState } from './jobs-state.js';
 import {
@@ -43,7 +43,7 @@
     workers.map(id => testWorker(id)),
   );
   const copyWorkers: string[] = [];
-  planCopies({ ...input, time: { now, nowWall: now } }, decision => {
+  planSpeculativeCopies({ ...input, time: { now, nowWall: now } }, decision => {
     applyDecision(state, decision);
     copyWorkers.push(decision.worker);
   });
--- a/packages/domain/src/jobs/copies.ts
+++ b/packages/domain/src/jobs/speculative-copies.ts
@@ -3,7 +3,7 @@
  * The first run to complete counts, and the other one is stopped.
  */
 import type { Instant, Millis } from '../core/time.js';
-import { blameOf } from './blame.js';
+import { suspicionPercent } from './suspect-tasks.js';
 import type { Run, Step } from './job.js';
 import { placementInputOf, type ApplyStart, type PlanInput } from './plan.js';
 import { chooseWorker, type PlacementInput } from './placement.js';
@@ -20,14 +20,14 @@
 const MAX_COPIES_PER_ROUND = 8;
 
 /** Starts copies of stragglers in capacity that no waiting task needs. */
-export function planCopies(input: PlanInput, start: ApplyStart): void {
+export function planSpeculativeCopies(input: PlanInput, start: ApplyStart): void {
   const placement = placementInputOf(input);
   let copiesLeft = MAX_COPIES_PER_ROUND;
   for (const run of runsWithoutCopy(input)) {
     if (copiesLeft === 0) {
       return;
     }
-    const expected = input.times.expect(run.task.step);
+    const expected = input.times.expectedMs(run.task.step);
     if (
       isStraggler(run, expected, input.time.now) &&
       startCopy(placement, run, start)
@@ -43,7 +43,7 @@
     for (const { steps } of job.occurrences.values()) {
       for (const step of steps.filter(allowsCopies)) {
         // A copy of a task that may crash its worker could crash a second worker.
-        const healthyTasks = step.tasks.filter(task => blameOf(task) === 0);
+        const healthyTasks = step.tasks.filter(task => suspicionPercent(task) === 0);
         for (const { status, runs } of healthyTasks) {
           const [run] = runs;
           if (status === 'running' && run !== undefined && runs.length === 1) {
--- a/packages/domain/src/jobs/starved-jobs.test.ts
+++ b/packages/domain/src/jobs/starved-jobs.test.ts
@@ -10,7 +10,7 @@
   simulateLoad,
   servedSharesOf,
   type LoadScenario,
-} from './overloaded-site.fixture.test.js';
+} from './overloaded-deployment.fixture.test.js';
 
 /** Least fraction served of a size group, relative to that of all jobs of the queue. */
 const MIN_RELATIVE_SHARE = 0.5;
--- a/packages/domain/src/jobs/worth.ts
+++ b/packages/domain/src/jobs/worth.ts
@@ -28,14 +28,14 @@
 }
 
 /** Returns the expected work of an occurrence in core-milliseconds, counting `tasksOf(step)` tasks of each step. */
-export function workOf(
+export function expectedWorkOf(
   { steps }: Occurrence,
   times: RunTimes,
   tasksOf: (step: Step) => number = ({ spec }) => spec.tasks,
 ): number {
   return steps.reduce((sum, step) => {
     const cores = step.spec.size.cpuMilli / MILLI;
-    return sum + cores * times.expect(step) * tasksOf(step);
+    return sum + cores * times.expectedMs(step) * tasksOf(step);
   }, 0);
 }
 
@@ -49,10 +49,10 @@
   meanWork: number,
   times: RunTimes,
 ): number {
-  const work = workOf(occurrence, times);
+  const work = expectedWorkOf(occurrence, times);
   const value =
     FIXED_VALUE_FRACTION * meanWork + (1 - FIXED_VALUE_FRACTION) * work;
-  const outstandingWork = workOf(occurrence, times, countWaitingTasks);
+  const outstandingWork = expectedWorkOf(occurrence, times, countWaitingTasks);
   return Math.min(MAX_VALUE * meanWork, value) / Math.max(1, outstandingWork);
 }
 
