--- a/packages/domain/src/jobs/estimate.ts
+++ b/packages/domain/src/jobs/estimate.ts
@@ -51,8 +51,8 @@
     if (known === undefined) {
       return { ...this.initial, at: now };
     }
-    const { constant: fixed, perSquaredMean: ofMean } = this.drift;
-    const growth = fixed + ofMean * known.mean ** 2;
+    const { constant, perSquaredMean } = this.drift;
+    const growth = constant + perSquaredMean * known.mean ** 2;
     const grown = known.variance + (growth * (now - known.at)) / MS_PER_S;
     const variance = Math.min(grown, this.initial.variance);
     return { mean: known.mean, variance, at: now };
--- a/packages/domain/src/jobs/evacuation.test.ts
+++ b/packages/domain/src/jobs/evacuation.test.ts
@@ -51,7 +51,7 @@
   const { info } = testWorker('w');
   const worker = { info: { ...info, capacity: size }, trusted: true };
   const tasks = moving.map(at => taskOf(state, 'lasting', 0, at));
-  const input = { ...planInput(state, [worker]), moving: tasks };
+  const input = { ...planInput(state, [worker]), movingTasks: tasks };
   const leaving = startOnLeaving(state, 0);
   const starts: string[] = [];
   planStarts(
--- a/packages/domain/src/jobs/filler-speeds.ts
+++ b/packages/domain/src/jobs/filler-speeds.ts
@@ -37,7 +37,7 @@
   /** Number of runs of the worker when this was worked out; runs are only added while the cache lives. */
   readonly runCount: number;
   readonly steps: readonly ServingStep[];
-  /** Whether one of them is over its target. No filler is added then: the model may blame the wrong ones. */
+  /** Whether one of them is over its target. No filler is added then, since the model may blame the wrong one. */
   readonly isOverTarget: boolean;
 }
 
@@ -100,17 +100,17 @@
   }
 
   private pressure(
-    known: Map<string, number>,
+    cache: Map<string, number>,
     serving: StepSpec,
     filler: StepSpec,
   ): number {
     const image = serving.image ?? '';
-    const found = known.get(image);
+    const found = cache.get(image);
     if (found !== undefined) {
       return found;
     }
     const pressure = this.source.pressure(serving, filler);
-    known.set(image, pressure);
+    cache.set(image, pressure);
     return pressure;
   }
 }
--- a/packages/domain/src/jobs/interference.test.ts
+++ b/packages/domain/src/jobs/interference.test.ts
@@ -54,10 +54,10 @@
     const total = Math.min(0.98, OWN_LOAD * (1 + pressure * used));
     scenario.serving.progress.reading = FLOOR_MS / (1 - total);
     scenario.model.learnFromReport(load, CPU_MILLI, scenario.now);
-    const share = scenario.model
+    const limit = scenario.model
       .shares(load, CPU_MILLI, scenario.now)
       .get(scenario.filler);
-    progress.allowedPercent = share ?? 100;
+    progress.allowedPercent = limit ?? 100;
   }
 }
 
--- a/packages/domain/src/jobs/interference.ts
+++ b/packages/domain/src/jobs/interference.ts
@@ -5,7 +5,7 @@
  * A serving task is modelled as a queue with a tail latency of `floor / (1 - load)`. The load is the task's own
  * load, the same for all tasks of a step, times `1 + sum of pressure * used` over the fillers beside it: `used`
  * is the fraction of the worker's processors that a filler uses, and the pressure depends on the images of both.
- * Own loads and pressures are estimated by Kalman filters, which each report corrects.
+ * Own loads and pressures are estimates with a variance; each report corrects them in proportion to their variances.
  */
 import type { Instant, Millis } from '../core/time.js';
 import { Estimates, type Drift, type Estimate } from './estimate.js';
--- a/packages/domain/src/jobs/objective.ts
+++ b/packages/domain/src/jobs/objective.ts
@@ -31,7 +31,7 @@
 ): ObjectiveStatus {
   const since = objectiveStartOf(occurrence, time);
   const allowedMs = objectiveOf(occurrence, times);
-  const remainingMs = longestChainMs(
+  const remainingMs = criticalPathMs(
     occurrence,
     times,
     step => step.remaining > 0,
@@ -44,8 +44,8 @@
 /** Returns the time in which an occurrence has to end to meet its objective. */
 export function objectiveOf(occurrence: Occurrence, times: RunTimes): Millis {
   const { deadlineFactor, targetLatencyMs } = occurrence.job.spec.terms;
-  const chainMs = longestChainMs(occurrence, times, () => true);
-  return deadlineFactor * chainMs + targetLatencyMs;
+  const pathMs = criticalPathMs(occurrence, times, () => true);
+  return deadlineFactor * pathMs + targetLatencyMs;
 }
 
 function outlookOf(
@@ -71,7 +71,7 @@
 }
 
 /** Returns the expected duration of the critical path, counting only the included steps. */
-function longestChainMs(
+function criticalPathMs(
   { steps }: Occurrence,
   times: RunTimes,
   isIncluded: (step: Step) => boolean,
--- a/packages/domain/src/jobs/over-target.ts
+++ b/packages/domain/src/jobs/over-target.ts
@@ -18,7 +18,8 @@
  * Tracks for how long tasks have been over their targets. If a tail is slightly above its target, some of its
  * readings are below, and must not restart the count. Users tolerate 4 s: a task is disturbed for 2.9 s at most,
  * against up to 4.5 s if every reading below the target ended a span (24,000 simulated cases with readings off
- * by up to a fifth, and one case that shows the fault). This reduces the served value of fillers by about 0.01.
+ * by up to a fifth, and one case that shows the fault). In exchange, about 0.01 less of the value of fillers' work
+ * is served.
  */
 export class OverTargetTracker {
   private readonly spans = new WeakMap<Run, OverTargetSpan>();
--- a/packages/domain/src/jobs/overloaded-deployment.fixture.test.ts
+++ b/packages/domain/src/jobs/overloaded-deployment.fixture.test.ts
@@ -109,7 +109,8 @@
     const { state, times } = this.input;
     planStarts({ ...this.input, time }, decision => {
       const run = applyDecision(state, decision);
-      const tookMs = times.expectedMs(decision.task.step) * this.drawFactor(0.3);
+      const tookMs =
+        times.expectedMs(decision.task.step) * this.drawFactor(0.3);
       const fails = this.random() < FAILURE_RATE;
       this.openRuns.add({ run, endsAt: now + tookMs, fails });
     });
@@ -132,7 +133,9 @@
       const kind =
         ratio <= 1 ? 'in_time' : ratio <= LATE_FACTOR ? 'late' : 'unserved';
       const taskCores = coresOf(job.spec);
-      return [{ work: expectedWorkOf(occurrence, times), taskCores, kind } as const];
+      return [
+        { work: expectedWorkOf(occurrence, times), taskCores, kind } as const,
+      ];
     });
   }
 
--- a/packages/domain/src/jobs/plan-choice.test.ts
+++ b/packages/domain/src/jobs/plan-choice.test.ts
@@ -100,7 +100,7 @@
   return input;
 }
 
-function waitingWithPlace(state: JobsState, input: PlanInput): string[] {
+function waitingThatFit(state: JobsState, input: PlanInput): string[] {
   return orderedCandidates(state.open, input.times, input.time)
     .filter(({ step }) => !isFinished(step.occurrence.job))
     .flatMap(({ step }) => step.tasks.filter(task => task.status === 'waiting'))
@@ -114,7 +114,7 @@
     planStarts(input, decision => {
       applyDecision(input.state, decision);
     });
-    assert.deepEqual(waitingWithPlace(input.state, input), [], `seed ${seed}`);
+    assert.deepEqual(waitingThatFit(input.state, input), [], `seed ${seed}`);
   }
 });
 
@@ -122,8 +122,8 @@
   for (let seed = 1; seed <= SEEDS; seed += 1) {
     const input = createBusyRound(seededRandom(seed));
     planStarts(input, decision => {
-      const alone = findWorker(input, decision.task);
-      assert.equal(decision.worker, alone?.info.id, `seed ${seed}`);
+      const separate = findWorker(input, decision.task);
+      assert.equal(decision.worker, separate?.info.id, `seed ${seed}`);
       applyDecision(input.state, decision);
     });
   }
@@ -140,12 +140,12 @@
       const [task] = step.tasks.filter(({ status }) => status === 'waiting');
       if (task !== undefined) {
         const best = findWorker(input, task);
-        const suits = input.workers.filter(
+        const fitting = input.workers.filter(
           worker =>
             findWorker({ ...input, workers: [worker] }, task) !== undefined,
         );
-        assert.equal(best === undefined, suits.length === 0, `seed ${seed}`);
-        const beaten = suits.every(
+        assert.equal(best === undefined, fitting.length === 0, `seed ${seed}`);
+        const isPreferred = fitting.every(
           worker =>
             worker === best ||
             findWorker(
@@ -153,7 +153,7 @@
               task,
             ) === best,
         );
-        assert.ok(beaten, `seed ${seed}`);
+        assert.ok(isPreferred, `seed ${seed}`);
       }
     }
   }
--- a/packages/domain/src/jobs/plan.test.ts
+++ b/packages/domain/src/jobs/plan.test.ts
@@ -228,9 +228,9 @@
   const input = planInput(state, [testWorker('a'), testWorker('b')]);
   assert.deepEqual(runRound(input), []);
   const { step } = taskOf(state, 'j', 0, 0);
-  const question = input.advice.requestFor(step, ['a', 'b'], 0);
-  assert.deepEqual(question?.workers, ['a', 'b']);
-  input.advice.recordAnswer(question, new Map([['b', 't-1']]), 3_000);
+  const request = input.advice.requestFor(step, ['a', 'b'], 0);
+  assert.deepEqual(request?.workers, ['a', 'b']);
+  input.advice.recordAnswer(request, new Map([['b', 't-1']]), 3_000);
   assert.equal(input.advice.requestFor(step, ['a', 'b'], 0), undefined);
   const expired = input.advice.requestFor(step, ['a', 'b'], 4_000);
   assert.deepEqual(expired?.workers, ['b']);
@@ -265,7 +265,7 @@
 
 test('a round starts no more tasks than its limit', () => {
   const state = stateOf(testJob('j', [{ tasks: 4 }]));
-  const input = { ...planInput(state, [testWorker('w')]), mostStarts: 3 };
+  const input = { ...planInput(state, [testWorker('w')]), maxStarts: 3 };
   assert.equal(runRound(input).length, 3);
 });
 
@@ -278,9 +278,9 @@
       testJob('lasting', [{ tasks: 1, lasting: true }]),
     );
     const input = planInput(state, [testWorker('w')]);
-    const paced = { ...input, mostStarts: 1, isLinkBusy };
-    const later = { ...paced, time: { now: 3_000, nowWall: 3_000 } };
-    return [runRound(paced), runRound(later)];
+    const limited = { ...input, maxStarts: 1, isLinkBusy };
+    const later = { ...limited, time: { now: 3_000, nowWall: 3_000 } };
+    return [runRound(limited), runRound(later)];
   };
   assert.deepEqual(planned(true), [['ending.0.0@w'], ['lasting.0.0@w']]);
   assert.deepEqual(planned(false), [['ending.0.0@w'], ['ending.0.1@w']]);
--- a/packages/domain/src/jobs/plan.ts
+++ b/packages/domain/src/jobs/plan.ts
@@ -61,7 +61,7 @@
 /**
  * Decides the starts of one round and returns their number. Moving tasks, suspected tasks and long-running tasks
  * that have waited for too long start first. Then `reserveCapacity` is called for urgent tasks, and before the
- * first waiting long-running task for patient ones. Without it a steady supply of waiting tasks would take all
+ * first waiting long-running task for patient ones. Otherwise a steady supply of waiting tasks would take all
  * capacity that becomes free.
  */
 export function planStarts(
--- a/packages/domain/src/jobs/round-cost.test.ts
+++ b/packages/domain/src/jobs/round-cost.test.ts
@@ -73,7 +73,7 @@
   );
   const leaving = startConfirmedRuns(input, 'leaving', MOVING_TASKS);
   const slowed = startConfirmedRuns(input, 'slowed', SLOWED_FILLERS);
-  const round = { ...input, moving };
+  const round = { ...input, movingTasks: moving };
   planStarts(round, () => undefined);
   planEvacuation(round, leaving);
   slowed.forEach(({ task }) => findWorker(round, task));
--- a/packages/domain/src/jobs/size-class-shares.ts
+++ b/packages/domain/src/jobs/size-class-shares.ts
@@ -1,20 +1,20 @@
 /**
  * Reserves workers for large tasks that have less than their share of the capacity. Small tasks fit wherever a
- * little becomes free, so that a steady supply of them starves large ones regardless of priority. Competing tasks
- * are therefore divided into size classes, and each class is entitled to a share of the capacity in use that is
- * proportional to its demand. While a waiting class has less, workers are reserved for it against smaller tasks.
+ * little becomes free, so that a steady supply of them starves large ones, whatever their position in the order.
+ * Competing tasks are therefore divided into size classes, and each class is entitled to a share of the capacity in
+ * use in proportion to its demand. While a waiting class has less, workers are reserved for it from smaller tasks.
  */
 import { waitingTasks, type Run, type Step, type Task } from './job.js';
 import { addLoad, emptyRuns, type WorkerRuns } from './jobs-state.js';
 import type { TaskSize } from './spec.js';
 
-/** Processors requested by waiting tasks and in use by running ones of a size class, in thousandths of a core. */
+/** Processors requested by the waiting tasks of a size class, and in use by its running ones. */
 interface SizeDemand {
   readonly sizeClass: number;
-  waiting: number;
-  running: number;
+  waitingCpuMilli: number;
+  runningCpuMilli: number;
   /** The first waiting task in scheduling order; undefined if there is none. */
-  first: Task | undefined;
+  firstWaiting: Task | undefined;
 }
 
 /** Demand of tasks that compete for the same capacity, by size class. */
@@ -53,12 +53,12 @@
   reserve<W extends WorkerCapacity>(
     waiting: Iterable<Step>,
     running: Iterable<Run>,
-    from: ReservationInput<W>,
+    input: ReservationInput<W>,
   ): void {
     const groups = demandByGroup(waiting, running);
     for (const [group, demandBySize] of groups) {
       for (const shortage of shortagesOf(demandBySize)) {
-        this.reserveFor(group, shortage, from);
+        this.reserveFor(group, shortage, input);
       }
     }
   }
@@ -66,7 +66,7 @@
   private reserveFor<W extends WorkerCapacity>(
     group: string,
     { task, sizeClass, missingCpuMilli }: Shortage,
-    from: ReservationInput<W>,
+    input: ReservationInput<W>,
   ): void {
     const { cpuMilli } = task.step.spec.size;
     // From half a task on, one task more is closer to the share than none.
@@ -75,7 +75,7 @@
       return;
     }
     let left = missingCpuMilli;
-    for (const { id, batchCpuMilli } of this.workersFor(task, from)) {
+    for (const { id, batchCpuMilli } of this.workersFor(task, input)) {
       if (left < minCpuMilli) {
         return;
       }
@@ -169,8 +169,8 @@
     if (competes(step)) {
       const demand = demandOf(groups, step);
       const tasks = waitingTasks(step);
-      demand.waiting += tasks.length * step.spec.size.cpuMilli;
-      demand.first ??= tasks[0];
+      demand.waitingCpuMilli += tasks.length * step.spec.size.cpuMilli;
+      demand.firstWaiting ??= tasks[0];
     }
   }
   if (groups.size === 0) {
@@ -179,7 +179,8 @@
   for (const { task } of runningRuns) {
     // A group without waiting tasks cannot lack capacity.
     if (competes(task.step) && groups.has(taskClassOf(task.step).group)) {
-      demandOf(groups, task.step).running += task.step.spec.size.cpuMilli;
+      demandOf(groups, task.step).runningCpuMilli +=
+        task.step.spec.size.cpuMilli;
     }
   }
   return groups;
@@ -193,7 +194,12 @@
   if (known !== undefined) {
     return known;
   }
-  const created = { sizeClass, waiting: 0, running: 0, first: undefined };
+  const created = {
+    sizeClass,
+    waitingCpuMilli: 0,
+    runningCpuMilli: 0,
+    firstWaiting: undefined,
+  };
   demandBySize.set(sizeClass, created);
   return created;
 }
@@ -203,19 +209,26 @@
   const all = [...demandBySize.values()];
   const sumOf = (of: (demand: SizeDemand) => number): number =>
     all.reduce((total, demand) => total + of(demand), 0);
-  const inUse = sumOf(({ running }) => running);
-  const demand = sumOf(({ running, waiting }) => running + waiting);
+  const inUse = sumOf(({ runningCpuMilli }) => runningCpuMilli);
+  const demand = sumOf(
+    ({ runningCpuMilli, waitingCpuMilli }) => runningCpuMilli + waitingCpuMilli,
+  );
   const smallest = Math.min(...demandBySize.keys());
   return all
     .filter(({ sizeClass }) => sizeClass > smallest)
     .sort((a, b) => b.sizeClass - a.sizeClass)
-    .flatMap(({ sizeClass, first, running, waiting }) => {
-      const share = (inUse * (running + waiting)) / demand;
-      const missingCpuMilli = Math.min(share - running, waiting);
-      return first === undefined
-        ? []
-        : [{ sizeClass, task: first, missingCpuMilli }];
-    });
+    .flatMap(
+      ({ sizeClass, firstWaiting, runningCpuMilli, waitingCpuMilli }) => {
+        const share = (inUse * (runningCpuMilli + waitingCpuMilli)) / demand;
+        const missingCpuMilli = Math.min(
+          share - runningCpuMilli,
+          waitingCpuMilli,
+        );
+        return firstWaiting === undefined
+          ? []
+          : [{ sizeClass, task: firstWaiting, missingCpuMilli }];
+      },
+    );
 }
 
 /** Returns the part of a load that long-running tasks cause. */
--- a/packages/domain/src/jobs/speculative-copies.ts
+++ b/packages/domain/src/jobs/speculative-copies.ts
@@ -20,7 +20,10 @@
 const MAX_COPIES_PER_ROUND = 8;
 
 /** Starts copies of stragglers in capacity that no waiting task needs. */
-export function planSpeculativeCopies(input: PlanInput, start: ApplyStart): void {
+export function planSpeculativeCopies(
+  input: PlanInput,
+  start: ApplyStart,
+): void {
   const placement = placementInputOf(input);
   let copiesLeft = MAX_COPIES_PER_ROUND;
   for (const run of runsWithoutCopy(input)) {
@@ -43,8 +46,10 @@
     for (const { steps } of job.occurrences.values()) {
       for (const step of steps.filter(allowsCopies)) {
         // A copy of a task that may crash its worker could crash a second worker.
-        const healthyTasks = step.tasks.filter(task => suspicionPercent(task) === 0);
-        for (const { status, runs } of healthyTasks) {
+        const unsuspectedTasks = step.tasks.filter(
+          task => suspicionPercent(task) === 0,
+        );
+        for (const { status, runs } of unsuspectedTasks) {
           const [run] = runs;
           if (status === 'running' && run !== undefined && runs.length === 1) {
             yield run;
--- a/packages/domain/src/jobs/trend.test.ts
+++ b/packages/domain/src/jobs/trend.test.ts
@@ -51,15 +51,20 @@
 test('the prediction of a rising load is better than its latest value', () => {
   const until = 6_000;
   const ahead = 1_200;
-  let foreseen = 0;
-  let unforeseen = 0;
+  let predictionError = 0;
+  let latestError = 0;
   for (let seed = 1; seed <= 40; seed += 1) {
     const trends = observe(until, seed);
     const truth = loadAt(until + ahead);
-    foreseen += Math.abs(trends.predict('k', until + ahead, 2_000) - truth);
-    unforeseen += Math.abs(trends.predict('k', until, 2_000) - truth);
+    predictionError += Math.abs(
+      trends.predict('k', until + ahead, 2_000) - truth,
+    );
+    latestError += Math.abs(trends.predict('k', until, 2_000) - truth);
   }
-  assert.ok(foreseen < unforeseen / 2, `${foreseen} against ${unforeseen}`);
+  assert.ok(
+    predictionError < latestError / 2,
+    `${predictionError} against ${latestError}`,
+  );
 });
 
 // Guards against NaN in learned estimates after serving tasks were unavailable for a while: a leader that had them
--- a/packages/domain/src/jobs/worth.ts
+++ b/packages/domain/src/jobs/worth.ts
@@ -41,8 +41,8 @@
 
 /**
  * Returns the value of completing an occurrence for each unit of work that its waiting tasks need. It is high if
- * the occurrence is small, or if nearly all of its tasks are running or done. The value is in units of work,
- * relative to the mean work of the queue.
+ * the occurrence is small, or if nearly all of its tasks are running or done. The value is in units of work: that
+ * of a mean job of the queue equals its work.
  */
 export function valuePerWork(
   occurrence: Occurrence,
