--- a/packages/domain/src/jobs/blame.ts
+++ b/packages/domain/src/jobs/blame.ts
@@ -1,102 +1,110 @@
 /**
- * Which tasks are to blame for workers that are lost. A task may bring down each worker that starts it,
- * and takes along all that runs there; it is given up before it has cost more than a few. Those that
- * merely stood beside it, or on workers that crashed for other reasons, are not: a task that brings its workers
- * down does so at an age of its own, others are lost at any.
+ * Finds tasks that crash their workers. Such a task may crash every worker that starts it, along with all that
+ * runs there, so it is abandoned after a few losses. Tasks that merely ran beside it, or on workers that crashed
+ * for other reasons, are not: a task that crashes its workers does so at a characteristic age of its runs,
+ * whereas other losses happen at any age.
  */
 import type { Millis, SpanBounds } from '../core/time.js';
 import type { Task } from './job.js';
 import type { JobsState } from './jobs-state.js';
-import type { Charge, Loss, Suspicion } from './loss.js';
+import type { CountedSuspicion, Loss, Suspicion } from './loss.js';
 
 /**
- * Blame in percent that a loss adds. A task is given up at 100: after three losses where one of them can
- * have had no other reason and the last was not doubtful, and after five whatever else is going on.
+ * Suspicion in percent that a loss adds. A task is abandoned at 100: after three losses if one of them can
+ * have no other cause and the last is not doubtful, and after five in any case.
  */
-const BLAME: Readonly<Record<Charge, number>> = {
+const SUSPICION_PERCENT: Readonly<Record<CountedSuspicion, number>> = {
   sole: 40,
   shared: 30,
   doubtful: 20,
 };
 
-/** Blame in percent at which a task is given up. */
-const GIVE_UP_AT = 100;
+/** Suspicion in percent at which a task is abandoned. */
+const ABANDON_AT_PERCENT = 100;
 
-/** Losses after which a task is given up however doubtful they are: users bear three, and two starts more. */
-const MOST_LOSSES = 5;
+/** Losses after which a task is abandoned even if all are doubtful: users accept three, plus two more starts. */
+const ABANDON_AT_LOSSES = 5;
 
-/** Losses of a task that are remembered: several times as many as decide. */
-const MAX_LOSSES = 20;
+/** Maximum number of losses kept for a task: several times as many as are needed to abandon it. */
+const MAX_KEPT_LOSSES = 20;
 
-/** Blame in percent from which on a task is kept apart: two losses, of which neither was doubtful. */
-const SUSPECT_AT = 60;
+/** Suspicion in percent at which a task is isolated: two losses that are not doubtful. */
+const SUSPECT_AT_PERCENT = 60;
 
-/** How long the loss of a worker is remembered. */
-export const LOSS_MEMORY_MS: Millis = 60_000;
+/** How long the loss of a worker is kept. */
+export const LOSS_RETENTION_MS: Millis = 60_000;
 
-/** How far ages may be off at either end: reports and orders are on their way for some time. */
-const AGE_SLACK_MS: Millis = 250;
+/** Tolerance at both bounds of an age, for the time that reports and commands are in transit. */
+const AGE_TOLERANCE_MS: Millis = 250;
 
-/** Returns a task's blame in percent; 0 for one that is not under suspicion. */
-export function blameOf({ blame }: Task): number {
-  const points = new Set(blame.losses.map(({ resumedFrom }) => resumedFrom));
+/** Returns the suspicion against a task in percent; 0 if there is none. */
+export function blameOf({ lossHistory }: Task): number {
+  const checkpoints = new Set(
+    lossHistory.losses.map(({ resumedFrom }) => resumedFrom),
+  );
   const counted = new Set<Loss>();
-  for (const point of points) {
-    const losses = blame.losses.filter(loss => loss.resumedFrom === point);
-    mostAlike(losses).forEach(loss => counted.add(loss));
+  for (const checkpoint of checkpoints) {
+    const losses = lossHistory.losses.filter(
+      loss => loss.resumedFrom === checkpoint,
+    );
+    largestSameAgeGroup(losses).forEach(loss => counted.add(loss));
   }
-  return blameOfAlike(blame.losses.filter(loss => counted.has(loss)));
+  return cappedPercent(lossHistory.losses.filter(loss => counted.has(loss)));
 }
 
 /**
- * Returns those of the losses that may have happened at one age and speak against the task the most. Only
- * runs that resumed from the same checkpoint can be compared so: others do other work at the same age.
+ * Returns the group of losses that may have happened at the same age and count most against the task. Only
+ * runs that resumed from the same checkpoint are comparable: others do different work at the same age.
  */
-function mostAlike(losses: readonly Loss[]): Loss[] {
-  let most: Loss[] = [];
+function largestSameAgeGroup(losses: readonly Loss[]): Loss[] {
+  let largest: Loss[] = [];
   for (const { age } of losses) {
-    const alike = losses.filter(loss => mayBeAt(loss, age.from));
-    if (weightOf(alike) > weightOf(most)) {
-      most = alike;
+    const group = losses.filter(loss => mayHaveAge(loss, age.from));
+    if (totalPercent(group) > totalPercent(largest)) {
+      largest = group;
     }
   }
-  return most;
+  return largest;
 }
 
-function mayBeAt({ age: { from, to } }: Loss, age: Millis): boolean {
-  return from - AGE_SLACK_MS <= age && age <= to + AGE_SLACK_MS;
+function mayHaveAge({ age: { from, to } }: Loss, age: Millis): boolean {
+  return from - AGE_TOLERANCE_MS <= age && age <= to + AGE_TOLERANCE_MS;
 }
 
-function weightOf(losses: readonly Loss[]): number {
-  return losses.reduce((sum, { charge }) => sum + BLAME[charge], 0);
+function totalPercent(losses: readonly Loss[]): number {
+  return losses.reduce(
+    (sum, { suspicion }) => sum + SUSPICION_PERCENT[suspicion],
+    0,
+  );
 }
 
-function blameOfAlike(losses: readonly Loss[]): number {
-  if (losses.length >= MOST_LOSSES) {
-    return GIVE_UP_AT;
+function cappedPercent(losses: readonly Loss[]): number {
+  if (losses.length >= ABANDON_AT_LOSSES) {
+    return ABANDON_AT_PERCENT;
   }
   let sum = 0;
-  for (const { charge } of losses) {
-    sum += BLAME[charge];
-    // A doubtful loss does not decide, whatever came before it.
-    sum = charge === 'doubtful' ? Math.min(sum, GIVE_UP_AT - 1) : sum;
+  for (const { suspicion } of losses) {
+    sum += SUSPICION_PERCENT[suspicion];
+    // A doubtful loss never reaches the limit by itself, whatever came before it.
+    sum =
+      suspicion === 'doubtful' ? Math.min(sum, ABANDON_AT_PERCENT - 1) : sum;
   }
   return sum;
 }
 
-/** Whether a task has cost so many workers that it is given up. */
+/** Tells whether so many workers were lost under a task that it is abandoned. */
 export function isGivenUp(task: Task): boolean {
-  return blameOf(task) >= GIVE_UP_AT;
+  return blameOf(task) >= ABANDON_AT_PERCENT;
 }
 
-/** Whether a task is kept apart from others until it is known whether it brings workers down. */
+/** Tells whether a task is isolated from others until it is known whether it crashes workers. */
 export function isSuspect(task: Task): boolean {
-  return blameOf(task) >= SUSPECT_AT;
+  return blameOf(task) >= SUSPECT_AT_PERCENT;
 }
 
-/** Returns the workers that were lost under a task since it came under suspicion. */
-export function lostUnder({ blame }: Task): string[] {
-  return blame.losses.map(({ worker }) => worker);
+/** Returns the workers that were lost while they ran a task, since it came under suspicion. */
+export function lostUnder({ lossHistory }: Task): string[] {
+  return lossHistory.losses.map(({ worker }) => worker);
 }
 
 /** Notes that a run of a task was lost with its worker. */
@@ -110,40 +118,43 @@
   switch (suspicion) {
     case 'unexplained':
       noteWorkerLoss(state, worker);
-      task.blame.losses = [];
+      task.lossHistory.losses = [];
       return;
     case 'cleared':
-      task.blame.losses = [];
+      task.lossHistory.losses = [];
       return;
     case 'sole':
     case 'shared':
     case 'doubtful':
       noteWorkerLoss(state, worker);
       addLosses(state, task, [
-        { worker, charge: suspicion, age, resumedFrom: task.checkpoint },
+        { worker, suspicion, age, resumedFrom: task.checkpoint },
       ]);
   }
 }
 
-/** Adds losses under a task to its blame. */
+/** Adds losses to the history of a task. */
 export function addLosses(
   state: JobsState,
   task: Task,
   losses: readonly Loss[],
 ): void {
-  task.blame.losses.push(...losses);
-  task.blame.losses = task.blame.losses.slice(-MAX_LOSSES);
-  task.blame.since = state.now;
+  task.lossHistory.losses.push(...losses);
+  task.lossHistory.losses = task.lossHistory.losses.slice(-MAX_KEPT_LOSSES);
+  task.lossHistory.lastLossAt = state.now;
   state.suspects.add(task);
 }
 
-/** Once a task is given up, losses of the same workers say little of others: it was the reason for most. */
-export function explainLosses({ suspects }: JobsState, givenUp: Task): void {
+/** Marks losses of the same workers under other tasks as doubtful: the abandoned task caused most of them. */
+export function discountExplainedLosses(
+  { suspects }: JobsState,
+  givenUp: Task,
+): void {
   const explained = new Set(lostUnder(givenUp));
   for (const task of suspects) {
-    const losses = task === givenUp ? [] : task.blame.losses;
+    const losses = task === givenUp ? [] : task.lossHistory.losses;
     for (const loss of losses.filter(({ worker }) => explained.has(worker))) {
-      loss.charge = 'doubtful';
+      loss.suspicion = 'doubtful';
     }
   }
 }
@@ -154,7 +165,7 @@
   worker: string,
 ): void {
   for (const [lost, at] of workerLosses) {
-    if (now - at >= LOSS_MEMORY_MS) {
+    if (now - at >= LOSS_RETENTION_MS) {
       workerLosses.delete(lost);
     }
   }
--- a/packages/domain/src/jobs/fold.ts
+++ b/packages/domain/src/jobs/fold.ts
@@ -1,6 +1,6 @@
-/** Folds the records of inbox and journal into the state of jobs. */
+/** Applies the records of the inbox and the journal to the state of jobs. */
 import type { Instant, Millis } from '../core/time.js';
-import { explainLosses, isGivenUp, noteLoss } from './blame.js';
+import { discountExplainedLosses, isGivenUp, noteLoss } from './blame.js';
 import type {
   HandedLeases,
   InboxRecord,
@@ -35,7 +35,7 @@
       const job = state.jobs.get(record.job);
       if (job !== undefined && job.remaining > 0) {
         job.cancelled = true;
-        close(state, job);
+        noteFinished(state, job);
       }
       return;
     }
@@ -64,30 +64,34 @@
   }
 }
 
-/** Applies a record of the journal; false when it names a job that is not known. */
+/** Applies a record of the journal; returns false if it names an unknown job. */
 export function applyJournal(state: JobsState, record: JournalRecord): boolean {
   switch (record.kind) {
     case 'claim':
       state.journalTime.noteClaim(record.epoch);
-      noteEpochBefore(state, record.epoch);
+      notePreviousEpoch(state, record.epoch);
       state.claim = record;
       state.released = false;
       state.leaderAddress = undefined;
-      forgetIdle(state);
+      forgetIdleWorkers(state);
       return true;
     case 'heartbeat':
       if (record.epoch > state.claim.epoch) {
-        noteEpochBefore(state, record.epoch);
+        notePreviousEpoch(state, record.epoch);
         state.claim = record;
       }
       state.standbys = record.standbys;
       state.leaderAddress = record.address;
-      noteSilent(state, record.handed);
-      state.journalTime.noteLed(record.epoch, record.ledForMs, record.silence);
+      noteUnresponsive(state, record.handed);
+      state.journalTime.noteLeadTime(
+        record.epoch,
+        record.ledForMs,
+        record.silence,
+      );
       return true;
     case 'reached':
       state.reachedIn.set(record.worker, state.claim.epoch);
-      state.silentSince.delete(record.worker);
+      state.unresponsiveSince.delete(record.worker);
       return true;
     case 'restate':
       applyImage(state, record.image);
@@ -101,7 +105,7 @@
     case 'begun': {
       const job = state.jobs.get(record.job);
       if (job !== undefined) {
-        noteBegun(state, job);
+        noteStarted(state, job);
       }
       return job !== undefined;
     }
@@ -116,31 +120,34 @@
   }
 }
 
-/** A claim that is read once more changes nothing. */
-function noteEpochBefore(state: JobsState, epoch: number): void {
+/** Does nothing for a claim that is read a second time. */
+function notePreviousEpoch(state: JobsState, epoch: number): void {
   if (epoch > state.claim.epoch) {
     state.epochBefore = state.claim.epoch;
   }
 }
 
 /**
- * Keeps since when each worker that does not answer has been told to be so: as of the record before, since
- * a leader may say so late.
+ * Keeps the time since which each unresponsive worker has been reported: the time of the record before its
+ * first report, since a leader may report it late.
  */
-function noteSilent(state: JobsState, handed: HandedLeases | undefined): void {
+function noteUnresponsive(
+  state: JobsState,
+  handed: HandedLeases | undefined,
+): void {
   if (handed !== undefined) {
-    const { silentSince, journalTime } = state;
-    state.silentSince = new Map(
+    const { unresponsiveSince, journalTime } = state;
+    state.unresponsiveSince = new Map(
       handed.workers.map(([id]) => [
         id,
-        silentSince.get(id) ?? journalTime.now,
+        unresponsiveSince.get(id) ?? journalTime.now,
       ]),
     );
   }
 }
 
-/** Only where something runs does it matter who may have extended the lease. */
-function forgetIdle(state: JobsState): void {
+/** The leader that last reached a worker matters only while the worker has open runs. */
+function forgetIdleWorkers(state: JobsState): void {
   for (const worker of state.reachedIn.keys()) {
     if (openRunsAt(state, worker) === 0) {
       state.reachedIn.delete(worker);
@@ -182,25 +189,25 @@
   }
   const run = task.runs.find(({ number }) => number === record.run);
   if (run === undefined) {
-    // A run that was given up may have been done all the same: its task must not run again.
+    // An abandoned run may still have been completed: its task must not run again.
     if (record.how === 'done') {
-      noteBegun(state, task.step.occurrence.job);
+      noteStarted(state, task.step.occurrence.job);
       noteDone(state, task);
     }
     return true;
   }
   closeRun(state, run);
   if (record.how !== 'void' && record.how !== 'lapsed') {
-    noteBegun(state, task.step.occurrence.job);
+    noteStarted(state, task.step.occurrence.job);
   }
   if (record.checkpoint !== '') {
     saveCheckpoint(task, record.checkpoint);
   }
-  settleTask(state, task, run, record.how);
+  updateTask(state, task, run, record.how);
   return true;
 }
 
-/** A run that is gone with its worker ends as one whose lease has lapsed, and its task may be to blame. */
+/** Ends a run that was lost with its worker like one whose lease has expired, and notes the loss for its task. */
 function applyLost(
   state: JobsState,
   record: Extract<JournalRecord, { kind: 'lost' }>,
@@ -210,7 +217,7 @@
   const lost = task?.runs.find(({ number }) => number === run);
   if (task !== undefined && lost !== undefined) {
     noteLoss(state, task, lost.worker, suspicion, age);
-    failWhenGivenUp(state, task);
+    failIfAbandoned(state, task);
   }
   return applyEnd(state, {
     kind: 'end',
@@ -221,7 +228,7 @@
   });
 }
 
-/** A checkpoint of any member of a gang holds for all of them. */
+/** A checkpoint of any member of a gang applies to all members. */
 function saveCheckpoint(task: Task, checkpoint: string): void {
   const { spec, tasks } = task.step;
   for (const saved of spec.gang ? tasks : [task]) {
@@ -229,7 +236,7 @@
   }
 }
 
-function settleTask(state: JobsState, task: Task, run: Run, how: RunEnd): void {
+function updateTask(state: JobsState, task: Task, run: Run, how: RunEnd): void {
   const { failedGangRuns } = task.step;
   if (how === 'done') {
     noteDone(state, task);
@@ -241,37 +248,41 @@
     task.failures += 1;
     task.failedOn.add(run.worker);
     failedGangRuns.add(run.number);
-    failWhenSpent(state, task);
+    failIfAttemptsSpent(state, task);
   }
   if (task.runs.length === 0) {
     task.status = 'waiting';
-    task.endedAt = endOf(task, how, state.now);
+    task.endedAt = unavailableSince(task, how, state.now);
   }
 }
 
-/** A task that lasts is never done. */
+/** Marks a task as done, except a long-running one, which is never done. */
 function noteDone(state: JobsState, task: Task): void {
   const { spec, tasks } = task.step;
   if (task.status === 'done' || spec.lasting) {
     return;
   }
-  // One member of a gang that is done stands for all.
+  // If one member of a gang is done, all are.
   for (const done of spec.gang ? tasks : [task]) {
     finishTask(state, done);
   }
 }
 
-/** How long a task has been away at least whose lease has lapsed: that long before it was last extended. */
-const LAPSED_AWAY_MS: Millis = 5_000;
+/** Minimum time that a task has been unavailable when its lease expires, counted from the last extension. */
+const MIN_OUTAGE_BEFORE_EXPIRY_MS: Millis = 5_000;
 
-/** Returns since when a task is away whose last run has ended. */
-function endOf({ endedAt }: Task, how: RunEnd, now: Instant): Instant {
+/** Returns the time since which a task has been unavailable, given how its last run ended. */
+function unavailableSince(
+  { endedAt }: Task,
+  how: RunEnd,
+  now: Instant,
+): Instant {
   switch (how) {
     case 'void':
-      // A start that is never carried out does not begin the wait anew.
+      // A start that was never executed does not restart the wait.
       return endedAt;
     case 'lapsed':
-      return now - LAPSED_AWAY_MS;
+      return now - MIN_OUTAGE_BEFORE_EXPIRY_MS;
     case 'done':
     case 'failed':
     case 'stopped':
@@ -296,39 +307,39 @@
   const { job } = occurrence;
   job.remaining -= 1;
   if (isOver(job)) {
-    close(state, job);
+    noteFinished(state, job);
   }
 }
 
-function noteBegun(state: JobsState, job: Job): void {
+function noteStarted(state: JobsState, job: Job): void {
   if (!job.begun) {
     job.begun = true;
     state.changed?.add(job);
   }
 }
 
-/** Notes that a job is over, or over in another way. */
-function close(state: JobsState, job: Job): void {
+/** Notes that a job is finished, or that the reason why it finished has changed. */
+function noteFinished(state: JobsState, job: Job): void {
   state.open.delete(job);
   state.changed?.add(job);
 }
 
-/** Lasting tasks are given up as well: each start costs a worker and all that runs there. */
-function failWhenGivenUp(state: JobsState, task: Task): void {
+/** Applies to long-running tasks as well: each start costs a worker and everything that runs there. */
+function failIfAbandoned(state: JobsState, task: Task): void {
   const { job } = task.step.occurrence;
   if (isGivenUp(task) && !isOver(job)) {
     job.failure = 'workers_lost';
-    explainLosses(state, task);
-    close(state, job);
+    discountExplainedLosses(state, task);
+    noteFinished(state, job);
   }
 }
 
-function failWhenSpent(state: JobsState, task: Task): void {
+function failIfAttemptsSpent(state: JobsState, task: Task): void {
   const { job } = task.step.occurrence;
   const { spec, failedGangRuns } = task.step;
   const failures = spec.gang ? failedGangRuns.size : task.failures;
   if (!spec.lasting && failures >= job.spec.terms.maxAttempts) {
     job.failure ??= 'attempts_spent';
-    close(state, job);
+    noteFinished(state, job);
   }
 }
--- a/packages/domain/src/jobs/incarnation.ts
+++ b/packages/domain/src/jobs/incarnation.ts
@@ -1,13 +1,13 @@
 /**
- * Names of incarnations of workers. A worker may start again under its id and then knows nothing of before:
- * what is kept of a worker is kept by the name of its incarnation, which has the id and the time of the start.
+ * Names of worker incarnations. A worker that restarts keeps its id but loses its state, so state about a
+ * worker is keyed by the name of its incarnation: the worker's id and the time at which it started.
  */
 import type { Instant } from '../core/time.js';
 
-/** Stands before the time of the start. */
+/** Separates the worker's id from its start time. */
 const SEPARATOR = '@';
 
-/** Returns the name of the incarnation that started at `startedAt`; the worker's id where that is not known. */
+/** Returns the name of the incarnation that started at `startedAt`; the worker's id if the time is unknown. */
 export function incarnationOf(
   worker: string,
   startedAt: Instant | undefined,
@@ -15,14 +15,14 @@
   return startedAt === undefined ? worker : `${worker}${SEPARATOR}${startedAt}`;
 }
 
-/** Returns the id of an incarnation's worker. */
+/** Returns the worker's id from the name of an incarnation. */
 export function workerOf(incarnation: string): string {
   return startOf(incarnation) === undefined
     ? incarnation
     : incarnation.slice(0, incarnation.lastIndexOf(SEPARATOR));
 }
 
-/** Returns when an incarnation started, in wall-clock milliseconds; undefined where its name does not say. */
+/** Returns the start time of an incarnation in wall-clock milliseconds; undefined if its name has none. */
 export function startOf(incarnation: string): Instant | undefined {
   const at = incarnation.lastIndexOf(SEPARATOR);
   if (at < 0 || at === incarnation.length - 1) {
@@ -32,7 +32,7 @@
   return isStart(startedAt) ? startedAt : undefined;
 }
 
-/** Whether a value may be the time of a start. */
+/** Tells whether a value is a valid start time. */
 export function isStart(value: unknown): value is Instant {
   return Number.isSafeInteger(value) && (value as number) >= 0;
 }
--- a/packages/domain/src/jobs/job.ts
+++ b/packages/domain/src/jobs/job.ts
@@ -1,51 +1,51 @@
-/** The job aggregate: occurrences of steps of tasks, and the runs of each task. */
+/** The job aggregate: occurrences, steps, tasks and the runs of each task. */
 import type { Instant } from '../core/time.js';
 import type { JournalMoment } from './journal-time.js';
-import { noBlame, type Blame } from './loss.js';
+import { emptyLossHistory, type LossHistory } from './loss.js';
 import type { JobSpec, StepSpec } from './spec.js';
 
-/** A job's state as callers see it. */
+/** The status of a job as callers see it. */
 export type JobStatus =
   'queued' | 'running' | 'completed' | 'failed' | 'cancelled';
 
-/** Why a job has failed: a task has failed as often as it may, or has cost too many workers. */
+/** Why a job has failed: a task has used up its attempts, or too many workers were lost while running it. */
 export type FailureReason = 'attempts_spent' | 'workers_lost';
 
-/** What callers are told of a job; the reason where it has failed. */
+/** The state of a job that is reported to callers, with the reason if it has failed. */
 export interface JobState {
   readonly status: JobStatus;
   readonly failure?: FailureReason;
 }
 
-/** What is known of a run beyond the journal; only the leader keeps it. */
+/** State of a run that is not in the journal; only the leader keeps it. */
 export interface RunProgress {
-  /** Monotonic time at which the order was sent or the run was first seen. */
+  /** Monotonic time at which the start command was sent or the run was first seen. */
   since: Instant;
-  /** Whether the worker has confirmed it. */
+  /** Whether the worker has confirmed the run. */
   confirmed: boolean;
-  /** Whether a report of its worker's incarnation has listed it as at work. */
+  /** Whether a report of the worker's incarnation has listed the run as running. */
   listed: boolean;
-  /** Whether a stop was ordered. */
+  /** Whether a stop command was sent. */
   stopping: boolean;
   /** Monotonic time at which the worker confirmed the stop; infinite before. */
   stopConfirmedAt: Instant;
-  /** Share of the work done, 0 to 100. */
+  /** Completed part of the work, 0 to 100. */
   percent: number;
   /** Monotonic time at which `percent` last changed. */
   percentSince: Instant;
-  /** Monotonic time of the newest report that listed it. */
+  /** Monotonic time of the newest report that listed the run. */
   seenAt: Instant;
-  /** Newest checkpoint; empty when there is none. */
+  /** Newest checkpoint; empty if there is none. */
   checkpoint: string;
-  /** Tail latency in milliseconds of a serving task, processor use in thousandths of a core of another. */
+  /** Tail latency in milliseconds for a serving task, processor use in thousandths of a core for others. */
   reading: number;
-  /** Share of its speed that it is allowed, 0 to 100; undefined while that is not known. */
+  /** Speed limit in percent of full speed, 0 to 100; undefined while unknown. */
   allowed: number | undefined;
-  /** Monotonic time at which that share was ordered. */
+  /** Monotonic time at which that limit was ordered. */
   allowedSince: Instant;
 }
 
-/** Returns the progress of a run that was ordered or first seen `now`. */
+/** Returns the progress of a run that was ordered or first seen at `now`. */
 export function newProgress(now: Instant): RunProgress {
   return {
     since: now,
@@ -67,12 +67,12 @@
 export interface Run {
   readonly task: Task;
   readonly number: number;
-  /** Incarnation of the worker where it is, as far as is known. */
+  /** Last known incarnation of its worker. */
   worker: string;
-  /** Monotonic time at which this host learnt of its start. */
+  /** Monotonic time at which this host read of its start. */
   readonly openedAt: Instant;
-  /** Its start in journal time. */
-  opened: JournalMoment;
+  /** Start of the run in journal time. */
+  startMoment: JournalMoment;
   progress: RunProgress | undefined;
 }
 
@@ -81,19 +81,19 @@
   readonly step: Step;
   readonly index: number;
   status: 'waiting' | 'running' | 'done';
-  /** Runs that have not ended; more than one only where copies are allowed. */
+  /** Runs that have not ended; more than one only if speculative copies are allowed. */
   readonly runs: Run[];
-  /** Highest run number given out. */
+  /** Highest run number assigned so far. */
   lastRun: number;
-  /** Runs that ended as failed. */
+  /** Number of failed runs. */
   failures: number;
   /** Workers on which a run failed. */
   readonly failedOn: Set<string>;
-  /** What the loss of workers under its runs says of it. */
-  readonly blame: Blame;
-  /** Newest checkpoint of an ended run; empty when there is none. */
+  /** Workers that were lost while they ran the task. */
+  readonly lossHistory: LossHistory;
+  /** Newest checkpoint of a run that has ended; empty if there is none. */
   checkpoint: string;
-  /** Monotonic time at which this host learnt that its last run has ended; infinite before. */
+  /** Monotonic time since which the task was last unavailable; infinite until one of its runs has ended. */
   endedAt: Instant;
 }
 
@@ -103,20 +103,20 @@
   readonly number: number;
   readonly spec: StepSpec;
   readonly tasks: Task[];
-  /** Tasks that are not done. */
+  /** Number of tasks that are not done. */
   remaining: number;
-  /** Open runs by worker. */
+  /** Number of open runs by worker. */
   readonly spread: Map<string, number>;
-  /** Numbers of a gang's runs in which a member failed. */
+  /** Run numbers of a gang in which a member failed. */
   readonly failedGangRuns: Set<number>;
 }
 
-/** One run through all steps of a job. */
+/** One execution of all steps of a job. */
 export interface Occurrence {
   readonly job: Job;
   readonly number: number;
   readonly steps: Step[];
-  /** Steps that are not done. */
+  /** Number of steps that are not done. */
   remaining: number;
 }
 
@@ -124,23 +124,23 @@
 export interface Job {
   readonly spec: JobSpec;
   readonly acceptedAtWall: Instant;
-  /** Monotonic time at which this host learnt of it. */
+  /** Monotonic time at which this host read of the job. */
   readonly learntAt: Instant;
-  /** Order of arrival in the inbox. */
+  /** Position in the order of arrival. */
   readonly arrival: number;
-  /** Monotonic time at which the leader first saw it. */
+  /** Monotonic time at which the leader first saw the job. */
   seenAt: Instant | undefined;
   readonly occurrences: Map<number, Occurrence>;
-  /** Occurrences that are not done, those not created yet included. */
+  /** Number of occurrences that are not done, including those not created yet. */
   remaining: number;
   cancelled: boolean;
-  /** Why it has failed; undefined for one that has not. */
+  /** Why the job has failed; undefined if it has not. */
   failure: FailureReason | undefined;
-  /** Monotonic time at which it was first found to be over. */
-  overAt: Instant | undefined;
-  /** Monotonic time at which this leader last restated it. */
+  /** Monotonic time at which the job was first found to be finished. */
+  finishedAt: Instant | undefined;
+  /** Monotonic time at which this leader last restated the job. */
   restatedAt: Instant | undefined;
-  /** Whether a worker is known to have begun a run; a recorded start may wait or never be carried out. */
+  /** Whether a worker has confirmed the start of a run; a recorded start may wait or never be executed. */
   begun: boolean;
 }
 
@@ -161,13 +161,13 @@
     remaining: Math.max(1, spec.repetition?.times ?? 1),
     cancelled: false,
     failure: undefined,
-    overAt: undefined,
+    finishedAt: undefined,
     restatedAt: undefined,
     begun: false,
   };
 }
 
-/** Returns occurrence `number` of the job, created when there is none yet. */
+/** Returns occurrence `number` of the job and creates it if necessary. */
 export function occurrenceOf(job: Job, number: number): Occurrence {
   const known = job.occurrences.get(number);
   if (known !== undefined) {
@@ -205,7 +205,7 @@
       lastRun: 0,
       failures: 0,
       failedOn: new Set(),
-      blame: noBlame(),
+      lossHistory: emptyLossHistory(),
       checkpoint: '',
       endedAt: Infinity,
     });
@@ -213,13 +213,13 @@
   return step;
 }
 
-/** Tells whether every step before this one is done. */
+/** Tells whether every step that this one depends on is done. */
 export function isReady(step: Step): boolean {
   const { steps } = step.occurrence;
   return step.spec.after.every(at => (steps[at]?.remaining ?? 0) === 0);
 }
 
-/** Tells whether nothing of the job is to be started any more. */
+/** Tells whether a job is finished: none of its tasks may be started any more. */
 export function isOver(job: Job): boolean {
   return job.cancelled || job.failure !== undefined || job.remaining === 0;
 }
@@ -234,7 +234,7 @@
   return tasks.filter(isWaiting);
 }
 
-/** Tells whether a task is known whose being done is still waited for. */
+/** Tells whether a task is known and still has to be completed. */
 export function isWanted(task: Task | undefined): task is Task {
   return (
     task !== undefined &&
@@ -244,7 +244,7 @@
   );
 }
 
-/** Returns the state that callers are shown. */
+/** Returns the status of a job as callers see it. */
 export function statusOf(job: Job): JobStatus {
   if (job.remaining === 0) {
     return 'completed';
@@ -258,7 +258,7 @@
   return job.begun ? 'running' : 'queued';
 }
 
-/** Returns what callers are told. */
+/** Returns the state of a job as it is reported to callers. */
 export function toldStateOf(job: Job): JobState {
   const status = statusOf(job);
   const { failure } = job;
--- a/packages/domain/src/jobs/jobs-state.test.ts
+++ b/packages/domain/src/jobs/jobs-state.test.ts
@@ -6,7 +6,7 @@
 import { workerRuns, type JobsState } from './jobs-state.js';
 import { endRun, startOn, stateOf, taskOf, testJob } from './test-support.js';
 
-function jobOf(state: JobsState, id: string): Job {
+function getJob(state: JobsState, id: string): Job {
   const job = state.jobs.get(id);
   assert.ok(job);
   return job;
@@ -23,7 +23,7 @@
 
 test('a job is queued, running and completed', () => {
   const state = stateOf(testJob('j', [{}]));
-  const job = jobOf(state, 'j');
+  const job = getJob(state, 'j');
   assert.equal(statusOf(job), 'queued');
   const run = startOn(state, taskOf(state, 'j', 0, 0), 'w');
   applyJournal(state, { kind: 'begun', job: 'j' });
@@ -35,7 +35,7 @@
 
 test('a job has begun once a worker is known to have begun a run', () => {
   const state = stateOf(testJob('j', [{}]));
-  const job = jobOf(state, 'j');
+  const job = getJob(state, 'j');
   const first = startOn(state, taskOf(state, 'j', 0, 0), 'w');
   assert.equal(statusOf(job), 'queued');
   endRun(state, first, 'void');
@@ -55,7 +55,7 @@
     job: testJob('j', [{ tasks: 9 }]),
     atWall: 5,
   });
-  assert.equal(jobOf(state, 'j').spec.steps[0]?.tasks, 1);
+  assert.equal(getJob(state, 'j').spec.steps[0]?.tasks, 1);
   assert.equal(taskOf(state, 'j', 0, 0).runs.length, 1);
 });
 
@@ -96,9 +96,9 @@
   ] as const) {
     endRun(state, startOn(state, task, 'w'), how);
   }
-  assert.equal(statusOf(jobOf(state, 'j')), 'running');
+  assert.equal(statusOf(getJob(state, 'j')), 'running');
   endRun(state, startOn(state, task, 'w'), 'failed');
-  assert.equal(statusOf(jobOf(state, 'j')), 'failed');
+  assert.equal(statusOf(getJob(state, 'j')), 'failed');
 });
 
 test('a lasting task is never done and never fails its job', () => {
@@ -108,7 +108,7 @@
     endRun(state, startOn(state, task, 'w'), how);
   }
   assert.equal(task.status, 'waiting');
-  assert.equal(statusOf(jobOf(state, 'j')), 'running');
+  assert.equal(statusOf(getJob(state, 'j')), 'running');
 });
 
 test('a cancelled job is no longer open, and a completed one stays so', () => {
@@ -116,7 +116,7 @@
   endRun(state, startOn(state, taskOf(state, 'b', 0, 0), 'w'), 'done');
   applyInbox(state, { kind: 'cancel', job: 'a' });
   applyInbox(state, { kind: 'cancel', job: 'b' });
-  assert.equal(statusOf(jobOf(state, 'a')), 'cancelled');
-  assert.equal(statusOf(jobOf(state, 'b')), 'completed');
+  assert.equal(statusOf(getJob(state, 'a')), 'cancelled');
+  assert.equal(statusOf(getJob(state, 'b')), 'completed');
   assert.equal(state.open.size, 0);
 });
--- a/packages/domain/src/jobs/jobs-state.ts
+++ b/packages/domain/src/jobs/jobs-state.ts
@@ -1,4 +1,4 @@
-/** The state of jobs: all jobs, and what runs on each worker. */
+/** The state of all jobs and of the runs on each worker. */
 import type { Instant, Millis } from '../core/time.js';
 import {
   isOver,
@@ -14,14 +14,14 @@
 import type { Volunteer } from './standbys.js';
 import { taskName, type TaskRef } from './task-ref.js';
 
-/** The open runs of one worker and what they take. */
+/** The open runs of one worker and the resources that they take. */
 export interface WorkerRuns {
   readonly runs: Map<string, Run>;
-  /** Thousandths of a core of the runs that count against capacity. */
+  /** Thousandths of a core of all runs except best-effort fillers, which do not count against capacity. */
   cpuMilli: number;
-  /** Thousandths of a core of the serving ones among these. */
+  /** Thousandths of a core of the serving runs, which are part of `cpuMilli`. */
   servingCpuMilli: number;
-  /** Thousandths of a core that the fillers would use. */
+  /** Thousandths of a core that fillers would use. */
   fillerCpuMilli: number;
   memoryMiB: number;
   accelerators: number;
@@ -34,40 +34,42 @@
   readonly nonce: number;
 }
 
-/** All jobs by id, those that are not over, and the load of each worker. */
+/** The state that is built from the inbox and the journal. */
 export interface JobsState {
+  /** All jobs by id. */
   readonly jobs: Map<string, Job>;
+  /** Jobs that are not finished. */
   readonly open: Set<Job>;
-  /** By incarnation. */
+  /** Open runs by incarnation of the worker. */
   readonly workers: Map<string, WorkerRuns>;
-  /** Incarnations that are among these, by id of their worker. */
+  /** Keys of `workers` by id of the worker. */
   readonly incarnations: Map<string, string[]>;
   claim: Claim;
-  /** Epoch of the claim before the newest one; 0 where there is none, or it is not known. */
+  /** Epoch of the claim before the newest one; 0 if there is none or it is unknown. */
   epochBefore: number;
-  /** Epoch of the last leader that reached a worker, by id: no later one has extended the lease there. */
+  /** Epoch of the last leader that reached a worker, by id: no later leader has extended the lease there. */
   readonly reachedIn: Map<string, number>;
-  /** Hosts that have offered to stand by, by name. */
+  /** Hosts that have offered to be standbys, by name. */
   readonly volunteers: Map<string, Volunteer>;
-  /** Hosts that the leader has chosen to stand by; undefined while all may. */
+  /** Hosts that the leader has chosen as standbys; undefined while every host may be one. */
   standbys: readonly string[] | undefined;
-  /** Where the leader takes records for the inbox; undefined until it has said so. */
+  /** Address at which the leader accepts records for the inbox; undefined until it has reported one. */
   leaderAddress: string | undefined;
-  /** Jobs of which callers are to be told anew; undefined where nobody collects them. */
+  /** Jobs whose reported state has changed; undefined if nobody collects them. */
   changed: Set<Job> | undefined;
-  /** Monotonic time at which records are taken in, set by whoever does so. */
+  /** Monotonic time at which records are applied, set by the caller that applies them. */
   now: Instant;
-  /** What the newest leader to say so has learnt. */
+  /** Estimates of the newest leader that has recorded any. */
   learnt: LearntAt | undefined;
   /** Whether the leader has asked to be replaced. */
   released: boolean;
-  /** Time in the journal. */
+  /** Clock of the journal. */
   readonly journalTime: JournalTime;
-  /** Journal time since which leaders have told that a worker with open runs does not answer, by its id. */
-  silentSince: Map<string, Millis>;
-  /** Tasks under which workers were lost, for a while also of jobs that are over. */
+  /** Journal time since which leaders report a worker with open runs as unresponsive, by id. */
+  unresponsiveSince: Map<string, Millis>;
+  /** Tasks that ran on lost workers; those of finished jobs are removed with a delay. */
   readonly suspects: Set<Task>;
-  /** When workers were lost, by worker; not those that had announced that they leave. */
+  /** Times at which workers were lost, by worker, except workers that had announced their departure. */
   readonly workerLosses: Map<string, Instant>;
 }
 
@@ -89,13 +91,13 @@
     learnt: undefined,
     released: false,
     journalTime: new JournalTime(),
-    silentSince: new Map(),
+    unresponsiveSince: new Map(),
     suspects: new Set(),
     workerLosses: new Map(),
   };
 }
 
-/** Returns the task that `ref` names, or undefined. */
+/** Returns the task that `ref` names; undefined if it is unknown. */
 export function findTask(state: JobsState, ref: TaskRef): Task | undefined {
   const job = state.jobs.get(ref.job);
   if (job === undefined) {
@@ -120,7 +122,7 @@
   return `${name}#${run}`;
 }
 
-/** Returns the open runs of a worker's incarnation, created when there are none yet. */
+/** Returns the open runs of a worker's incarnation and creates the entry if necessary. */
 export function workerRuns(state: JobsState, worker: string): WorkerRuns {
   const known = state.workers.get(worker);
   if (known !== undefined) {
@@ -129,28 +131,31 @@
   const created = emptyRuns();
   state.workers.set(worker, created);
   state.incarnations.set(workerOf(worker), [
-    ...dropIdle(state, incarnationsBeside(state, worker)),
+    ...dropIdleIncarnations(state, otherIncarnations(state, worker)),
     worker,
   ]);
   return created;
 }
 
-/** Forgets those of the incarnations at which nothing runs; returns the others. */
-function dropIdle({ workers }: JobsState, names: readonly string[]): string[] {
+/** Removes incarnations without open runs and returns the others. */
+function dropIdleIncarnations(
+  { workers }: JobsState,
+  names: readonly string[],
+): string[] {
   return names.filter(name => {
     const isBusy = (workers.get(name)?.runs.size ?? 0) > 0;
     return isBusy || !workers.delete(name);
   });
 }
 
-/** Returns the open runs of all incarnations of a worker but this one. */
+/** Returns the open runs of all other incarnations of the same worker. */
 export function runsOfOthers(state: JobsState, incarnation: string): Run[] {
-  return incarnationsBeside(state, incarnation).flatMap(other => [
+  return otherIncarnations(state, incarnation).flatMap(other => [
     ...(state.workers.get(other)?.runs.values() ?? []),
   ]);
 }
 
-function incarnationsBeside(state: JobsState, incarnation: string): string[] {
+function otherIncarnations(state: JobsState, incarnation: string): string[] {
   const known = state.incarnations.get(workerOf(incarnation)) ?? [];
   return known.filter(other => other !== incarnation);
 }
@@ -164,7 +169,7 @@
   );
 }
 
-/** Returns the load of a worker on which nothing runs. */
+/** Returns the load of a worker without runs. */
 export function emptyRuns(): WorkerRuns {
   return {
     runs: new Map(),
@@ -197,7 +202,7 @@
     number,
     worker,
     openedAt: state.now,
-    opened: state.journalTime.present,
+    startMoment: state.journalTime.currentMoment,
     progress: undefined,
   };
   task.runs.push(run);
@@ -209,7 +214,7 @@
   return run;
 }
 
-/** Notes that an open run is at another incarnation of its worker. */
+/** Moves an open run to another incarnation of its worker. */
 export function moveRun(state: JobsState, run: Run, worker: string): void {
   removeFromWorker(state, run);
   run.worker = worker;
@@ -225,7 +230,7 @@
   addLoad(load, task.step, 1);
 }
 
-/** Forgets jobs that have been over since before `since` and have nothing running. */
+/** Removes jobs that finished before `since` and have no open runs. */
 export function forgetOver(
   state: JobsState,
   now: Instant,
@@ -235,8 +240,8 @@
     if (!isOver(job)) {
       continue;
     }
-    job.overAt ??= now;
-    if (job.overAt < since && !hasOpenRuns(job)) {
+    job.finishedAt ??= now;
+    if (job.finishedAt < since && !hasOpenRuns(job)) {
       state.jobs.delete(job.spec.id);
     }
   }
@@ -254,7 +259,7 @@
   );
 }
 
-/** Adds what a task of a step takes to a worker's load, or takes it off again. */
+/** Adds the resources of one task of a step to a worker's load, or subtracts them. */
 export function addLoad(load: WorkerRuns, { spec }: Step, sign: 1 | -1): void {
   if (spec.filler) {
     load.fillerCpuMilli += sign * spec.size.cpuMilli;
@@ -268,7 +273,7 @@
   load.accelerators += sign * spec.size.accelerators;
 }
 
-/** Takes an open run of a task away again. */
+/** Removes an open run of a task. */
 export function closeRun(state: JobsState, run: Run): void {
   const { task } = run;
   task.runs.splice(task.runs.indexOf(run), 1);
--- a/packages/domain/src/jobs/journal-time.test.ts
+++ b/packages/domain/src/jobs/journal-time.test.ts
@@ -6,75 +6,78 @@
 test('what leaders say that they have led is added up', () => {
   const time = new JournalTime();
   time.noteClaim(1);
-  time.noteLed(1, 1_000);
-  time.noteLed(1, 2_500);
+  time.noteLeadTime(1, 1_000);
+  time.noteLeadTime(1, 2_500);
   time.noteClaim(2);
-  assert.equal(time.ledUntil, 2_500);
-  time.noteLed(2, 400);
+  assert.equal(time.previousLeaderUntil, 2_500);
+  time.noteLeadTime(2, 400);
   assert.equal(time.now, 2_900);
 });
 
 test('a record of an earlier leader, one read again and one without a time count nothing', () => {
   const time = new JournalTime();
   time.noteClaim(2);
-  time.noteLed(2, 1_000);
-  time.noteLed(1, 9_000);
-  time.noteLed(2, 1_000);
-  time.noteLed(2, 500);
-  time.noteLed(2, undefined);
+  time.noteLeadTime(2, 1_000);
+  time.noteLeadTime(1, 9_000);
+  time.noteLeadTime(2, 1_000);
+  time.noteLeadTime(2, 500);
+  time.noteLeadTime(2, undefined);
   assert.equal(time.now, 1_000);
 });
 
 test('a leader whose claim is not in the log counts from its first word on', () => {
   const time = new JournalTime();
-  time.noteLed(7, 60_000);
+  time.noteLeadTime(7, 60_000);
   assert.equal(time.now, 0);
-  time.noteLed(7, 61_000);
+  time.noteLeadTime(7, 61_000);
   assert.equal(time.now, 1_000);
 });
 
 test('a moment is told by the next word of a leader, and not before', () => {
   const time = new JournalTime();
   time.noteClaim(1);
-  time.noteLed(1, 1_000);
-  const { present } = time;
-  assert.equal(present.at, Infinity);
+  time.noteLeadTime(1, 1_000);
+  const { currentMoment: present } = time;
+  assert.equal(present.nextRecordSlow, Infinity);
   // The log was away for eight seconds.
-  time.noteLed(1, 9_000);
-  assert.equal(present.at, 9_000);
+  time.noteLeadTime(1, 9_000);
+  assert.equal(present.nextRecordSlow, 9_000);
 });
 
 test('how long ago a moment was is known to the bounds of the silences since', () => {
   const time = new JournalTime();
   time.noteClaim(1);
-  time.noteLed(1, 0);
-  time.noteLed(1, 1_000);
-  const { present } = time;
-  time.noteLed(1, 1_400);
-  time.noteLed(1, 3_000);
+  time.noteLeadTime(1, 0);
+  time.noteLeadTime(1, 1_000);
+  const { currentMoment: present } = time;
+  time.noteLeadTime(1, 1_400);
+  time.noteLeadTime(1, 3_000);
   time.noteClaim(2);
-  assert.deepEqual(time.before(present), { from: 1_600, to: Infinity });
-  time.noteLed(2, 0, { from: 1_200, to: 2_000 });
-  assert.deepEqual(time.before(present), { from: 2_800, to: 4_000 });
-  time.noteLed(2, 5_000, { from: 1_200, to: 2_000 });
-  assert.deepEqual(time.before(present), { from: 2_800, to: 4_000 });
+  assert.deepEqual(time.spanBeforeLeader(present), {
+    from: 1_600,
+    to: Infinity,
+  });
+  time.noteLeadTime(2, 0, { from: 1_200, to: 2_000 });
+  assert.deepEqual(time.spanBeforeLeader(present), { from: 2_800, to: 4_000 });
+  time.noteLeadTime(2, 5_000, { from: 1_200, to: 2_000 });
+  assert.deepEqual(time.spanBeforeLeader(present), { from: 2_800, to: 4_000 });
   time.noteClaim(3);
-  time.noteLed(3, 0, { from: 100, to: 300 });
-  assert.deepEqual(time.before(present), { from: 7_900, to: 9_300 });
+  time.noteLeadTime(3, 0, { from: 100, to: 300 });
+  assert.deepEqual(time.spanBeforeLeader(present), { from: 7_900, to: 9_300 });
 });
 
 test('beyond a silence of which nothing is told a moment may be any time ago', () => {
   const time = new JournalTime();
   time.noteClaim(1);
-  time.noteLed(1, 1_000);
-  const { present: early } = time;
-  time.noteLed(1, 1_400);
+  time.noteLeadTime(1, 1_000);
+  const { currentMoment: early } = time;
+  time.noteLeadTime(1, 1_400);
   time.noteClaim(2);
-  time.noteLed(2, 0);
-  const { present: late } = time;
-  time.noteLed(2, 500);
+  time.noteLeadTime(2, 0);
+  const { currentMoment: late } = time;
+  time.noteLeadTime(2, 500);
   time.noteClaim(3);
-  time.noteLed(3, 0, { from: 100, to: 300 });
-  assert.deepEqual(time.before(early), { from: 600, to: Infinity });
-  assert.deepEqual(time.before(late), { from: 100, to: 800 });
+  time.noteLeadTime(3, 0, { from: 100, to: 300 });
+  assert.deepEqual(time.spanBeforeLeader(early), { from: 600, to: Infinity });
+  assert.deepEqual(time.spanBeforeLeader(late), { from: 100, to: 800 });
 });
--- a/packages/domain/src/jobs/journal-time.ts
+++ b/packages/domain/src/jobs/journal-time.ts
@@ -1,102 +1,115 @@
 /**
- * Time as the journal tells it: how long leaders say that they have led, and how long the log was silent
- * between them, added up. It is the same for all readers however late they read, and does not follow clocks
- * that jump. Of the time between two leaders only bounds are known: one clock passes at most as fast as true
- * time, the other one at least as fast.
+ * Time as recorded in the journal: the sum of the times that leaders report to have led and of the silences of
+ * the log between them. It is the same for all readers, however late they read, and unaffected by jumps of
+ * clocks. The time between two leaders is known only within bounds, so two clocks are kept: the slow one runs
+ * at most as fast as true time, the fast one at least as fast.
  */
 import { UNKNOWN_SPAN, type Millis, type SpanBounds } from '../core/time.js';
 
-/** A moment between two records of how long a leader has led. */
+/** A moment between two consecutive records of how long a leader has led. */
 export interface JournalMoment {
-  /** Time of the second one by the slow clock, infinite before that is read. */
-  at: Millis;
-  /** Time of the first one by the fast clock; `-Infinity` where that is not known. */
-  readonly after: Millis;
+  /** Slow clock at the later record; infinite until that record is read. */
+  nextRecordSlow: Millis;
+  /** Fast clock at the earlier record; `-Infinity` if unknown. */
+  readonly previousRecordFast: Millis;
 }
 
 /** Counts journal time. */
 export class JournalTime {
-  /** Time of the newest record, at the least and at the most. */
-  private slow: Millis = 0;
-  private fast: Millis = 0;
-  private moment: JournalMoment = { at: Infinity, after: 0 };
+  /** Lower and upper bound of the time of the newest record. */
+  private slowNow: Millis = 0;
+  private fastNow: Millis = 0;
+  private pendingMoment: JournalMoment = {
+    nextRecordSlow: Infinity,
+    previousRecordFast: 0,
+  };
   private epoch = 0;
-  private ledFor: Millis = 0;
-  private heardUntil: Millis = 0;
-  /** When the newest leader began, by both clocks; undefined until it has told how long it has led. */
-  private began: { readonly slow: Millis; readonly fast: Millis } | undefined;
-  /** Nothing is known of how long ago moments were that are earlier than this by the fast clock. */
-  private knownSince: Millis = 0;
+  private ledForMs: Millis = 0;
+  private previousUntil: Millis = 0;
+  /** Start of the newest leader by both clocks; undefined until it has reported how long it has led. */
+  private leaderStart:
+    { readonly slow: Millis; readonly fast: Millis } | undefined;
+  /** Fast clock before which moments have no upper bound on their age. */
+  private boundedSince: Millis = 0;
 
   /** Journal time of the newest record. */
   get now(): Millis {
-    return this.slow;
+    return this.slowNow;
   }
 
   /**
-   * The present moment, never told too early: leaders that the log does not answer for a while write
-   * nothing, and say later how long they have led.
+   * The present moment. The next record completes it: a leader that cannot reach the log writes nothing and
+   * reports the time it led later, so the time of the newest record would be too early.
    */
-  get present(): JournalMoment {
-    return this.moment;
+  get currentMoment(): JournalMoment {
+    return this.pendingMoment;
   }
 
-  /** Journal time at which the last leader before the newest one was last heard. */
-  get ledUntil(): Millis {
-    return this.heardUntil;
+  /** Journal time of the last record of the leader before the newest one. */
+  get previousLeaderUntil(): Millis {
+    return this.previousUntil;
   }
 
-  /** How long an earlier moment was before the newest leader began. */
-  before({ at, after }: JournalMoment): SpanBounds {
-    const { slow, fast } = this.began ?? {
-      slow: this.heardUntil,
+  /** Returns the time between an earlier moment and the start of the newest leader. */
+  spanBeforeLeader({
+    nextRecordSlow,
+    previousRecordFast,
+  }: JournalMoment): SpanBounds {
+    const { slow, fast } = this.leaderStart ?? {
+      slow: this.previousUntil,
       fast: Infinity,
     };
-    const to = after < this.knownSince ? Infinity : fast - after;
-    return { from: Math.max(0, slow - at), to };
+    const to =
+      previousRecordFast < this.boundedSince
+        ? Infinity
+        : fast - previousRecordFast;
+    return { from: Math.max(0, slow - nextRecordSlow), to };
   }
 
-  /** Another host leads. */
+  /** Notes that another host leads. */
   noteClaim(epoch: number): void {
     this.epoch = epoch;
-    this.ledFor = 0;
-    this.heardUntil = this.slow;
-    this.began = undefined;
+    this.ledForMs = 0;
+    this.previousUntil = this.slowNow;
+    this.leaderStart = undefined;
   }
 
-  /** A leader has led for `ledFor`, undefined where its version does not say, and began after a silence. */
-  noteLed(
+  /** Notes how long a leader has led and the silence before it; the time is undefined if not reported. */
+  noteLeadTime(
     epoch: number,
-    ledFor: Millis | undefined,
+    ledForMs: Millis | undefined,
     silence = UNKNOWN_SPAN,
   ): void {
-    if (ledFor === undefined || epoch < this.epoch) {
+    if (ledForMs === undefined || epoch < this.epoch) {
       return;
     }
     if (epoch > this.epoch) {
-      // Its claim is not in the log any more: what it led before this record is not counted.
+      // The leader's claim is no longer in the log: the time it led before this record is not counted.
       this.noteClaim(epoch);
-      this.ledFor = ledFor;
+      this.ledForMs = ledForMs;
     }
-    if (this.began === undefined) {
+    if (this.leaderStart === undefined) {
       this.noteSilence(silence);
     }
-    const more = Math.max(0, ledFor - this.ledFor);
-    this.slow += more;
-    this.fast += more;
-    this.ledFor = Math.max(ledFor, this.ledFor);
-    this.moment.at = this.slow;
-    this.moment = { at: Infinity, after: this.fast };
+    const elapsedMs = Math.max(0, ledForMs - this.ledForMs);
+    this.slowNow += elapsedMs;
+    this.fastNow += elapsedMs;
+    this.ledForMs = Math.max(ledForMs, this.ledForMs);
+    this.pendingMoment.nextRecordSlow = this.slowNow;
+    this.pendingMoment = {
+      nextRecordSlow: Infinity,
+      previousRecordFast: this.fastNow,
+    };
   }
 
   private noteSilence({ from, to }: SpanBounds): void {
-    this.slow += from;
+    this.slowNow += from;
     if (to === Infinity) {
-      this.fast += 1;
-      this.knownSince = this.fast;
+      this.fastNow += 1;
+      this.boundedSince = this.fastNow;
     } else {
-      this.fast += to;
+      this.fastNow += to;
     }
-    this.began = { slow: this.slow, fast: this.fast };
+    this.leaderStart = { slow: this.slowNow, fast: this.fastNow };
   }
 }
--- a/packages/domain/src/jobs/learnt.test.ts
+++ b/packages/domain/src/jobs/learnt.test.ts
@@ -27,7 +27,7 @@
 }
 
 /** Lets a model see that the filler presses hard. */
-function teach(state: JobsState, model: Interference): void {
+function learnPressure(state: JobsState, model: Interference): void {
   const load = workerRuns(state, 'w');
   for (let report = 1; report <= 20; report += 1) {
     for (const { task, progress } of load.runs.values()) {
@@ -50,7 +50,7 @@
 test('a new leader begins with the pressures that the last one has learnt', () => {
   const state = busyState();
   const model = new Interference();
-  teach(state, model);
+  learnPressure(state, model);
   const times = createRunTimes();
   times.learn(taskOf(state, 'f', 0, 0).step, 1_700);
   const learnt = { runTimes: times.learnt(), ...model.learnt() };
--- a/packages/domain/src/jobs/learnt.ts
+++ b/packages/domain/src/jobs/learnt.ts
@@ -1,63 +1,65 @@
 /**
- * What a leader has learnt of run times and of disturbance, as the next one begins with. It is recorded in
- * the journal: without it each change of leaders begins anew to try which fillers disturb what serves.
- * It serves callers 0.016 more of what their work is worth (the mean of twelve simulated days on 45 workers,
- * with and without), and 0.03 to 0.06 on days on which every host is restarted in turn.
+ * Estimates of run times and interference that a leader has learned and the next one starts with. They are
+ * recorded in the journal, since otherwise every new leader would have to find out again which fillers disturb
+ * serving tasks. They raise the share of the work's value that callers get by 0.016 (mean of twelve simulated
+ * days on 45 workers, with and without), and by 0.03 to 0.06 on days on which all hosts are restarted in turn.
  */
 import type { Instant } from '../core/time.js';
 
-/** A quantity by key, with its variance. */
-export type LearntEstimate = readonly [
+/** An estimate and its variance, by key. */
+export type EstimateRow = readonly [
   key: string,
   mean: number,
   variance: number,
 ];
 
-/** What a leader has learnt. */
+/** The estimates that a leader has learned. */
 export interface Learnt {
   /** Average run time in milliseconds by queue and image. */
   readonly runTimes: readonly (readonly [key: string, average: number])[];
-  /** Pressure by pair of images. */
-  readonly pressures: readonly LearntEstimate[];
+  /** Interference pressure by pair of images. */
+  readonly pressures: readonly EstimateRow[];
   /** Low tail in milliseconds by image. */
   readonly lowTails: readonly (readonly [image: string, low: number])[];
 }
 
-/** What was learnt, and when this host read of it. */
+/** Learned estimates and the time at which this host read them. */
 export interface LearntAt {
   readonly learnt: Learnt;
   /** Monotonic. */
   readonly readAt: Instant;
 }
 
-/** Most entries of each kind that are recorded: some 60 KB, a quarter of what a record may hold. */
+/** Maximum number of entries of each kind in a record: about 60 KB, a quarter of the maximum record size. */
 export const MAX_LEARNT = 1_000;
 
-/** Digits kept after the point: far below what the estimates are worth. */
-const DIGITS = 3;
+/** Decimal places that are kept: far finer than the precision of the estimates. */
+const DECIMAL_PLACES = 3;
 
-/** Rounds a figure for its record. */
+/** Rounds a value for the record. */
 export function roundLearnt(value: number): number {
-  return Number(value.toFixed(DIGITS));
+  return Number(value.toFixed(DECIMAL_PLACES));
 }
 
-/** Returns what of a record can be used: an earlier version may have recorded figures that are no numbers. */
-export function readLearnt(found: Partial<Learnt> | null | undefined): Learnt {
+/** Returns the valid entries of a record: an earlier version may have recorded values that are not numbers. */
+export function parseEstimates(
+  found: Partial<Learnt> | null | undefined,
+): Learnt {
   const { runTimes, pressures, lowTails } = found ?? {};
   return {
-    runTimes: soundRows(runTimes),
-    pressures: soundRows(pressures).filter(([, , variance]) => variance >= 0),
-    lowTails: soundRows(lowTails),
+    runTimes: validRows(runTimes),
+    pressures: validRows(pressures).filter(([, , variance]) => variance >= 0),
+    lowTails: validRows(lowTails),
   };
 }
 
-function soundRows<T extends readonly [string, ...number[]]>(
+function validRows<T extends readonly [string, ...number[]]>(
   rows: readonly T[] | undefined,
 ): readonly T[] {
-  return Array.isArray(rows) ? (rows as readonly T[]).filter(isSound) : [];
+  return Array.isArray(rows) ? (rows as readonly T[]).filter(isValidRow) : [];
 }
 
-function isSound(row: unknown): boolean {
+function isValidRow(row: unknown): boolean {
   return (
     Array.isArray(row) &&
     typeof row[0] === 'string' &&
--- a/packages/domain/src/jobs/loss.ts
+++ b/packages/domain/src/jobs/loss.ts
@@ -1,45 +1,51 @@
-/** The loss of workers under runs of a task, and how far each speaks against it. */
+/** Losses of workers while they ran a task, and how far each loss counts against the task. */
 import type { Instant, SpanBounds } from '../core/time.js';
 
 /** All values of `Suspicion`. */
 export const SUSPICIONS = [
-  /** Nothing of another job could have been the reason. */
+  /** No run of another job could have caused the loss. */
   'sole',
-  /** Runs of other jobs could have been it as well. */
+  /** Runs of other jobs could have caused the loss as well. */
   'shared',
-  /** Another reason is likely: workers are being lost for none, this one may be out of reach or have left. */
+  /**
+   * Another cause is likely: other workers are being lost without a suspect, or this worker may only be
+   * unreachable or have left.
+   */
   'doubtful',
-  /** It had been at work for long. */
+  /** The run had been running for so long that it is not the cause. */
   'cleared',
-  /** So had all that ran there, and the worker has crashed. */
+  /** All runs on the worker had been running for long, and the worker has crashed. */
   'unexplained',
 ] as const;
 
-/** How far the run of a task may be the reason why its worker was lost. */
+/** How likely it is that a run caused the loss of its worker. */
 export type Suspicion = (typeof SUSPICIONS)[number];
 
-/** Suspicions that speak against a task. */
-export type Charge = Extract<Suspicion, 'sole' | 'shared' | 'doubtful'>;
+/** Suspicions that count against a task. */
+export type CountedSuspicion = Extract<
+  Suspicion,
+  'sole' | 'shared' | 'doubtful'
+>;
 
-/** The loss of a worker under a task. */
+/** The loss of a worker while it ran a task. */
 export interface Loss {
   readonly worker: string;
-  charge: Charge;
-  /** How long the run had been at work. */
+  suspicion: CountedSuspicion;
+  /** How long the run had been running. */
   readonly age: SpanBounds;
-  /** Checkpoint from which the run resumed; empty where it began anew. */
+  /** Checkpoint from which the run resumed; empty if it started from scratch. */
   readonly resumedFrom: string;
 }
 
-/** What a task has cost so far. */
-export interface Blame {
-  /** Losses since it came under suspicion. */
+/** Workers lost while they ran a task. */
+export interface LossHistory {
+  /** Losses since the task came under suspicion. */
   losses: Loss[];
-  /** Monotonic time at which this host learnt of the last of them. */
-  since: Instant;
+  /** Monotonic time at which this host read of the last of them. */
+  lastLossAt: Instant;
 }
 
-/** Returns the blame of a task under which no worker was lost. */
-export function noBlame(): Blame {
-  return { losses: [], since: -Infinity };
+/** Returns the history of a task without losses. */
+export function emptyLossHistory(): LossHistory {
+  return { losses: [], lastLossAt: -Infinity };
 }
--- a/packages/domain/src/jobs/quarantine.ts
+++ b/packages/domain/src/jobs/quarantine.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps tasks apart that are suspected to bring their workers down. Such a task runs where nothing else
- * has just begun, and nothing begins beside it until it has settled: the next loss takes few others along
- * and tells which task it was. Where no worker is free of others, one is kept for it until it is.
+ * Isolates tasks that are suspected of crashing their workers. Such a task starts on a worker without other
+ * recently started runs, and nothing starts beside it until it has settled: the next loss then affects few
+ * other runs and shows which task caused it. If no such worker is free, one is reserved until it is.
  */
 import type { Instant, Millis } from '../core/time.js';
 import { blameOf, isSuspect } from './blame.js';
@@ -9,7 +9,7 @@
 import type { JobsState } from './jobs-state.js';
 import { isSettled } from './suspicion.js';
 
-/** What a quarantine goes by. */
+/** Input of a quarantine. */
 export interface QuarantineInput {
   readonly state: JobsState;
   readonly now: Instant;
@@ -18,28 +18,28 @@
 }
 
 /**
- * Time after which a suspected task no longer waits for a worker of its own: users allow 3 s in which
- * nothing of a job runs while there is room for it.
+ * Time after which a suspected task no longer waits for a worker of its own: users allow 3 s in which no task
+ * of a job runs although there is capacity for it.
  */
-const PATIENCE_MS: Millis = 2_000;
+const MAX_ISOLATION_WAIT_MS: Millis = 2_000;
 
-/** Part of the workers that may be kept free for suspected tasks. */
-const KEPT_SHARE = 1 / 8;
-/** Most workers that are kept free: each is looked for among all. */
-const MOST_KEPT = 16;
+/** Maximum share of the workers that is reserved for suspected tasks. */
+const MAX_RESERVED_SHARE = 1 / 8;
+/** Maximum number of reserved workers: the search for each one covers the whole fleet. */
+const MAX_RESERVED_WORKERS = 16;
 
-/** Where suspected tasks may run in one round, and where others may not. */
+/** Decides in one round where suspected tasks may run, and where other tasks may not. */
 export class Quarantine {
-  /** Suspected tasks that wait for a worker, the longest first. */
+  /** Suspected tasks that wait for a worker, the one that has waited longest first. */
   readonly waiting: readonly Task[];
-  /** Workers on which a suspected task has not settled, with its step. */
-  private readonly occupied = new Map<string, Step>();
-  /** Workers that are kept for suspected tasks. */
-  private readonly kept = new Set<string>();
-  /** Number of runs that have not settled, by worker, as far as it was asked for. */
-  private readonly unsettled = new Map<string, number>();
+  /** Steps of suspected tasks that have not settled, by worker. */
+  private readonly isolatedSteps = new Map<string, Step>();
+  /** Workers that are reserved for suspected tasks. */
+  private readonly reserved = new Set<string>();
+  /** Cached numbers of runs that have not settled, by worker. */
+  private readonly unsettledCounts = new Map<string, number>();
 
-  /** Finds suspected tasks and where they run. */
+  /** Finds suspected tasks and the workers on which they run. */
   constructor(private readonly input: QuarantineInput) {
     const { suspects } = input.state;
     const waiting: Task[] = [];
@@ -49,55 +49,58 @@
       } else if (isSuspect(task)) {
         waiting.push(...(task.status === 'waiting' ? [task] : []));
         for (const run of task.runs.filter(open => !this.isSettled(open))) {
-          this.occupied.set(run.worker, task.step);
+          this.isolatedSteps.set(run.worker, task.step);
         }
       }
     }
-    this.waiting = waiting.sort((a, b) => a.blame.since - b.blame.since);
+    this.waiting = waiting.sort(
+      (a, b) => a.lossHistory.lastLossAt - b.lossHistory.lastLossAt,
+    );
   }
 
-  /** Whether a worker may be given a task. */
+  /** Tells whether a task may start on a worker. */
   admits(worker: string, task: Task): boolean {
-    const occupant = this.occupied.get(worker);
-    if (occupant !== undefined) {
+    const isolated = this.isolatedSteps.get(worker);
+    if (isolated !== undefined) {
       // Members of a gang can't wait for each other.
-      return occupant.spec.gang && occupant === task.step;
+      return isolated.spec.gang && isolated === task.step;
     }
     return isSuspect(task)
-      ? this.isPatienceOver(task) || this.unsettledAt(worker) === 0
-      : !this.kept.has(worker);
+      ? this.isPatienceOver(task) || this.countUnsettled(worker) === 0
+      : !this.reserved.has(worker);
   }
 
   /** Notes that a task has started on a worker in this round. */
   noteStart(task: Task, worker: string): void {
     if (isSuspect(task)) {
-      this.occupied.set(worker, task.step);
+      this.isolatedSteps.set(worker, task.step);
     }
-    this.unsettled.delete(worker);
+    this.unsettledCounts.delete(worker);
   }
 
   /**
-   * Keeps a worker free for each suspected task that waits, of the `suited` ones that on which the fewest
-   * runs have not settled; no more than a share of `fleetSize`.
+   * Reserves a worker for each suspected task that waits: the `suited` worker with the fewest runs that have
+   * not settled. Reserves no more than a share of `fleetSize`.
    */
   keep(fleetSize: number, suited: (task: Task) => Iterable<string>): void {
-    const share = Math.max(1, Math.floor(fleetSize * KEPT_SHARE));
-    const most = Math.min(MOST_KEPT, share);
-    const left = this.waiting.filter(({ status }) => status === 'waiting');
-    for (const task of left.slice(0, most)) {
-      const worker = this.calmest(suited(task));
+    const share = Math.max(1, Math.floor(fleetSize * MAX_RESERVED_SHARE));
+    const limit = Math.min(MAX_RESERVED_WORKERS, share);
+    const waiting = this.waiting.filter(({ status }) => status === 'waiting');
+    for (const task of waiting.slice(0, limit)) {
+      const worker = this.findLeastUnsettled(suited(task));
       if (worker !== undefined) {
-        this.kept.add(worker);
+        this.reserved.add(worker);
       }
     }
   }
 
-  private calmest(workers: Iterable<string>): string | undefined {
+  private findLeastUnsettled(workers: Iterable<string>): string | undefined {
     let best: string | undefined;
     let fewest = Infinity;
     for (const worker of workers) {
-      const isFree = !this.kept.has(worker) && !this.occupied.has(worker);
-      const unsettled = this.unsettledAt(worker);
+      const isFree =
+        !this.reserved.has(worker) && !this.isolatedSteps.has(worker);
+      const unsettled = this.countUnsettled(worker);
       if (isFree && unsettled < fewest) {
         best = worker;
         fewest = unsettled;
@@ -106,22 +109,22 @@
     return best;
   }
 
-  /** Whether a task no longer waits for a worker of its own. */
-  isPatienceOver({ blame }: Task): boolean {
-    return this.input.now - blame.since >= PATIENCE_MS;
+  /** Tells whether a task no longer waits for a worker of its own. */
+  isPatienceOver({ lossHistory }: Task): boolean {
+    return this.input.now - lossHistory.lastLossAt >= MAX_ISOLATION_WAIT_MS;
   }
 
-  private unsettledAt(worker: string): number {
-    const known = this.unsettled.get(worker);
-    if (known !== undefined) {
-      return known;
+  private countUnsettled(worker: string): number {
+    const cached = this.unsettledCounts.get(worker);
+    if (cached !== undefined) {
+      return cached;
     }
     const { runs } = this.input.state.workers.get(worker) ?? {};
-    const found = [...(runs?.values() ?? [])].filter(
+    const count = [...(runs?.values() ?? [])].filter(
       run => !this.isSettled(run),
     ).length;
-    this.unsettled.set(worker, found);
-    return found;
+    this.unsettledCounts.set(worker, count);
+    return count;
   }
 
   private isSettled(run: Task['runs'][number]): boolean {
--- a/packages/domain/src/jobs/record-rows.ts
+++ b/packages/domain/src/jobs/record-rows.ts
@@ -1,7 +1,7 @@
-/** Rows in which the records of the streams stand in the log, and what other versions of them mean. */
+/** Encoding of the records of both streams as rows in the log, compatible with other versions. */
 import type { Instant, Millis } from '../core/time.js';
 import { incarnationOf, isStart, startOf, workerOf } from './incarnation.js';
-import { readLearnt, type Learnt } from './learnt.js';
+import { parseEstimates, type Learnt } from './learnt.js';
 import { SUSPICIONS, type Suspicion } from './loss.js';
 import type {
   HandedLeases,
@@ -10,7 +10,7 @@
   RunEnd,
 } from './records.js';
 import type { JobImage } from './restate.js';
-import { spanFrom, spanRow, type SpanRow } from './span-rows.js';
+import { parseSpan, spanRow, type SpanRow } from './span-rows.js';
 import type { JobSpec } from './spec.js';
 import { parseTaskName, taskName } from './task-ref.js';
 
@@ -23,14 +23,14 @@
 }
 
 /**
- * Decodes a record of the inbox that `encodeRecord` made; undefined for any other, as a later version may
- * write: one of these must not end a host that reads it.
+ * Decodes a record of the inbox made by `encodeRecord`. Returns undefined for any other bytes: a record of a
+ * later version must not crash the host that reads it.
  */
 export function decodeInbox(bytes: Uint8Array): InboxRecord | undefined {
   const row = parseRow(bytes) as InboxRow | undefined;
   switch (row?.[0]) {
     case 'submit':
-      return isJob(row[1])
+      return isJobSpec(row[1])
         ? { kind: 'submit', job: row[1], atWall: row[2] }
         : undefined;
     case 'cancel':
@@ -54,7 +54,7 @@
   | ['cancel', string]
   | ['volunteer', string, number, (string | null)?];
 
-/** Returns the row of a record; undefined for what is not one. */
+/** Parses the row of a record; returns undefined if the bytes are not a row. */
 export function parseRow(bytes: Uint8Array): unknown {
   try {
     const row: unknown = JSON.parse(decoder.decode(bytes));
@@ -64,8 +64,8 @@
   }
 }
 
-/** Whether what stands for a job has the parts that its fold reads. */
-function isJob(job: Partial<JobSpec> | null | undefined): job is JobSpec {
+/** Tells whether a value has the fields of a job that are read when the record is applied. */
+function isJobSpec(job: Partial<JobSpec> | null | undefined): job is JobSpec {
   return (
     typeof job?.id === 'string' &&
     Array.isArray(job.steps) &&
@@ -73,7 +73,7 @@
   );
 }
 
-/** Rows of the journal; runs are most of them, so that these have short tags. */
+/** Rows of the journal. Most of them are about runs and therefore have short tags. */
 type JournalRow =
   | ['claim', number, string, number]
   | [
@@ -94,17 +94,17 @@
   | ['reached', string]
   | ['b', string]
   | ['s' | 'm', unknown, number, unknown, unknown?]
-  | ['e', unknown, number, RunEnd, string?, LapseCause?, unknown?, unknown?];
+  | ['e', unknown, number, RunEnd, string?, ExpiryCause?, unknown?, unknown?];
 
 /**
- * What a row says of a lease that has lapsed: how far the run may be to blame for the loss of its worker,
- * or that the worker is there. An earlier version, which does not say, reads all of them as lapsed.
+ * Why a lease has expired: the suspicion that the run caused the loss of its worker, or that the worker is
+ * still present. An earlier version has no such column and reads all of these rows as expired leases.
  */
-type LapseCause = Suspicion | typeof WORKER_THERE;
+type ExpiryCause = Suspicion | typeof WORKER_PRESENT;
 
-const WORKER_THERE = 'there';
+const WORKER_PRESENT = 'there';
 
-/** Decodes a record of the journal that `encodeRecord` made; undefined for any other. */
+/** Decodes a record of the journal made by `encodeRecord`; returns undefined for any other bytes. */
 export function decodeJournal(bytes: Uint8Array): JournalRecord | undefined {
   const row = parseRow(bytes) as JournalRow | undefined;
   switch (row?.[0]) {
@@ -113,19 +113,19 @@
       return { kind: 'claim', epoch, host, nonce };
     }
     case 'heartbeat': {
-      const [, epoch, host, nonce, , named, address = '', ...more] = row;
+      const [, epoch, host, nonce, , hosts, address = '', ...more] = row;
       const [handed, ledForMs, silence = []] = more;
-      const standbys = named ?? undefined;
+      const standbys = hosts ?? undefined;
       return {
         kind: 'heartbeat',
         epoch,
         host,
         nonce,
-        handed: handedOf(handed),
+        handed: parseHandover(handed),
         standbys,
         address,
         ledForMs: typeof ledForMs === 'number' ? ledForMs : undefined,
-        silence: spanFrom(...silence),
+        silence: parseSpan(...silence),
       };
     }
     case 'restate':
@@ -136,7 +136,7 @@
         heldMs: typeof row[1] === 'number' ? row[1] : undefined,
       };
     case 'learnt':
-      return { kind: 'learnt', learnt: readLearnt(row[1]) };
+      return { kind: 'learnt', learnt: parseEstimates(row[1]) };
     case 'reached':
       return { kind: 'reached', worker: row[1] };
     case 'b':
@@ -148,7 +148,7 @@
         return undefined;
       }
       const task = parseTaskName(name);
-      // Where an earlier version led, it is not told which incarnation was meant.
+      // A leader of an earlier version does not record the incarnation.
       const worker = incarnationOf(
         id,
         isStart(startedAt) ? startedAt : undefined,
@@ -158,13 +158,13 @@
     case 'e': {
       const [, name, run, how, checkpoint = '', cause, from, to] = row;
       const task = parseTaskName(name);
-      if (how !== 'lapsed' || cause === WORKER_THERE) {
+      if (how !== 'lapsed' || cause === WORKER_PRESENT) {
         return { kind: 'end', task, run, how, checkpoint };
       }
-      // Where an earlier version led, or a later one says more, the worker may have been lost.
+      // With a leader of an earlier version, or an unknown cause of a later one, the worker may have been lost.
       const suspicion = SUSPICIONS.find(known => known === cause) ?? 'doubtful';
       const lost = { task, run, checkpoint, suspicion };
-      return { kind: 'lost', ...lost, age: spanFrom(from, to) };
+      return { kind: 'lost', ...lost, age: parseSpan(from, to) };
     }
     case undefined:
     // A kind that this version does not know.
@@ -173,19 +173,19 @@
   }
 }
 
-/** Where hosts of an earlier version read the ages of claims: without any they wait the longest. */
-const OLD_AGES: readonly never[] = [];
+/** Column in which hosts of an earlier version read the ages of claims; if empty, they wait the longest. */
+const LEGACY_CLAIM_AGES: readonly never[] = [];
 
-/** Returns what a leader handed on; undefined for one that said nothing that can be read. */
-function handedOf(
+/** Returns the lease times that a leader handed over; undefined if there are none or they are invalid. */
+function parseHandover(
   handed: Partial<HandedLeases> | null | undefined,
 ): HandedLeases | undefined {
   const { epochs, workers } = handed ?? {};
-  return isRows(epochs) && isRows(workers) ? { epochs, workers } : undefined;
+  return isPairs(epochs) && isPairs(workers) ? { epochs, workers } : undefined;
 }
 
-/** Whether these are pairs of a key and a time that is left. */
-function isRows<T>(rows: readonly T[] | undefined): rows is readonly T[] {
+/** Tells whether the rows are pairs of a key and a remaining time. */
+function isPairs<T>(rows: readonly T[] | undefined): rows is readonly T[] {
   return (
     Array.isArray(rows) &&
     rows.every(row => Array.isArray(row) && Number.isFinite(row[1]))
@@ -195,7 +195,7 @@
 function isImage(
   image: Partial<JobImage> | null | undefined,
 ): image is JobImage {
-  return isJob(image?.spec) && Array.isArray(image.occurrences);
+  return isJobSpec(image?.spec) && Array.isArray(image.occurrences);
 }
 
 function toRow(record: InboxRecord | JournalRecord): unknown[] {
@@ -213,14 +213,14 @@
     case 'heartbeat': {
       const { epoch, host, nonce, standbys, address } = record;
       const { handed, ledForMs, silence } = record;
-      const named = standbys ?? null;
+      const hosts = standbys ?? null;
       return [
         'heartbeat',
         epoch,
         host,
         nonce,
-        OLD_AGES,
-        named,
+        LEGACY_CLAIM_AGES,
+        hosts,
         address,
         handed,
         ledForMs,
@@ -238,14 +238,14 @@
     case 'begun':
       return ['b', record.job];
     case 'start':
-      return ['s', ...placeRow(record)];
+      return ['s', ...placementRow(record)];
     case 'moved':
-      return ['m', ...placeRow(record)];
+      return ['m', ...placementRow(record)];
     case 'end': {
       const { task, run, how, checkpoint } = record;
       const row = ['e', taskName(task), run, how];
       if (how === 'lapsed') {
-        return [...row, checkpoint, WORKER_THERE];
+        return [...row, checkpoint, WORKER_PRESENT];
       }
       return checkpoint === '' ? row : [...row, checkpoint];
     }
@@ -258,8 +258,8 @@
   }
 }
 
-/** Where a run is; an earlier version reads the worker's id alone. */
-function placeRow({
+/** Encodes the location of a run; an earlier version reads only the worker's id. */
+function placementRow({
   task,
   run,
   worker,
--- a/packages/domain/src/jobs/records.ts
+++ b/packages/domain/src/jobs/records.ts
@@ -1,8 +1,8 @@
 /**
- * Records of the two streams from which the state of jobs is folded.
+ * Records of the two streams from which the state of jobs is built.
  *
- * The inbox holds what callers asked for; any entry host appends to it. The journal holds the
- * leader's decisions; the log refuses it to any other host.
+ * The inbox holds the requests of callers, and any entry host may append to it. The journal holds the
+ * decisions of the leader, and the log rejects appends to it from any other host.
  */
 import type { Instant, Millis, SpanBounds } from '../core/time.js';
 import type { Learnt } from './learnt.js';
@@ -16,31 +16,31 @@
   | {
       readonly kind: 'submit';
       readonly job: JobSpec;
-      /** Wall-clock time at the host that accepted it. */
+      /** Wall-clock time on the host that accepted the job. */
       readonly atWall: Instant;
     }
   | { readonly kind: 'cancel'; readonly job: string }
-  /** A host with this many processors offers to stand by for the leader. */
+  /** A host with this many processors offers to be a standby of the leader. */
   | {
       readonly kind: 'volunteer';
       readonly host: string;
       readonly cores: number;
-      /** Where other hosts reach it; undefined where its version does not say. */
+      /** Address at which other hosts reach it; undefined if its version does not report one. */
       readonly address: string | undefined;
     };
 
-/** How a run ended; `void` means that it never began. */
+/** How a run ended; `void` means that it never started. */
 export type RunEnd =
   'done' | 'failed' | 'stopped' | 'lapsed' | 'broken' | 'alone' | 'void';
 
 /**
- * What a leader tells of the ends of leases, as time that is left when the record is written,
- * never less than there is. Leaders that are not named, but for later ones, have none that holds.
+ * Remaining times of leases as a leader reports them in its heartbeats: upper bounds at the time of writing.
+ * An earlier leader that is not listed holds no valid lease.
  */
 export interface HandedLeases {
-  /** Leaders by epoch; the writer's own are those that it may give until its next record. */
+  /** By epoch of the leader; the writer's own entry covers leases that it may grant before its next record. */
   readonly epochs: readonly (readonly [epoch: number, leftMs: number])[];
-  /** Ids of workers with open runs that do not answer the writer, which no longer extends their leases. */
+  /** By id of a worker with open runs that does not answer the writer, which no longer extends its leases. */
   readonly workers: readonly (readonly [worker: string, leftMs: number])[];
 }
 
@@ -50,47 +50,47 @@
       readonly kind: 'claim';
       readonly epoch: number;
       readonly host: string;
-      /** Tells two claims of one epoch apart. */
+      /** Distinguishes two claims of the same epoch. */
       readonly nonce: number;
     }
-  /** The leader of an epoch is there; says again what its claim said. */
+  /** The leader of an epoch is alive; repeats the fields of its claim. */
   | {
       readonly kind: 'heartbeat';
       readonly epoch: number;
       readonly host: string;
       readonly nonce: number;
-      /** Undefined where the leader may not know of all earlier ones. */
+      /** Undefined if the leader may not know the leases of all earlier leaders. */
       readonly handed: HandedLeases | undefined;
-      /** Hosts that are to read the journal and to stand by; undefined while all may. */
+      /** Hosts that read the journal as standbys; undefined while every host may. */
       readonly standbys: readonly string[] | undefined;
-      /** Where the leader takes records for the inbox. */
+      /** Address at which the leader accepts records for the inbox. */
       readonly address: string;
-      /** How long it has led; undefined where its version does not say. */
+      /** How long it has led; undefined if its version does not report this. */
       readonly ledForMs: Millis | undefined;
-      /** Time between the last leader's newest heartbeat and the moment from which it counts that. */
+      /** Time between the newest heartbeat of the previous leader and the start of `ledForMs`. */
       readonly silence: SpanBounds;
     }
   | { readonly kind: 'restate'; readonly image: JobImage }
   /** The leader asks to be replaced. */
   | {
       readonly kind: 'release';
-      /** Time by which all leases have ended that it has given or will give; undefined if it does not say. */
+      /** Time until every lease that it has granted or will grant has expired; undefined if not reported. */
       readonly heldMs: number | undefined;
     }
-  /** What the leader has learnt so far; the newest one counts. */
+  /** The estimates that the leader has learned so far; the newest record replaces earlier ones. */
   | { readonly kind: 'learnt'; readonly learnt: Learnt }
   /** The leader has reached the worker with this id and may extend its lease from now on. */
   | { readonly kind: 'reached'; readonly worker: string }
-  /** A worker is known to have begun a run of the job, the first one that is. */
+  /** A worker has started a run of the job, the first one that is confirmed. */
   | { readonly kind: 'begun'; readonly job: string }
   | {
       readonly kind: 'start';
       readonly task: TaskRef;
       readonly run: number;
-      /** Incarnation that it was meant for. */
+      /** Incarnation to which the start command was addressed. */
       readonly worker: string;
     }
-  /** An open run has begun at a later incarnation of its worker, as an order that comes late does. */
+  /** An open run has started at a later incarnation of its worker because its start command was delayed. */
   | {
       readonly kind: 'moved';
       readonly task: TaskRef;
@@ -102,16 +102,16 @@
       readonly task: TaskRef;
       readonly run: number;
       readonly how: RunEnd;
-      /** Newest checkpoint of the run; empty when there is none. */
+      /** Newest checkpoint of the run; empty if there is none. */
       readonly checkpoint: string;
     }
-  /** A run has ended with its worker, which is gone or may be. */
+  /** A run has ended because its worker was lost or may have been. */
   | {
       readonly kind: 'lost';
       readonly task: TaskRef;
       readonly run: number;
       readonly checkpoint: string;
       readonly suspicion: Suspicion;
-      /** How long it had been at work. */
+      /** How long the run had been running. */
       readonly age: SpanBounds;
     };
--- a/packages/domain/src/jobs/restate.ts
+++ b/packages/domain/src/jobs/restate.ts
@@ -1,8 +1,8 @@
 /**
- * Records that restate a whole job, so that the log needs to keep no older record of it.
+ * Records that restate the whole state of a job, so that older records of the job are no longer needed.
  *
- * The log drops records after a time. A reader that begins after the first ones of a job knows
- * nothing of it until it is restated, and all of it from then on.
+ * The log drops records after its retention time. A reader that starts after the first records of a job were
+ * dropped does not know the job until it is restated, and has its complete state from then on.
  */
 import type { Instant, Millis } from '../core/time.js';
 import {
@@ -18,7 +18,7 @@
 import { addLosses } from './blame.js';
 import { incarnationOf, isStart, startOf, workerOf } from './incarnation.js';
 import type { JournalTime } from './journal-time.js';
-import { lossFrom, lossRow, type LossRow } from './span-rows.js';
+import { parseLoss, lossRow, type LossRow } from './span-rows.js';
 import { hasOpenRuns, openRun, type JobsState } from './jobs-state.js';
 import type { JobSpec } from './spec.js';
 
@@ -27,9 +27,9 @@
   number: number,
   /** Id of its worker. */
   worker: string,
-  /** Time since its start; absent where an earlier version wrote the row. */
+  /** Time since its start; absent if an earlier version wrote the row. */
   ageMs?: Millis,
-  /** Start of the worker's incarnation; absent where that is not known. */
+  /** Start time of the worker's incarnation; absent if unknown. */
   startedAt?: Instant,
 ];
 
@@ -41,27 +41,27 @@
   failedOn: readonly string[],
   checkpoint: string,
   runs: readonly RunRow[],
-  /** Workers that were lost under it; absent where none was, or an earlier version wrote the row. */
+  /** Workers that were lost while running it; absent if there are none or an earlier version wrote the row. */
   losses?: readonly LossRow[],
 ];
 
-/** A step: its tasks, and the numbers of a gang's runs that failed. */
+/** A step: its tasks and the failed run numbers of a gang. */
 export interface StepRow {
   readonly tasks: readonly TaskRow[];
   readonly failedGangRuns: readonly number[];
 }
 
-/** All that is known of a job. */
+/** The complete state of a job. */
 export interface JobImage {
   readonly spec: JobSpec;
   readonly acceptedAtWall: Instant;
   readonly remaining: number;
   readonly cancelled: boolean;
   readonly failed: boolean;
-  /** Why it has failed; absent where an earlier version wrote the image. */
+  /** Why the job has failed; absent if an earlier version wrote the image. */
   readonly failure?: FailureReason | undefined;
   readonly begun: boolean;
-  /** Steps by number of the occurrence. */
+  /** Steps by occurrence number. */
   readonly occurrences: readonly (readonly [number, readonly StepRow[]])[];
 }
 
@@ -70,8 +70,8 @@
   const { acceptedAtWall, remaining, cancelled, failure, begun } = job;
   const failed = failure !== undefined;
   if (isOver(job) && !hasOpenRuns(job)) {
-    const brief = briefOf(job);
-    return { ...brief, remaining, cancelled, failed, failure, begun };
+    const compact = compactImageOf(job);
+    return { ...compact, remaining, cancelled, failed, failure, begun };
   }
   const { spec } = job;
   const occurrences = [...job.occurrences.values()].map(
@@ -90,13 +90,13 @@
   };
 }
 
-/** Of a job that is over callers ask only for its state: a tenth of the bytes. */
-function briefOf({
+/** Keeps only what callers ask about a finished job, its state: a tenth of the bytes. */
+function compactImageOf({
   spec,
   acceptedAtWall,
 }: Job): Pick<JobImage, 'spec' | 'acceptedAtWall' | 'occurrences'> {
-  const brief = { ...spec, payload: '', steps: [], repetition: undefined };
-  return { spec: brief, acceptedAtWall, occurrences: [] };
+  const compact = { ...spec, payload: '', steps: [], repetition: undefined };
+  return { spec: compact, acceptedAtWall, occurrences: [] };
 }
 
 function stepRow(
@@ -118,22 +118,22 @@
 }
 
 function runRow(
-  { number, worker, opened }: Run,
+  { number, worker, startMoment }: Run,
   journalTime: JournalTime,
 ): RunRow {
-  const ageMs = Math.max(0, journalTime.now - opened.at);
+  const ageMs = Math.max(0, journalTime.now - startMoment.nextRecordSlow);
   const startedAt = startOf(worker);
   const row = [number, workerOf(worker), ageMs] as const;
   return startedAt === undefined ? row : [...row, startedAt];
 }
 
-/** Most tasks have no such row. */
-function lossRows({ blame }: Task): [] | [LossRow[]] {
-  const rows = blame.losses.map(lossRow);
+/** Returns no column if there are no losses, as for most tasks. */
+function lossRows({ lossHistory }: Task): [] | [LossRow[]] {
+  const rows = lossHistory.losses.map(lossRow);
   return rows.length === 0 ? [] : [rows];
 }
 
-/** Takes in a job that is not known yet; one that is known is as new already. */
+/** Adds a restated job if it is unknown; the state of a known job is already up to date. */
 export function applyImage(state: JobsState, image: JobImage): void {
   const { id } = image.spec;
   if (state.jobs.has(id)) {
@@ -184,7 +184,7 @@
       );
       const run = openRun(state, task, number, worker);
       const at = state.journalTime.now - ageMs;
-      run.opened = { at, after: -Infinity };
+      run.startMoment = { nextRecordSlow: at, previousRecordFast: -Infinity };
     });
     task.status = status;
     task.lastRun = lastRun;
@@ -193,7 +193,7 @@
     task.endedAt = status === 'waiting' && lastRun > 0 ? state.now : Infinity;
     failedOn.forEach(worker => task.failedOn.add(worker));
     if (losses !== undefined) {
-      addLosses(state, task, losses.map(lossFrom));
+      addLosses(state, task, losses.map(parseLoss));
     }
   });
   step.remaining = step.tasks.filter(({ status }) => status !== 'done').length;
--- a/packages/domain/src/jobs/spec.ts
+++ b/packages/domain/src/jobs/spec.ts
@@ -1,7 +1,7 @@
-/** What a caller asks for: a job of steps of tasks, and the terms of the queue that it came through. */
+/** The specification of a job: its steps and their tasks, and the terms of the queue that accepted it. */
 import type { Instant, Millis } from '../core/time.js';
 
-/** What one task takes of a worker. */
+/** Resources that one task takes on a worker. */
 export interface TaskSize {
   /** Processor time in thousandths of a core. */
   readonly cpuMilli: number;
@@ -11,41 +11,41 @@
   readonly accelerators: number;
 }
 
-/** A step: alike tasks that may run once the steps before it are done. */
+/** A step: identical tasks that may run once the steps that it depends on are done. */
 export interface StepSpec {
   readonly tasks: number;
   readonly size: TaskSize;
-  /** The caller's rough guess of a task's run time. */
+  /** The caller's rough estimate of a task's run time. */
   readonly estimateMs: Millis;
-  /** Indexes of the steps whose tasks must all be done first. */
+  /** Indexes of the steps that must be done first. */
   readonly after: readonly number[];
   /** Whether tasks save checkpoints from which another run can resume. */
   readonly checkpoints: boolean;
-  /** Whether the tasks work only all together. */
+  /** Whether the tasks must all run at the same time. */
   readonly gang: boolean;
-  /** Whether tasks on more than one rack are slow. */
+  /** Whether the tasks are slow when they are spread over several racks. */
   readonly sameRack: boolean;
   /** Label that the worker must have. */
   readonly label: string | undefined;
-  /** Rack near which the tasks are fast. */
+  /** Rack that holds the data of the tasks, which run faster near it. */
   readonly dataRack: string | undefined;
-  /** Most tasks of one occurrence of the step on one worker. */
+  /** Maximum number of tasks of one occurrence of the step on one worker. */
   readonly maxPerWorker: number | undefined;
-  /** Whether copies of a task may run at the same time. */
+  /** Whether speculative copies of a task may run at the same time. */
   readonly speculative: boolean;
-  /** Whether tasks run until the job is cancelled. */
+  /** Whether the tasks are long-running, that is, run until the job is cancelled. */
   readonly lasting: boolean;
-  /** Name of what runs; tasks of one image behave alike. */
+  /** Name of the image; tasks of the same image behave similarly. */
   readonly image: string | undefined;
-  /** Aim for the tail latency of a serving task's own users. */
+  /** Target for the tail latency that the users of a serving task see. */
   readonly tailTargetMs: Millis | undefined;
-  /** Whether tasks use only processor time that the others leave unused. */
+  /** Whether these are best-effort filler tasks, which use only processor time that other tasks leave idle. */
   readonly filler: boolean;
-  /** How many lasting tasks may be unavailable at once by our own doing. */
+  /** How many long-running tasks the scheduler itself may make unavailable at the same time. */
   readonly allowedMisses: number | undefined;
 }
 
-/** A step of one task of one core that asks for nothing else, to build others from. */
+/** Defaults for building steps: one task of one core without further requirements. */
 export const PLAIN_STEP: StepSpec = {
   tasks: 1,
   size: { cpuMilli: 1_000, memoryMiB: 1_000, accelerators: 0 },
@@ -65,32 +65,34 @@
   allowedMisses: undefined,
 };
 
-/** What asking for advice on a step takes, where a queue's policy allows only some workers. */
+/** Terms of the advice service, which decides for a queue on which workers a step may run. */
 export interface AdviceTerms {
+  /** Fixed part of the time that an answer takes. */
   readonly decisionMs: Millis;
+  /** Time added to an answer for each worker in the question. */
   readonly perWorkerMs: Millis;
   /** How long a ticket is valid. */
   readonly validityMs: Millis;
 }
 
-/** The terms of a queue when the job was accepted. */
+/** The terms of a queue at the time the job was accepted. */
 export interface QueueTerms {
   readonly queue: string;
   /** Service whose workers run the tasks. */
   readonly service: string;
-  /** 0 goes first. */
+  /** 0 is the highest priority. */
   readonly priority: number;
-  /** How many runs of a task may fail before the job fails. */
+  /** Number of failed runs of a task at which its job fails. */
   readonly maxAttempts: number;
-  /** The objective as a multiple of the longest chain of work. */
+  /** The objective as a multiple of the job's critical path. */
   readonly deadlineFactor: number;
-  /** Time added to the objective. */
+  /** Time that is added to the objective. */
   readonly targetLatencyMs: Millis;
-  /** Set where runs need a ticket of the advice service. */
+  /** Set if runs need a ticket of the advice service. */
   readonly advice?: AdviceTerms;
 }
 
-/** When a job's steps run more than once. */
+/** Schedule of a job whose steps run more than once. */
 export interface Repetition {
   readonly times: number;
   /** Wall-clock time of the first occurrence. */
@@ -98,27 +100,27 @@
   readonly everyMs: Millis;
 }
 
-/** A job as accepted. */
+/** A job as it was accepted. */
 export interface JobSpec {
-  /** Chosen by the caller; a repeat of it is the same job. */
+  /** Chosen by the caller; a second submission with the same id is the same job. */
   readonly id: string;
-  /** Passed to every task as it is. */
+  /** Passed to every task unchanged. */
   readonly payload: string;
   readonly steps: readonly StepSpec[];
   readonly repetition: Repetition | undefined;
   readonly terms: QueueTerms;
 }
 
-const MILLI = 1_000;
+const MILLI_PER_CORE = 1_000;
 
-/** How large a job is by its caller's own guesses: the tasks of one occurrence and their work. */
+/** Size of one occurrence of a job by the caller's estimates. */
 export interface AskedSize {
   readonly tasks: number;
   /** Core-milliseconds. */
   readonly coreMs: number;
 }
 
-/** Returns how large a job is by its caller's own guesses. */
+/** Returns the size of one occurrence of a job by the caller's estimates. */
 export function askedSizeOf({ steps }: JobSpec): AskedSize {
   const sum = (of: (step: StepSpec) => number): number =>
     steps.reduce((total, step) => total + of(step), 0);
@@ -127,7 +129,7 @@
     coreMs: Math.round(
       sum(
         ({ tasks, size, estimateMs }) =>
-          (tasks * size.cpuMilli * estimateMs) / MILLI,
+          (tasks * size.cpuMilli * estimateMs) / MILLI_PER_CORE,
       ),
     ),
   };
--- a/packages/domain/src/jobs/standbys.ts
+++ b/packages/domain/src/jobs/standbys.ts
@@ -1,34 +1,34 @@
 /**
- * Which hosts stand by to lead. Only these read every decision; what that costs grows with the fleet's
- * work, so that their number must not grow with the number of hosts.
+ * Chooses the standbys of the leader. Only standbys read every decision, at a cost that grows with the work of
+ * the fleet, so their number must not grow with the number of hosts.
  */
 import type { Instant, Millis } from '../core/time.js';
 
-/** A host that has offered to stand by. */
+/** A host that has offered to be a standby. */
 export interface Volunteer {
   readonly cores: number;
-  /** Where other hosts reach it; undefined for one of an earlier version. */
+  /** Address at which other hosts reach it; undefined if it runs an earlier version. */
   readonly address: string | undefined;
   /** Monotonic time at which its newest offer was read. */
   readonly heardAt: Instant;
 }
 
 /**
- * Hosts that stand by beside the leader. With a third of all hosts out of reach, of nine none is left once
- * in 20,000 times; and a fleet of up to nine hosts works as if all stood by.
+ * Maximum number of standbys besides the leader. If a third of all hosts are unreachable, all nine are
+ * unreachable once in 20,000 times; and in a fleet of up to nine hosts every other host is a standby.
  */
 export const STANDBYS = 8;
-/** A host that has not offered itself for this long is gone: three offers may be lost. */
-export const VOLUNTEER_LIFE_MS: Millis = 12_000;
+/** Time after its last offer at which a host counts as unavailable: three offers may be lost. */
+export const VOLUNTEER_TIMEOUT_MS: Millis = 12_000;
 
-/** What is known of the hosts that could lead. */
+/** Hosts that could become leader. */
 export interface Candidates {
   readonly volunteers: ReadonlyMap<string, Volunteer>;
-  /** Hosts that the leader has chosen to stand by; undefined while all may. */
+  /** Hosts that the leader has chosen as standbys; undefined while every host may be one. */
   readonly standbys: readonly string[] | undefined;
 }
 
-/** Returns where the hosts are reached that follow the journal beside `leader`, by name. */
+/** Returns the addresses of the available hosts besides `leader` that follow the journal, by name. */
 export function reachableStandbys(
   { volunteers, standbys }: Candidates,
   leader: string,
@@ -37,22 +37,22 @@
   const found = new Map<string, string>();
   for (const [host, { address, heardAt }] of volunteers) {
     const follows = standbys?.includes(host) ?? true;
-    const isThere = now - heardAt < VOLUNTEER_LIFE_MS;
-    if (address !== undefined && host !== leader && follows && isThere) {
+    const isAvailable = now - heardAt < VOLUNTEER_TIMEOUT_MS;
+    if (address !== undefined && host !== leader && follows && isAvailable) {
       found.set(host, address);
     }
   }
   return found;
 }
 
-/** Whether there are, or have been, more hosts than the leader and those that stand by. */
+/** Tells whether there are, or have been, more hosts than the leader and its standbys. */
 export function isCrowded({ volunteers, standbys }: Candidates): boolean {
   return standbys !== undefined || volunteers.size > STANDBYS;
 }
 
 /**
- * Returns the hosts that are to stand by beside `leader`, large ones first, then those chosen before;
- * undefined where all may.
+ * Chooses the standbys of `leader`: hosts with more cores first, then those chosen before; undefined if every
+ * host may be one.
  */
 export function chooseStandbys(
   candidates: Candidates,
@@ -66,7 +66,7 @@
   const wasChosen = (host: string): number => Number(standbys.includes(host));
   return [...volunteers]
     .filter(([host]) => host !== leader)
-    .filter(([, { heardAt }]) => now - heardAt < VOLUNTEER_LIFE_MS)
+    .filter(([, { heardAt }]) => now - heardAt < VOLUNTEER_TIMEOUT_MS)
     .sort(
       ([a, one], [b, other]) =>
         other.cores - one.cores || wasChosen(b) - wasChosen(a),
--- a/packages/domain/src/jobs/summary.test.ts
+++ b/packages/domain/src/jobs/summary.test.ts
@@ -6,7 +6,9 @@
 import { stateOf, testJob } from './test-support.js';
 
 /** Returns what a reader is told of a job that has failed for a reason, or has not. */
-function readState(failure: FailureReason | undefined): JobState | undefined {
+function stateFromSummary(
+  failure: FailureReason | undefined,
+): JobState | undefined {
   const job = stateOf(testJob('a', [{ tasks: 1 }])).jobs.get('a');
   assert.ok(job);
   job.failure = failure;
@@ -22,9 +24,9 @@
 
 test('readers of the summary know why a job has failed', () => {
   for (const failure of ['attempts_spent', 'workers_lost'] as const) {
-    assert.deepEqual(readState(failure), { status: 'failed', failure });
+    assert.deepEqual(stateFromSummary(failure), { status: 'failed', failure });
   }
-  assert.deepEqual(readState(undefined), { status: 'queued' });
+  assert.deepEqual(stateFromSummary(undefined), { status: 'queued' });
 });
 
 test('a row of an earlier version says that a job has failed, and not why', () => {
--- a/packages/domain/src/jobs/summary.ts
+++ b/packages/domain/src/jobs/summary.ts
@@ -1,8 +1,8 @@
 /**
- * What callers are told of jobs, as the leader sums it up in a stream of its own: a row when a job is
- * accepted, has begun and is over. Hosts that don't stand by to lead read this in place of the journal.
+ * The state of jobs that is reported to callers. The leader writes it to a separate stream, with a row when a
+ * job is accepted, has started and is finished. Hosts that are not standbys read it instead of the journal.
  *
- * A job of 80 tasks has 160 and more records of 60 bytes in the journal and three rows of 25 bytes here.
+ * A job of 80 tasks has 160 or more records of 60 bytes in the journal, and three rows of 25 bytes here.
  */
 import type { Instant } from '../core/time.js';
 import {
@@ -14,7 +14,7 @@
 } from './job.js';
 import { parseRow } from './record-rows.js';
 
-/** A job's newest status: the queue is told while it waits, the reason once it has failed. */
+/** The newest status of a job, with its queue while it waits and the reason once it has failed. */
 export type SummaryRow =
   | readonly [job: string, status: JobStatus]
   | readonly [job: string, status: JobStatus, queue: string]
@@ -25,24 +25,24 @@
       failure: FailureReason,
     ];
 
-/** A record of the summary, or of the snapshots from which a reader begins. */
+/** A record of the summary, or of the snapshots from which a new reader starts. */
 export type SummaryRecord =
-  /** Who leads, and who stands by. */
+  /** The leader and its standbys. */
   | {
       readonly kind: 'leads';
       readonly epoch: number;
       readonly host: string;
-      /** Where the leader takes records for the inbox. */
+      /** Address at which the leader accepts records for the inbox. */
       readonly address: string;
       readonly standbys: readonly string[];
     }
   | {
       readonly kind: 'rows';
-      /** All that the inbox holds before this position is summed up. */
+      /** Offset in the inbox up to which records are summarized. */
       readonly inboxUpTo: number;
       readonly rows: readonly SummaryRow[];
     }
-  /** Part of all that the summary says before `summaryUpTo`. */
+  /** Part of a snapshot of the summary up to the offset `summaryUpTo`. */
   | {
       readonly kind: 'snapshot';
       readonly part: number;
@@ -59,13 +59,13 @@
 
 type WireRow = readonly [
   string,
-  keyof typeof STATUSES,
+  keyof typeof STATUS_BY_LETTER,
   (string | null)?,
   FailureReason?,
 ];
 
-/** One letter a status: rows are most of the stream. */
-const STATUSES = {
+/** Statuses are encoded as one letter, since rows make up most of the stream. */
+const STATUS_BY_LETTER = {
   q: 'queued',
   r: 'running',
   c: 'completed',
@@ -73,7 +73,9 @@
   x: 'cancelled',
 } as const satisfies Record<string, JobStatus>;
 
-const LETTERS: Readonly<Record<JobStatus, keyof typeof STATUSES>> = {
+const LETTER_BY_STATUS: Readonly<
+  Record<JobStatus, keyof typeof STATUS_BY_LETTER>
+> = {
   queued: 'q',
   running: 'r',
   completed: 'c',
@@ -83,7 +85,7 @@
 
 const encoder = new TextEncoder();
 
-/** Returns the row of a job as its state is now. */
+/** Returns the row for the current state of a job. */
 export function rowOf(job: Job): SummaryRow {
   const { status, failure } = toldStateOf(job);
   const { id, terms } = job.spec;
@@ -98,7 +100,7 @@
   return encoder.encode(JSON.stringify(toWire(record)));
 }
 
-/** Decodes what `encodeSummary` made; undefined for anything else. */
+/** Decodes a record made by `encodeSummary`; returns undefined for any other bytes. */
 export function decodeSummary(bytes: Uint8Array): SummaryRecord | undefined {
   const row = parseRow(bytes) as WireRecord | undefined;
   switch (row?.[0]) {
@@ -136,7 +138,7 @@
 }
 
 function toWireRow([job, status, queue, failure]: SummaryRow): WireRow {
-  const letter = LETTERS[status];
+  const letter = LETTER_BY_STATUS[status];
   if (failure !== undefined) {
     return [job, letter, null, failure];
   }
@@ -144,50 +146,50 @@
 }
 
 function fromWire([job, letter, queue, failure]: WireRow): SummaryRow {
-  const status = STATUSES[letter];
+  const status = STATUS_BY_LETTER[letter];
   if (status === 'failed' && failure !== undefined) {
     return [job, status, undefined, failure];
   }
   return typeof queue === 'string' ? [job, status, queue] : [job, status];
 }
 
-interface SummedJob {
+interface SummarizedJob {
   readonly row: SummaryRow;
-  /** Queue in which it waits; undefined once it has begun or is over. */
+  /** Queue in which the job waits; undefined once it has started or finished. */
   readonly queue: string | undefined;
-  /** Monotonic time at which it was learnt to be over; infinite before. */
-  readonly overAt: Instant;
+  /** Monotonic time at which this host read that the job is finished; infinite before. */
+  readonly finishedAt: Instant;
 }
 
 /** The newest row of each job. */
 export class Summary {
-  /** All that the inbox holds before this position is summed up. */
+  /** Offset in the inbox up to which records are summarized. */
   inboxUpTo = 0;
-  private readonly jobs = new Map<string, SummedJob>();
+  private readonly jobs = new Map<string, SummarizedJob>();
   private readonly waiting = new Map<string, number>();
 
-  /** Number of jobs that are not over. */
+  /** Number of jobs that are not finished. */
   get open(): number {
     let count = 0;
-    for (const { overAt } of this.jobs.values()) {
-      count += Number(overAt === Infinity);
+    for (const { finishedAt } of this.jobs.values()) {
+      count += Number(finishedAt === Infinity);
     }
     return count;
   }
 
-  /** Takes in rows that were read at `now`. */
+  /** Applies rows that were read at `now`. */
   apply(rows: readonly SummaryRow[], now: Instant): void {
     for (const row of rows) {
-      this.set(row, now);
+      this.setRow(row, now);
     }
   }
 
-  /** A job's newest status; undefined for one that is not known. */
+  /** Returns the newest status of a job; undefined if the job is unknown. */
   statusOf(job: string): JobStatus | undefined {
     return this.stateOf(job)?.status;
   }
 
-  /** What callers are told of a job; undefined for one that is not known. */
+  /** Returns the state of a job as reported to callers; undefined if the job is unknown. */
   stateOf(job: string): JobState | undefined {
     const [, status, , failure] = this.jobs.get(job)?.row ?? [];
     if (status === undefined) {
@@ -196,36 +198,38 @@
     return failure === undefined ? { status } : { status, failure };
   }
 
-  /** Number of jobs that wait in a queue. */
+  /** Returns the number of jobs that wait in a queue. */
   waitingIn(queue: string): number {
     return this.waiting.get(queue) ?? 0;
   }
 
-  /** All rows, as a reader that begins anew needs them. */
+  /** Returns all rows, for the snapshot of a new reader. */
   rows(): SummaryRow[] {
     return [...this.jobs.values()].map(({ row }) => row);
   }
 
-  /** Forgets jobs that were over before `since`. */
+  /** Removes jobs that finished before `since`. */
   forgetOver(since: Instant): void {
-    for (const [job, { overAt }] of this.jobs) {
-      if (overAt < since) {
+    for (const [job, { finishedAt }] of this.jobs) {
+      if (finishedAt < since) {
         this.jobs.delete(job);
       }
     }
   }
 
-  private set(row: SummaryRow, now: Instant): void {
+  private setRow(row: SummaryRow, now: Instant): void {
     const [job, status, queue] = row;
     const known = this.jobs.get(job);
-    this.count(known?.queue, -1);
-    this.count(queue, 1);
-    const isOver = status !== 'queued' && status !== 'running';
-    const overAt = isOver ? Math.min(now, known?.overAt ?? now) : Infinity;
-    this.jobs.set(job, { row, queue, overAt });
+    this.addWaiting(known?.queue, -1);
+    this.addWaiting(queue, 1);
+    const isFinished = status !== 'queued' && status !== 'running';
+    const finishedAt = isFinished
+      ? Math.min(now, known?.finishedAt ?? now)
+      : Infinity;
+    this.jobs.set(job, { row, queue, finishedAt });
   }
 
-  private count(queue: string | undefined, by: 1 | -1): void {
+  private addWaiting(queue: string | undefined, by: 1 | -1): void {
     if (queue !== undefined) {
       this.waiting.set(queue, this.waitingIn(queue) + by);
     }
--- a/packages/domain/src/jobs/suspicion.ts
+++ b/packages/domain/src/jobs/suspicion.ts
@@ -1,48 +1,48 @@
-/** Judges how far each run that is lost with a worker may be the reason for the loss. */
+/** Judges how likely each run that was lost with a worker is to have caused the loss. */
 import type { Instant, Millis, SpanBounds } from '../core/time.js';
-import { LOSS_MEMORY_MS, lostUnder } from './blame.js';
+import { LOSS_RETENTION_MS, lostUnder } from './blame.js';
 import { workerOf } from './incarnation.js';
 import type { Job, Run } from './job.js';
 import type { JobsState } from './jobs-state.js';
 import type { Suspicion } from './loss.js';
 
-/** A run that has been at work for this long is not the reason why its worker is lost. */
+/** Age from which a run is no longer considered as the cause of the loss of its worker. */
 export const SETTLED_MS: Millis = 5_000;
 
-/** A worker that falls silent is told to be so this much later at the most: looks wait 1 s and some. */
-const TOLD_LATE_MS: Millis = 2_000;
+/** Maximum delay until a silent worker is reported as unresponsive: polls wait a little over 1 s. */
+const SILENCE_REPORT_DELAY_MS: Millis = 2_000;
 
-/** How far the age of a lost run may be off at the most: a look at a worker that has crashed takes up to 1.5 s. */
-const PLAIN_AGE_MS: Millis = 2_000;
+/** Maximum uncertainty of the age of a lost run: a poll of a crashed worker takes up to 1.5 s. */
+const MAX_AGE_UNCERTAINTY_MS: Millis = 2_000;
 
-/** Chance of a sound worker to be lost while a run settles, from which on losses say little of tasks. */
-const NOISY_CHANCE = 0.01;
+/** Probability of losing a healthy worker while a run settles, above which losses say little about tasks. */
+const NOISY_LOSS_PROBABILITY = 0.01;
 
 /**
- * What became of a worker: it has crashed; it is gone, and may have announced that; or it may be out of
- * reach, or has left as announced.
+ * How a worker was lost: it crashed; it was removed, which it may have announced; or it may only be
+ * unreachable or has left as announced.
  */
 export type WorkerFate = 'crashed' | 'gone' | 'unknown';
 
-/** How a loss is known. */
+/** Evidence about the loss of a worker. */
 export interface LossEvidence {
   readonly fate: WorkerFate;
   /** Number of workers that are registered. */
   readonly fleetSize: number;
   /** Monotonic time at which this leader took over. */
   readonly leadsSince: Instant;
-  /** Monotonic time by which the worker was lost, if it was. */
+  /** Latest monotonic time at which the worker can have been lost. */
   readonly lostBy: Instant;
   readonly now: Instant;
 }
 
-/** How far a run that is lost may be the reason, and at which age it was lost. */
+/** How likely a lost run is to be the cause, and its age when it was lost. */
 export interface JudgedLoss {
   readonly suspicion: Suspicion;
   readonly age: SpanBounds;
 }
 
-/** Returns how far each of the runs that are lost with one worker may be the reason. */
+/** Judges each of the runs that were lost with one worker. */
 export function suspicionsOf(
   state: JobsState,
   runs: readonly Run[],
@@ -54,55 +54,57 @@
   );
   const recent = runs.filter(run => !settled.has(run));
   const jobs = new Set(recent.map(jobOf));
-  const others = jobs.size === 1 ? 'sole' : 'shared';
+  const certain = jobs.size === 1 ? 'sole' : 'shared';
   const isUnexplained = fate !== 'unknown' && recent.length === 0;
-  const ofSettled = isUnexplained ? 'unexplained' : 'cleared';
+  const forSettled = isUnexplained ? 'unexplained' : 'cleared';
   return new Map(
     runs.map(run => {
-      const age = ageOf(state, run, evidence);
-      const isCalm = !isNoisy(state, run, evidence);
-      const isClear = fate === 'crashed' && isCalm && isPlain(age);
-      const ofRecent = isClear ? others : 'doubtful';
-      const suspicion = settled.has(run) ? ofSettled : ofRecent;
+      const age = ageBounds(state, run, evidence);
+      const isIsolated = !hasUnrelatedLosses(state, run, evidence);
+      const isCertain = fate === 'crashed' && isIsolated && isPrecise(age);
+      const forRecent = isCertain ? certain : 'doubtful';
+      const suspicion = settled.has(run) ? forSettled : forRecent;
       return [run, { suspicion, age }];
     }),
   );
 }
 
-/** Whether an age is known well enough to be told from that of another loss. */
-function isPlain({ from, to }: SpanBounds): boolean {
-  return to - from <= PLAIN_AGE_MS;
+/** Tells whether an age is known precisely enough to compare it with the ages of other losses. */
+function isPrecise({ from, to }: SpanBounds): boolean {
+  return to - from <= MAX_AGE_UNCERTAINTY_MS;
 }
 
-function ageOf(
+function ageBounds(
   state: JobsState,
   run: Run,
   { leadsSince, lostBy }: LossEvidence,
 ): SpanBounds {
-  const from = Math.floor(workedFor(state, run, leadsSince));
+  const from = Math.floor(minAge(state, run, leadsSince));
   const isOwn = run.openedAt >= leadsSince;
   const to = isOwn
     ? lostBy - run.openedAt
-    : state.journalTime.before(run.opened).to + lostBy - leadsSince;
+    : state.journalTime.spanBeforeLeader(run.startMoment).to +
+      lostBy -
+      leadsSince;
   return { from, to: Math.max(from, Math.ceil(to)) };
 }
 
 /**
- * Whether a run is known to have been at work for so long that it does its worker no harm: from its
- * recorded start until it was last seen. `leadsSince` is when this host took over.
+ * Tells whether a run is known to have been running for so long, from its recorded start until it was last
+ * seen, that it does not crash its worker. `leadsSince` is the time at which this host took over.
  */
 export function isSettled(
   state: JobsState,
   run: Run,
   leadsSince: Instant,
 ): boolean {
-  return workedFor(state, run, leadsSince) >= SETTLED_MS;
+  return minAge(state, run, leadsSince) >= SETTLED_MS;
 }
 
-function workedFor(state: JobsState, run: Run, leadsSince: Instant): Millis {
+function minAge(state: JobsState, run: Run, leadsSince: Instant): Millis {
   const { progress, openedAt } = run;
   if (progress === undefined) {
-    return workedBefore(state, run);
+    return minAgeUnderEarlierLeaders(state, run);
   }
   if (!progress.confirmed) {
     return 0;
@@ -110,41 +112,50 @@
   const seenFor = progress.seenAt - openedAt;
   return openedAt >= leadsSince
     ? seenFor
-    : Math.max(seenFor, seenSince(state, run) + progress.seenAt - leadsSince);
+    : Math.max(
+        seenFor,
+        minAgeAtTakeover(state, run) + progress.seenAt - leadsSince,
+      );
 }
 
-/** How long before this leader began a run that it has seen was at work. */
-function seenSince({ journalTime }: JobsState, { opened }: Run): Millis {
-  return journalTime.before(opened).from;
+/** Returns the minimum age that a run had when this leader took over. */
+function minAgeAtTakeover(
+  { journalTime }: JobsState,
+  { startMoment }: Run,
+): Millis {
+  return journalTime.spanBeforeLeader(startMoment).from;
 }
 
 /**
- * How long a run that this leader has not seen was at work under earlier ones. These told which workers had
- * ceased to answer, and until when they led.
+ * Returns the minimum age that a run that this leader has not seen reached under earlier leaders. These
+ * reported which workers had stopped answering, and until when they led.
  */
-function workedBefore(
-  { journalTime, silentSince }: JobsState,
-  { worker, opened }: Run,
+function minAgeUnderEarlierLeaders(
+  { journalTime, unresponsiveSince }: JobsState,
+  { worker, startMoment }: Run,
 ): Millis {
   const seen = Math.min(
-    journalTime.ledUntil,
-    silentSince.get(workerOf(worker)) ?? Infinity,
+    journalTime.previousLeaderUntil,
+    unresponsiveSince.get(workerOf(worker)) ?? Infinity,
+  );
+  return Math.max(
+    0,
+    seen - startMoment.nextRecordSlow - SILENCE_REPORT_DELAY_MS,
   );
-  return Math.max(0, seen - opened.at - TOLD_LATE_MS);
 }
 
-/** Whether so many workers are lost without a task that a loss says little of it. */
-function isNoisy(
+/** Tells whether so many other workers were lost without this task that a loss says little about it. */
+function hasUnrelatedLosses(
   { workerLosses }: JobsState,
   { task, worker }: Run,
   { fleetSize, now }: LossEvidence,
 ): boolean {
   const own = new Set([worker, ...lostUnder(task)]);
   const losses = [...workerLosses].filter(
-    ([lost, at]) => now - at < LOSS_MEMORY_MS && !own.has(lost),
+    ([lost, at]) => now - at < LOSS_RETENTION_MS && !own.has(lost),
   );
   const perWorker = losses.length / Math.max(1, fleetSize);
-  return (perWorker * SETTLED_MS) / LOSS_MEMORY_MS > NOISY_CHANCE;
+  return (perWorker * SETTLED_MS) / LOSS_RETENTION_MS > NOISY_LOSS_PROBABILITY;
 }
 
 function jobOf({ task }: Run): Job {
--- a/packages/domain/src/jobs/task-ref.ts
+++ b/packages/domain/src/jobs/task-ref.ts
@@ -1,6 +1,6 @@
-/** Names of tasks. */
+/** References to tasks and their textual form. */
 
-/** Names one task: job, occurrence, step and index within the step. */
+/** Identifies a task by its job, occurrence, step and index within the step. */
 export interface TaskRef {
   readonly job: string;
   readonly occurrence: number;
@@ -13,7 +13,7 @@
   return `${task.job}.${task.occurrence}.${task.step}.${task.index}`;
 }
 
-/** Parses what `taskName` made; anything else names no task that there is. */
+/** Parses a name made by `taskName`; any other text gives a reference that matches no task. */
 export function parseTaskName(name: unknown): TaskRef {
   const parts = typeof name === 'string' ? name.split('.') : [];
   const [job = '', occurrence, step, index] = parts;
--- a/packages/domain/src/jobs/test-support.ts
+++ b/packages/domain/src/jobs/test-support.ts
@@ -1,4 +1,4 @@
-/** Jobs, workers and rounds for the tests of this folder. */
+/** Builders of jobs, workers and scheduling rounds for the tests of this folder. */
 import { encodeRecord, decodeJournal } from './record-rows.js';
 import type { JournalRecord } from './records.js';
 import { newProgress, type Run, type Task } from './job.js';
@@ -32,7 +32,7 @@
   targetLatencyMs: 500,
 };
 
-/** Builds a job of `steps`. */
+/** Builds a job from partial steps. */
 export function testJob(
   id: string,
   steps: readonly Partial<StepSpec>[],
@@ -56,7 +56,7 @@
   return state;
 }
 
-/** A worker of 4 cores and 8 GiB. */
+/** Builds a worker with 4 cores and 8 GiB. */
 export function testWorker(id: string, rack = 'r1', label = 'a'): PlanWorker {
   return {
     info: {
@@ -73,7 +73,7 @@
   };
 }
 
-/** Builds the input of a round at time 0. */
+/** Builds the input of a scheduling round at time 0. */
 export function planInput(
   state: JobsState,
   workers: readonly PlanWorker[],
@@ -92,7 +92,7 @@
   };
 }
 
-/** Applies a start as the leader does and returns the run. */
+/** Applies a start like the leader and returns the run. */
 export function applyDecision(
   state: JobsState,
   { task, run, worker }: StartDecision,
@@ -106,7 +106,7 @@
   return found;
 }
 
-/** Applies a record that went through its encoding. */
+/** Encodes, decodes and applies a record of the journal. */
 export function apply(state: JobsState, record: JournalRecord): void {
   const decoded = decodeJournal(encodeRecord(record));
   if (decoded === undefined) {
@@ -115,7 +115,7 @@
   applyJournal(state, decoded);
 }
 
-/** Returns a task by job, step and index. */
+/** Returns a task of the first occurrence by job, step and index. */
 export function taskOf(
   state: JobsState,
   job: string,
@@ -129,7 +129,7 @@
   return task;
 }
 
-/** Starts a task on a worker, without a plan. */
+/** Starts a task on a worker without planning. */
 export function startOn(state: JobsState, task: Task, worker: string): Run {
   workerRuns(state, worker);
   return applyDecision(state, { task, run: task.lastRun + 1, worker });
--- a/packages/domain/src/jobs/worker-health.ts
+++ b/packages/domain/src/jobs/worker-health.ts
@@ -1,71 +1,71 @@
-/** Which workers may be trusted with runs, judged by how runs end there and not by what they say. */
+/** Decides which workers are trusted with runs, by how runs end there rather than by what workers report. */
 import type { Instant, Millis } from '../core/time.js';
 import type { Run, Task } from './job.js';
 
 /** How many runs a worker may be given. */
 export type Trust = 'full' | 'one_run' | 'none';
 
-/** Rest after the first bad end in a row: some 2 % of runs fail by their own fault. */
-const FIRST_REST_MS: Millis = 400;
-/** Rest after the second bad end in a row, doubled with each further one. */
-const REST_MS: Millis = 1_500;
-const MAX_REST_MS: Millis = 4_000;
-/** Bad ends that a run without progress counts for. */
+/** Pause after the first of consecutive failures: about 2 % of runs fail for reasons of their own. */
+const FIRST_PAUSE_MS: Millis = 400;
+/** Pause after the second consecutive failure; doubled after each further one. */
+const SECOND_PAUSE_MS: Millis = 1_500;
+const MAX_PAUSE_MS: Millis = 4_000;
+/** Number of failures that a stalled run counts as. */
 const STALL_WEIGHT = 2;
 
-/** A run is taken to stand still after this long without progress. */
-const STALL_MS: Millis = 1_800;
-/** Share of its speed below which a run that is throttled is not judged. */
-const JUDGED_ABOVE_PERCENT = 50;
+/** Time without progress after which a run counts as stalled. */
+const STALL_TIMEOUT_MS: Millis = 1_800;
+/** Speed limit below which a throttled run is not judged. */
+const MIN_JUDGED_SPEED_PERCENT = 50;
 
-interface Record {
-  /** Bad ends since the last good one. */
-  bad: number;
-  restsUntil: Instant;
+interface FailureRecord {
+  /** Failures since the last successful run. */
+  failures: number;
+  pausedUntil: Instant;
 }
 
-/** Judges workers. */
+/** Tracks failures of runs by worker. */
 export class WorkerHealth {
-  private readonly records = new Map<string, Record>();
+  private readonly records = new Map<string, FailureRecord>();
 
-  /** A run was done: the worker is sound. */
+  /** Notes that a run was done: the worker is healthy. */
   noteDone(worker: string): void {
     this.records.delete(worker);
   }
 
-  /** A run failed, by the fault of the worker or of its task. */
+  /** Notes that a run failed, because of the worker or of its task. */
   noteFailure(worker: string, task: Task, now: Instant): void {
     if (failedElsewhere(task, worker)) {
       return;
     }
-    this.addBad(worker, 1, now);
+    this.addFailures(worker, 1, now);
   }
 
-  /** A run stood still. */
+  /** Notes that a run stalled. */
   noteStall(worker: string, now: Instant): void {
-    this.addBad(worker, STALL_WEIGHT, now);
+    this.addFailures(worker, STALL_WEIGHT, now);
   }
 
-  /** Tells how many runs a worker may be given. */
+  /** Returns how many runs a worker may be given. */
   trustIn(worker: string, now: Instant): Trust {
     const record = this.records.get(worker);
     if (record === undefined) {
       return 'full';
     }
-    return record.restsUntil > now ? 'none' : 'one_run';
+    return record.pausedUntil > now ? 'none' : 'one_run';
   }
 
-  private addBad(worker: string, weight: number, now: Instant): void {
-    const bad = (this.records.get(worker)?.bad ?? 0) + weight;
-    const rest =
-      bad === 1
-        ? FIRST_REST_MS
-        : Math.min(MAX_REST_MS, REST_MS * 2 ** (bad - 2));
-    this.records.set(worker, { bad, restsUntil: now + rest });
+  private addFailures(worker: string, weight: number, now: Instant): void {
+    const failures = (this.records.get(worker)?.failures ?? 0) + weight;
+    const pauseMs =
+      failures === 1
+        ? FIRST_PAUSE_MS
+        : Math.min(MAX_PAUSE_MS, SECOND_PAUSE_MS * 2 ** (failures - 2));
+    this.records.set(worker, { failures, pausedUntil: now + pauseMs });
   }
 }
 
-/** Tells whether a run has stood still for so long that it should run elsewhere. */
+/** Tells whether a run has stalled for so long that it should run elsewhere. */
 export function isStalled(run: Run, now: Instant): boolean {
   const { progress, task } = run;
   const { spec } = task.step;
@@ -75,10 +75,10 @@
   return (
     progress.confirmed &&
     !progress.stopping &&
-    (progress.allowed ?? 0) >= JUDGED_ABOVE_PERCENT &&
+    (progress.allowed ?? 0) >= MIN_JUDGED_SPEED_PERCENT &&
     progress.percent < 100 &&
-    progress.seenAt - progress.percentSince > STALL_MS &&
-    now - progress.allowedSince > STALL_MS
+    progress.seenAt - progress.percentSince > STALL_TIMEOUT_MS &&
+    now - progress.allowedSince > STALL_TIMEOUT_MS
   );
 }
 
