--- a/packages/domain/src/jobs/blame.test.ts
+++ b/packages/domain/src/jobs/blame.test.ts
@@ -42,11 +42,11 @@
   return jobs.map(job => startOn(state, taskOf(state, job, 0, 0), 'w'));
 }
 
-/** Makes a run be known to have been at work for `span`. */
-function setRunTime(run: Run, span: number): void {
+/** Marks a run as confirmed and last seen `runTimeMs` after its start. */
+function setRunTime(run: Run, runTimeMs: number): void {
   if (run.progress !== undefined) {
     run.progress.confirmed = true;
-    run.progress.seenAt = run.openedAt + span;
+    run.progress.seenAt = run.openedAt + runTimeMs;
   }
 }
 
@@ -90,7 +90,7 @@
   return losses;
 }
 
-test('only what began lately can be the reason of a loss', () => {
+test('only recently started runs are suspected of causing a loss', () => {
   const state = stateWithJobs('a', 'b');
   const [recent, settled] = startTogether(state, 'a', 'b');
   assert.ok(recent && settled);
@@ -100,7 +100,7 @@
   assert.deepEqual(suspicionsIn(found), ['sole', 'cleared']);
 });
 
-test('tasks of several jobs share the suspicion, those of one job have it alone', () => {
+test('runs of several jobs share the suspicion, runs of a single job do not', () => {
   const state = stateWithJobs('a', 'b');
   const runs = startTogether(state, 'a', 'b');
   const shared = suspicionsOf(state, runs, CONFIRMED_CRASH);
@@ -111,7 +111,7 @@
   assert.deepEqual(suspicionsIn(sole), ['sole', 'sole']);
 });
 
-test('a worker that may only be out of reach raises doubts', () => {
+test('the loss of a worker that may only be unreachable is doubtful', () => {
   const state = stateWithJobs('a');
   const runs = startTogether(state, 'a');
   const found = suspicionsOf(state, runs, {
@@ -121,7 +121,7 @@
   assert.deepEqual(suspicionsIn(found), ['doubtful']);
 });
 
-test('where workers are lost with nothing to blame, losses say little', () => {
+test('losses are doubtful while other workers are lost without a suspect', () => {
   const state = stateWithJobs('a', 'b');
   const [run] = startTogether(state, 'a');
   assert.ok(run);
@@ -130,7 +130,7 @@
   const judge = (evidence: LossEvidence): Suspicion | undefined =>
     suspicionsOf(state, [run], evidence).get(run)?.suspicion;
   assert.equal(judge(small), 'sole');
-  // One in a minute, of six: a sound worker is lost within 5 s with a chance above a hundredth.
+  // One of six workers per minute: a healthy worker is lost within 5 s with a probability above 1 %.
   startAndLose(state, other, 'unexplained');
   assert.equal(judge(small), 'doubtful');
   assert.equal(judge(CONFIRMED_CRASH), 'sole');
@@ -142,7 +142,7 @@
   assert.equal(judge(later), 'sole');
 });
 
-test('a task is given up after three to five losses, by what else could be the reason', () => {
+test('a task is abandoned after three to five losses, depending on their other possible causes', () => {
   assert.equal(lossesUntilAbandoned('sole'), 3);
   assert.equal(lossesUntilAbandoned('shared', 'sole'), 3);
   assert.equal(lossesUntilAbandoned('shared', 'shared', 'sole'), 3);
@@ -152,7 +152,7 @@
   assert.equal(lossesUntilAbandoned('doubtful', 'shared', 'shared', 'sole'), 4);
 });
 
-test('the job of a task that is given up has failed, also where the task lasts', () => {
+test('the job of an abandoned task fails, also if the task is long-running', () => {
   const state = stateOf(testJob('a', [{ tasks: 2, lasting: true }]));
   const task = taskOf(state, 'a', 0, 0);
   startAndLose(state, task, 'shared');
@@ -165,7 +165,7 @@
   assert.equal(state.open.has(job), false);
 });
 
-test('a run that had long been at work clears its task', () => {
+test('the loss of a run that had been running for long clears its task', () => {
   const state = stateWithJobs('a');
   const task = taskOf(state, 'a', 0, 0);
   startAndLose(state, task, 'sole');
@@ -176,7 +176,7 @@
   assert.deepEqual(lostUnder(task), ['w4']);
 });
 
-test('ends that are no losses add no blame', () => {
+test('ends other than losses add no suspicion', () => {
   const state = stateWithJobs('a');
   const task = taskOf(state, 'a', 0, 0);
   for (const how of ['lapsed', 'void', 'stopped', 'broken'] as const) {
@@ -185,7 +185,7 @@
   assert.equal(blameOf(task), 0);
 });
 
-test('blame outlives the records of the losses', () => {
+test('restated jobs keep the losses of their tasks', () => {
   const state = stateWithJobs('a');
   const task = taskOf(state, 'a', 0, 0);
   startAndLose(state, task, 'sole');
@@ -199,7 +199,7 @@
   assert.ok(isGivenUp(restored));
 });
 
-test('an earlier version reads a loss as a lapse, and its lapses may be losses', () => {
+test('earlier versions read a loss as an expired lease, and their expired leases are read as doubtful losses', () => {
   const task = { job: 'a', occurrence: 0, step: 0, index: 0 };
   const lost = { kind: 'lost', task, run: 1, checkpoint: '' } as const;
   const row: unknown = JSON.parse(
@@ -226,12 +226,12 @@
   assert.deepEqual(decodeJournal(encodeRecord(there)), there);
 });
 
-test('what a task is given up for, those beside it are not to blame for', () => {
+test('losses explained by an abandoned task count less against tasks beside it', () => {
   const state = stateWithJobs('a', 'b');
-  const [guilty, beside] = ['a', 'b'].map(job => taskOf(state, job, 0, 0));
-  assert.ok(guilty && beside);
+  const [other, beside] = ['a', 'b'].map(job => taskOf(state, job, 0, 0));
+  assert.ok(other && beside);
   for (const worker of ['w1', 'w2']) {
-    const runs = [guilty, beside].map(task => startOn(state, task, worker));
+    const runs = [other, beside].map(task => startOn(state, task, worker));
     runs.forEach(run => {
       loseRun(state, run, 'shared');
     });
@@ -254,7 +254,7 @@
   assert.equal(isGivenUp(second), true);
 });
 
-test('losses that an earlier version recorded as lapses count once a later one leads', () => {
+test('losses that an earlier version recorded as expired leases count under a leader of this version', () => {
   const state = stateWithJobs('a');
   const task = taskOf(state, 'a', 0, 0);
   for (let run = 1; run <= 4; run += 1) {
@@ -269,7 +269,7 @@
   assert.equal(isGivenUp(task), true);
 });
 
-test('tasks of jobs that are over are suspected no more', () => {
+test('tasks of finished jobs are no longer suspected', () => {
   const state = stateWithJobs('a', 'b');
   for (const job of ['a', 'b']) {
     startAndLose(state, taskOf(state, job, 0, 0), 'shared');
@@ -279,7 +279,7 @@
   assert.deepEqual([...state.suspects], [taskOf(state, 'b', 0, 0)]);
 });
 
-/** How many losses at these ages, known to some 0.4 s, it takes until a task is given up; at most ten. */
+/** Returns the number of losses at these ages, known within 0.4 s, until a task is abandoned; at most ten. */
 function lossesUntilAbandonedAt(
   suspicion: Suspicion,
   ...ages: number[]
@@ -295,8 +295,9 @@
   return losses;
 }
 
-// Seen: a sound lasting task given up where each worker is lost every 13 s, after five losses at any age.
-test('a task that is lost at all ages is not given up, one that always is at the same is', () => {
+// Guards against abandoning a healthy long-running task after five losses at any age, as happened when every
+// worker was lost once in 13 s.
+test('a task is abandoned if its runs are lost at the same age, but not at different ages', () => {
   assert.equal(lossesUntilAbandonedAt('doubtful', 0, 1_500, 3_000, 4_500), 10);
   assert.equal(lossesUntilAbandonedAt('sole', 100, 4_000), 5);
   assert.equal(lossesUntilAbandonedAt('doubtful', 3_900, 3_600), 5);
@@ -304,11 +305,11 @@
   assert.equal(lossesUntilAbandonedAt('sole', 0), 3);
 });
 
-test('a loss beside four at the same age does not keep a task from being given up', () => {
+test('a loss at another age does not prevent a task from being abandoned', () => {
   assert.equal(lossesUntilAbandonedAt('doubtful', 0, 0, 3_000, 0, 0, 0), 6);
 });
 
-test('losses of which nothing is known but that they happened may all be at one age', () => {
+test('losses without an upper bound on their age may all have happened at the same age', () => {
   const state = stateWithJobs('a');
   const task = taskOf(state, 'a', 0, 0);
   for (const from of [0, 2_000, 0, 4_000]) {
@@ -319,8 +320,8 @@
   assert.ok(isGivenUp(task));
 });
 
-// It crashes at the same work: at another age for each checkpoint from which it resumes.
-test('runs that resumed from checkpoints of their own are not compared by their ages', () => {
+// Such a task crashes at the same point of its work, so at a different age for each checkpoint it resumes from.
+test('ages of runs that resumed from different checkpoints are not compared', () => {
   const state = stateWithJobs('a');
   const task = taskOf(state, 'a', 0, 0);
   for (const [at, from] of [3_500, 700, 100].entries()) {
@@ -330,7 +331,7 @@
   assert.ok(isGivenUp(task));
 });
 
-test('a loss at an age that is hardly known is doubtful', () => {
+test('a loss at an imprecisely known age is doubtful', () => {
   const state = stateWithJobs('a');
   const [run] = startTogether(state, 'a');
   assert.ok(run);
@@ -341,7 +342,7 @@
   assert.equal(judge(2_500), 'doubtful');
 });
 
-test('ages of losses are in the journal and in restated jobs', () => {
+test('ages of losses survive the encoding in the journal and in restated jobs', () => {
   const task = { job: 'a', occurrence: 0, step: 0, index: 0 };
   const lost = { kind: 'lost', task, run: 1, checkpoint: '' } as const;
   for (const age of [
@@ -370,8 +371,9 @@
   ]);
 });
 
-// Seen: a sound task given up after three losses at one age by chance, where a worker starts again every 2 s.
-test('workers that are lost without a task make its losses doubtful, its own do not', () => {
+// Guards against abandoning a healthy task after three losses that happen to be at the same age, as happened when
+// a worker restarted every 2 s.
+test('losses of a task are doubtful if other workers are lost without it, but not after its own losses', () => {
   const state = stateWithJobs('a', 'b');
   const small = { ...CONFIRMED_CRASH, fleetSize: 6 };
   const judge = (job: string): Suspicion | undefined => {
--- a/packages/domain/src/jobs/jobs-state.test.ts
+++ b/packages/domain/src/jobs/jobs-state.test.ts
@@ -12,7 +12,7 @@
   return job;
 }
 
-test('a step is ready once the steps before it are done', () => {
+test('a step is ready once the steps that it depends on are done', () => {
   const state = stateOf(testJob('j', [{ tasks: 2 }, { after: [0] }]));
   const second = taskOf(state, 'j', 1, 0);
   endRun(state, startOn(state, taskOf(state, 'j', 0, 0), 'w'), 'done');
@@ -33,7 +33,7 @@
   assert.equal(state.open.size, 0);
 });
 
-test('a job has begun once a worker is known to have begun a run', () => {
+test('a job counts as started once a worker has confirmed a run', () => {
   const state = stateOf(testJob('j', [{}]));
   const job = getJob(state, 'j');
   const first = startOn(state, taskOf(state, 'j', 0, 0), 'w');
@@ -67,7 +67,7 @@
   assert.equal(taskOf(state, 'j', 0, 0).step.remaining, 1);
 });
 
-test('room is given back when a run ends', () => {
+test('capacity is released when a run ends', () => {
   const state = stateOf(testJob('j', [{}]));
   const run = startOn(state, taskOf(state, 'j', 0, 0), 'w');
   assert.equal(workerRuns(state, 'w').cpuMilli, 1_000);
@@ -101,7 +101,7 @@
   assert.equal(statusOf(getJob(state, 'j')), 'failed');
 });
 
-test('a lasting task is never done and never fails its job', () => {
+test('a long-running task is never done and never fails its job', () => {
   const state = stateOf(testJob('j', [{ lasting: true }]));
   const task = taskOf(state, 'j', 0, 0);
   for (const how of ['done', 'failed', 'failed', 'failed', 'failed'] as const) {
@@ -111,7 +111,7 @@
   assert.equal(statusOf(getJob(state, 'j')), 'running');
 });
 
-test('a cancelled job is no longer open, and a completed one stays so', () => {
+test('cancelling closes an open job, and a completed job stays completed', () => {
   const state = stateOf(testJob('a', [{}]), testJob('b', [{}]));
   endRun(state, startOn(state, taskOf(state, 'b', 0, 0), 'w'), 'done');
   applyInbox(state, { kind: 'cancel', job: 'a' });
--- a/packages/domain/src/jobs/journal-time.test.ts
+++ b/packages/domain/src/jobs/journal-time.test.ts
@@ -3,7 +3,7 @@
 
 import { JournalTime } from './journal-time.js';
 
-test('what leaders say that they have led is added up', () => {
+test('journal time is the sum of the times that leaders report to have led', () => {
   const time = new JournalTime();
   time.noteClaim(1);
   time.noteLeadTime(1, 1_000);
@@ -14,7 +14,7 @@
   assert.equal(time.now, 2_900);
 });
 
-test('a record of an earlier leader, one read again and one without a time count nothing', () => {
+test('records of an earlier leader, repeated records and records without a time add nothing', () => {
   const time = new JournalTime();
   time.noteClaim(2);
   time.noteLeadTime(2, 1_000);
@@ -25,7 +25,7 @@
   assert.equal(time.now, 1_000);
 });
 
-test('a leader whose claim is not in the log counts from its first word on', () => {
+test('the time of a leader whose claim is not in the log counts from its first record', () => {
   const time = new JournalTime();
   time.noteLeadTime(7, 60_000);
   assert.equal(time.now, 0);
@@ -33,18 +33,18 @@
   assert.equal(time.now, 1_000);
 });
 
-test('a moment is told by the next word of a leader, and not before', () => {
+test('the time of a moment is unknown until the next record of a leader', () => {
   const time = new JournalTime();
   time.noteClaim(1);
   time.noteLeadTime(1, 1_000);
   const { currentMoment: present } = time;
   assert.equal(present.nextRecordSlow, Infinity);
-  // The log was away for eight seconds.
+  // The log was unavailable for eight seconds.
   time.noteLeadTime(1, 9_000);
   assert.equal(present.nextRecordSlow, 9_000);
 });
 
-test('how long ago a moment was is known to the bounds of the silences since', () => {
+test('the age of a moment is bounded by the silences since then', () => {
   const time = new JournalTime();
   time.noteClaim(1);
   time.noteLeadTime(1, 0);
@@ -66,7 +66,7 @@
   assert.deepEqual(time.spanBeforeLeader(present), { from: 7_900, to: 9_300 });
 });
 
-test('beyond a silence of which nothing is told a moment may be any time ago', () => {
+test('moments before a silence of unknown length have no upper bound on their age', () => {
   const time = new JournalTime();
   time.noteClaim(1);
   time.noteLeadTime(1, 1_000);
--- a/packages/domain/src/jobs/learnt.test.ts
+++ b/packages/domain/src/jobs/learnt.test.ts
@@ -1,7 +1,7 @@
 /**
- * Pattern: leaders change every few seconds, by restarts, losses or outages, while fillers press on what
- * serves. A leader that knows nothing tries each pair of images anew, and each try may put a task that
- * serves over its target for a second or two.
+ * Guards against new leaders that start without estimates. If leaders change every few seconds, through
+ * restarts, losses or outages, while fillers interfere with serving tasks, each of them tries every pair of
+ * images from scratch, and each try may put a serving task over its target for a second or two.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -26,7 +26,7 @@
   return state;
 }
 
-/** Lets a model see that the filler presses hard. */
+/** Reports readings to a model from which it learns a high pressure of the filler. */
 function learnPressure(state: JobsState, model: Interference): void {
   const load = workerRuns(state, 'w');
   for (let report = 1; report <= 20; report += 1) {
@@ -41,13 +41,13 @@
   }
 }
 
-/** The pressure that a model reckons with for the pair. */
+/** Returns the pressure that a model expects for the pair. */
 function pressureOf(model: Interference): number {
   const { pressures } = model.learnt();
   return pressures.find(([pair]) => pair === 's/f')?.[1] ?? 0;
 }
 
-test('a new leader begins with the pressures that the last one has learnt', () => {
+test('a new leader starts with the estimates of the previous one', () => {
   const state = busyState();
   const model = new Interference();
   learnPressure(state, model);
@@ -63,7 +63,7 @@
   assert.equal(nextTimes.expect(step), times.expect(step));
 });
 
-test('what was learnt is recorded within a bound', () => {
+test('the number of recorded estimates is bounded', () => {
   const pressures = Array.from(
     { length: 3 * MAX_LEARNT },
     (_, at) => [`s/${at}`, 1, 1] as const,
@@ -73,8 +73,8 @@
   assert.equal(model.learnt().pressures.length, MAX_LEARNT);
 });
 
-// Figures that are no numbers stood in the record as null, and each leader that read them failed when it recorded them.
-test('what was learnt begins anew where the record holds no numbers', () => {
+// Values that are not numbers were recorded as null, and each leader that read them failed when recording them.
+test('recorded estimates that are not numbers are ignored', () => {
   const row = [
     'learnt',
     {
--- a/packages/domain/src/jobs/quarantine.test.ts
+++ b/packages/domain/src/jobs/quarantine.test.ts
@@ -21,7 +21,7 @@
 const SETTLED_MS = 5_000;
 const WORKERS = ['w1', 'w2', 'w3'].map(id => testWorker(id));
 
-/** Loses a run of a task with some worker, so that others may be the reason as well. */
+/** Starts a task and loses its worker in such a way that other jobs may have caused the loss as well. */
 function startAndLose(state: JobsState, task: Task): void {
   const { number } = startOn(state, task, `lost${task.lastRun}`);
   const lost = { task: refOf(task), run: number, checkpoint: '' };
@@ -48,7 +48,7 @@
   return run;
 }
 
-/** Plans one round at `now` and returns where tasks began. */
+/** Plans one round at `now` and returns the tasks that start, with their workers. */
 function planRound(
   state: JobsState,
   workers: readonly PlanWorker[] = WORKERS,
@@ -68,7 +68,7 @@
   return started;
 }
 
-test('a suspected task begins where nothing else has just begun, and nothing joins it', () => {
+test('a suspected task starts on a worker without recently started runs, and nothing starts beside it', () => {
   const state = stateOf(
     testJob('a', [{ tasks: 1 }]),
     testJob('b', [{ tasks: 7 }]),
@@ -82,7 +82,7 @@
   assert.ok(started.slice(1).every(at => !at.endsWith('w2')));
 });
 
-test('others begin beside it once it has settled', () => {
+test('other tasks start beside a suspected task once it has settled', () => {
   const state = stateOf(
     testJob('a', [{ tasks: 1 }]),
     testJob('b', [{ tasks: 3 }]),
@@ -95,7 +95,7 @@
   assert.deepEqual(planRound(state, [only]), ['b0 w1', 'b1 w1', 'b2 w1']);
 });
 
-test('where no worker is free one is kept for it, and it waits no longer than it has to', () => {
+test('if no worker is free, one is reserved, and the suspected task starts there once it is free', () => {
   const state = stateOf(
     testJob('a', [{ tasks: 1 }]),
     testJob('b', [{ tasks: 9 }]),
@@ -104,18 +104,18 @@
     startOn(state, taskOf(state, 'b', 0, at), worker),
   );
   makeSuspect(state, 'a');
-  // w2 has the fewest others.
+  // w2 has the fewest other runs.
   const started = planRound(state);
   assert.deepEqual(started, ['b5 w1', 'b6 w1', 'b7 w3', 'b8 w3']);
   assert.deepEqual(planRound(state, WORKERS, 1_999), []);
-  const [, , onKept] = busy;
-  assert.ok(onKept);
-  const end = { task: refOf(onKept.task), run: 1, checkpoint: '' };
+  const [, , onReserved] = busy;
+  assert.ok(onReserved);
+  const end = { task: refOf(onReserved.task), run: 1, checkpoint: '' };
   apply(state, { kind: 'end', ...end, how: 'done' });
   assert.deepEqual(planRound(state, WORKERS, 1_999), ['a0 w2']);
 });
 
-test('a suspected task that has waited for long begins beside the fewest others', () => {
+test('a suspected task that has waited too long starts on the worker with the fewest other runs', () => {
   const state = stateOf(
     testJob('a', [{ tasks: 1 }]),
     testJob('b', [{ tasks: 5 }]),
@@ -128,13 +128,13 @@
   assert.deepEqual(planRound(state, WORKERS, 2_000), ['a0 w2']);
 });
 
-test('suspected tasks are kept apart from each other', () => {
+test('suspected tasks start on different workers', () => {
   const state = stateOf(testJob('a', [{ tasks: 3 }]));
   [0, 1, 2].forEach(index => makeSuspect(state, 'a', index));
   assert.deepEqual(planRound(state), ['a0 w1', 'a1 w2', 'a2 w3']);
 });
 
-test('after one loss tasks that were lost together go to different workers', () => {
+test('after one loss the tasks that were lost together start on different workers', () => {
   const state = stateOf(
     testJob('a', [{ tasks: 1 }]),
     testJob('b', [{ tasks: 1 }]),
@@ -145,7 +145,7 @@
   assert.deepEqual(planRound(state).sort(), ['a0 w1', 'b0 w2']);
 });
 
-test('a suspected task keeps no place from tasks like it', () => {
+test('a suspected task blocks only one worker for the other tasks of its step', () => {
   const state = stateOf(testJob('a', [{ tasks: 5 }]));
   startOn(state, taskOf(state, 'a', 0, 1), 'w1');
   makeSuspect(state, 'a', 0);
@@ -157,7 +157,7 @@
   assert.deepEqual(planRound(state, others), ['a4 w2']);
 });
 
-test('members of a suspected gang start together in the end', () => {
+test('all members of a gang with a suspected member start together', () => {
   const state = stateOf(testJob('a', [{ tasks: 3, gang: true }]));
   makeSuspect(state, 'a', 1);
   const tasks = state.jobs.get('a')?.occurrences.get(0)?.steps[0]?.tasks ?? [];
@@ -165,7 +165,7 @@
   assert.equal(planRound(state).length, 3);
 });
 
-test('no copy is started of a task under which a worker was lost', () => {
+test('no speculative copy is started of a task with lost workers', () => {
   const state = stateOf(testJob('a', [{ tasks: 1, speculative: true }]));
   const task = taskOf(state, 'a', 0, 0);
   startAndLose(state, task);
--- a/packages/domain/src/jobs/record-rows.test.ts
+++ b/packages/domain/src/jobs/record-rows.test.ts
@@ -14,7 +14,7 @@
   return new TextEncoder().encode(JSON.stringify(row));
 }
 
-test('records of another version are told from known ones', () => {
+test('unknown and malformed records are not decoded', () => {
   const rows = [null, 7, {}, [], ['audit', 1], ['submit', { id: 'x' }]];
   for (const row of rows) {
     assert.equal(decodeInbox(bytesOf(row)), undefined, JSON.stringify(row));
@@ -24,7 +24,7 @@
   assert.equal(decodeJournal(new Uint8Array([0xff, 0])), undefined);
 });
 
-test('whatever a record holds, it is folded or passed over', () => {
+test('records with arbitrary content are applied or skipped without an error', () => {
   const tags = [
     'submit',
     'cancel',
@@ -59,8 +59,8 @@
   ) as unknown[];
 }
 
-// An earlier version that leads for a while has to find the worker of a run by the id that the registry tells.
-test('a start names the worker by its id, and its incarnation beside it', () => {
+// A leader of an earlier version has to find the worker of a run by the id in the registry.
+test('a start contains the worker id and, in a separate column, the start time of its incarnation', () => {
   for (const kind of ['start', 'moved'] as const) {
     const record = { kind, task: TASK, run: 3, worker: 'i-1@1700' };
     assert.deepEqual(rowOf(record).slice(2), [3, 'i-1', 1_700]);
@@ -68,8 +68,8 @@
   }
 });
 
-// The journal of an earlier version does not say which incarnation of a worker was meant.
-test('a start of an earlier version is at a worker of which the incarnation is not known', () => {
+// Earlier versions do not record the incarnation of the worker.
+test('a start without a valid incarnation is decoded with the worker id alone', () => {
   const name = '00000000000000a1.0.0.0';
   for (const rest of [[], [null], ['1700'], [-1], [0.5]]) {
     const found = decodeJournal(bytesOf(['s', name, 1, 'i-1', ...rest]));
--- a/packages/domain/src/jobs/summary.test.ts
+++ b/packages/domain/src/jobs/summary.test.ts
@@ -5,7 +5,7 @@
 import { decodeSummary, encodeSummary, rowOf, Summary } from './summary.js';
 import { stateOf, testJob } from './test-support.js';
 
-/** Returns what a reader is told of a job that has failed for a reason, or has not. */
+/** Returns the state that a reader of the summary has of a job with this failure, or without one. */
 function stateFromSummary(
   failure: FailureReason | undefined,
 ): JobState | undefined {
@@ -22,14 +22,14 @@
   return summary.stateOf('a');
 }
 
-test('readers of the summary know why a job has failed', () => {
+test('the summary contains the reason why a job has failed', () => {
   for (const failure of ['attempts_spent', 'workers_lost'] as const) {
     assert.deepEqual(stateFromSummary(failure), { status: 'failed', failure });
   }
   assert.deepEqual(stateFromSummary(undefined), { status: 'queued' });
 });
 
-test('a row of an earlier version says that a job has failed, and not why', () => {
+test('a row of an earlier version reports a failed job without a reason', () => {
   const text = JSON.stringify(['r', 1, [['a', 'f']]]);
   const record = decodeSummary(new TextEncoder().encode(text));
   assert.ok(record?.kind === 'rows');
--- a/packages/domain/src/jobs/worker-health.test.ts
+++ b/packages/domain/src/jobs/worker-health.test.ts
@@ -4,7 +4,7 @@
 import { isStalled, WorkerHealth } from './worker-health.js';
 import { endRun, startOn, stateOf, taskOf, testJob } from './test-support.js';
 
-test('a worker is trusted until a run fails there', () => {
+test('a worker is fully trusted until a run fails there', () => {
   const health = new WorkerHealth();
   const state = stateOf(testJob('j', [{}]));
   const task = taskOf(state, 'j', 0, 0);
@@ -16,7 +16,7 @@
   assert.equal(health.trustIn('w', 2_000), 'full');
 });
 
-test('rests grow with failures in a row, up to a bound', () => {
+test('the pause grows with consecutive failures up to a limit', () => {
   const health = new WorkerHealth();
   const task = taskOf(stateOf(testJob('j', [{}])), 'j', 0, 0);
   for (let i = 0; i < 9; i += 1) {
@@ -26,7 +26,7 @@
   assert.equal(health.trustIn('w', 4_100), 'one_run');
 });
 
-test('a task that failed elsewhere is blamed, not the worker', () => {
+test('the failure of a task that also failed on other workers does not count against the worker', () => {
   const health = new WorkerHealth();
   const state = stateOf(testJob('j', [{}]));
   const task = taskOf(state, 'j', 0, 0);
@@ -35,7 +35,7 @@
   assert.equal(health.trustIn('w', 0), 'full');
 });
 
-test('a run without progress is stalled, unless it is throttled', () => {
+test('a run without progress is stalled unless it is throttled', () => {
   const state = stateOf(testJob('j', [{}]));
   const run = startOn(state, taskOf(state, 'j', 0, 0), 'w');
   assert.ok(run.progress);
@@ -46,7 +46,7 @@
   assert.equal(isStalled(run, 3_000), false);
 });
 
-test('a run that was not reported again is not stalled', () => {
+test('a run without recent reports is not stalled', () => {
   const state = stateOf(testJob('j', [{}]));
   const run = startOn(state, taskOf(state, 'j', 0, 0), 'w');
   assert.ok(run.progress);
