--- a/packages/domain/src/jobs/fold.ts
+++ b/packages/domain/src/jobs/fold.ts
@@ -1,14 +1,18 @@
 /** Applies the records of the inbox and the journal to the state of jobs. */
 import type { Instant, Millis } from '../core/time.js';
-import { discountExplainedLosses, isGivenUp, noteLoss } from './blame.js';
+import {
+  discountExplainedLosses,
+  isAbandoned,
+  noteLoss,
+} from './suspect-tasks.js';
 import type {
-  HandedLeases,
+  LeaseHandover,
   InboxRecord,
   JournalRecord,
   RunEnd,
 } from './records.js';
 import {
-  isOver,
+  isFinished,
   newJob,
   occurrenceOf,
   type Job,
@@ -20,7 +24,7 @@
   findTask,
   moveRun,
   openRun,
-  openRunsAt,
+  countOpenRunsAt,
   type JobsState,
 } from './jobs-state.js';
 import { applyImage } from './restate.js';
@@ -42,7 +46,7 @@
     case 'volunteer': {
       const { host, cores, address } = record;
       const heardAt = state.now;
-      state.volunteers.set(host, { cores, address, heardAt });
+      state.volunteers.set(host, { cores, address, lastOfferAt: heardAt });
       return;
     }
   }
@@ -90,7 +94,7 @@
       );
       return true;
     case 'reached':
-      state.reachedIn.set(record.worker, state.claim.epoch);
+      state.reachedInEpoch.set(record.worker, state.claim.epoch);
       state.unresponsiveSince.delete(record.worker);
       return true;
     case 'restate':
@@ -123,7 +127,7 @@
 /** Does nothing for a claim that is read a second time. */
 function notePreviousEpoch(state: JobsState, epoch: number): void {
   if (epoch > state.claim.epoch) {
-    state.epochBefore = state.claim.epoch;
+    state.previousEpoch = state.claim.epoch;
   }
 }
 
@@ -133,7 +137,7 @@
  */
 function noteUnresponsive(
   state: JobsState,
-  handed: HandedLeases | undefined,
+  handed: LeaseHandover | undefined,
 ): void {
   if (handed !== undefined) {
     const { unresponsiveSince, journalTime } = state;
@@ -148,9 +152,9 @@
 
 /** The leader that last reached a worker matters only while the worker has open runs. */
 function forgetIdleWorkers(state: JobsState): void {
-  for (const worker of state.reachedIn.keys()) {
-    if (openRunsAt(state, worker) === 0) {
-      state.reachedIn.delete(worker);
+  for (const worker of state.reachedInEpoch.keys()) {
+    if (countOpenRunsAt(state, worker) === 0) {
+      state.reachedInEpoch.delete(worker);
     }
   }
 }
@@ -306,14 +310,14 @@
   }
   const { job } = occurrence;
   job.remaining -= 1;
-  if (isOver(job)) {
+  if (isFinished(job)) {
     noteFinished(state, job);
   }
 }
 
 function noteStarted(state: JobsState, job: Job): void {
-  if (!job.begun) {
-    job.begun = true;
+  if (!job.hasStarted) {
+    job.hasStarted = true;
     state.changed?.add(job);
   }
 }
@@ -327,7 +331,7 @@
 /** Applies to long-running tasks as well: each start costs a worker and everything that runs there. */
 function failIfAbandoned(state: JobsState, task: Task): void {
   const { job } = task.step.occurrence;
-  if (isGivenUp(task) && !isOver(job)) {
+  if (isAbandoned(task) && !isFinished(job)) {
     job.failure = 'workers_lost';
     discountExplainedLosses(state, task);
     noteFinished(state, job);
--- a/packages/domain/src/jobs/jobs-state.ts
+++ b/packages/domain/src/jobs/jobs-state.ts
@@ -1,16 +1,16 @@
 /** The state of all jobs and of the runs on each worker. */
 import type { Instant, Millis } from '../core/time.js';
 import {
-  isOver,
+  isFinished,
   occurrenceOf,
   type Job,
   type Run,
   type Step,
   type Task,
 } from './job.js';
-import { workerOf } from './incarnation.js';
+import { workerIdOf } from './incarnation.js';
 import { JournalTime } from './journal-time.js';
-import type { LearntAt } from './learnt.js';
+import type { ReceivedEstimates } from './learned-estimates.js';
 import type { Volunteer } from './standbys.js';
 import { taskName, type TaskRef } from './task-ref.js';
 
@@ -46,9 +46,9 @@
   readonly incarnations: Map<string, string[]>;
   claim: Claim;
   /** Epoch of the claim before the newest one; 0 if there is none or it is unknown. */
-  epochBefore: number;
+  previousEpoch: number;
   /** Epoch of the last leader that reached a worker, by id: no later leader has extended the lease there. */
-  readonly reachedIn: Map<string, number>;
+  readonly reachedInEpoch: Map<string, number>;
   /** Hosts that have offered to be standbys, by name. */
   readonly volunteers: Map<string, Volunteer>;
   /** Hosts that the leader has chosen as standbys; undefined while every host may be one. */
@@ -60,7 +60,7 @@
   /** Monotonic time at which records are applied, set by the caller that applies them. */
   now: Instant;
   /** Estimates of the newest leader that has recorded any. */
-  learnt: LearntAt | undefined;
+  learnt: ReceivedEstimates | undefined;
   /** Whether the leader has asked to be replaced. */
   released: boolean;
   /** Clock of the journal. */
@@ -81,8 +81,8 @@
     workers: new Map(),
     incarnations: new Map(),
     claim: { epoch: 0, host: '', nonce: 0 },
-    epochBefore: 0,
-    reachedIn: new Map(),
+    previousEpoch: 0,
+    reachedInEpoch: new Map(),
     volunteers: new Map(),
     standbys: undefined,
     leaderAddress: undefined,
@@ -130,7 +130,7 @@
   }
   const created = emptyRuns();
   state.workers.set(worker, created);
-  state.incarnations.set(workerOf(worker), [
+  state.incarnations.set(workerIdOf(worker), [
     ...dropIdleIncarnations(state, otherIncarnations(state, worker)),
     worker,
   ]);
@@ -149,19 +149,22 @@
 }
 
 /** Returns the open runs of all other incarnations of the same worker. */
-export function runsOfOthers(state: JobsState, incarnation: string): Run[] {
+export function runsOfOtherIncarnations(
+  state: JobsState,
+  incarnation: string,
+): Run[] {
   return otherIncarnations(state, incarnation).flatMap(other => [
     ...(state.workers.get(other)?.runs.values() ?? []),
   ]);
 }
 
 function otherIncarnations(state: JobsState, incarnation: string): string[] {
-  const known = state.incarnations.get(workerOf(incarnation)) ?? [];
+  const known = state.incarnations.get(workerIdOf(incarnation)) ?? [];
   return known.filter(other => other !== incarnation);
 }
 
 /** Returns the number of open runs of all incarnations of a worker. */
-export function openRunsAt(state: JobsState, worker: string): number {
+export function countOpenRunsAt(state: JobsState, worker: string): number {
   const known = state.incarnations.get(worker) ?? [];
   return known.reduce(
     (count, name) => count + (state.workers.get(name)?.runs.size ?? 0),
@@ -182,7 +185,7 @@
 }
 
 /** Returns the number of runs that have not ended. */
-export function openRunsOf({ workers }: JobsState): number {
+export function countOpenRuns({ workers }: JobsState): number {
   let count = 0;
   for (const { runs } of workers.values()) {
     count += runs.size;
@@ -223,7 +226,7 @@
 
 function addToWorker(state: JobsState, run: Run): void {
   const { task, number, worker } = run;
-  const { spread } = task.step;
+  const { openRunsByWorker: spread } = task.step;
   spread.set(worker, (spread.get(worker) ?? 0) + 1);
   const load = workerRuns(state, worker);
   load.runs.set(runKey(taskName(refOf(task)), number), run);
@@ -231,13 +234,13 @@
 }
 
 /** Removes jobs that finished before `since` and have no open runs. */
-export function forgetOver(
+export function forgetFinishedJobs(
   state: JobsState,
   now: Instant,
   since: Instant,
 ): void {
   for (const job of state.jobs.values()) {
-    if (!isOver(job)) {
+    if (!isFinished(job)) {
       continue;
     }
     job.finishedAt ??= now;
@@ -246,7 +249,7 @@
     }
   }
   for (const task of state.suspects) {
-    if (isOver(task.step.occurrence.job)) {
+    if (isFinished(task.step.occurrence.job)) {
       state.suspects.delete(task);
     }
   }
@@ -255,7 +258,7 @@
 /** Tells whether a run of the job has not ended. */
 export function hasOpenRuns(job: Job): boolean {
   return [...job.occurrences.values()].some(({ steps }) =>
-    steps.some(({ spread }) => spread.size > 0),
+    steps.some(({ openRunsByWorker: spread }) => spread.size > 0),
   );
 }
 
@@ -282,11 +285,11 @@
 
 function removeFromWorker(state: JobsState, run: Run): void {
   const { step } = run.task;
-  const left = (step.spread.get(run.worker) ?? 1) - 1;
+  const left = (step.openRunsByWorker.get(run.worker) ?? 1) - 1;
   if (left === 0) {
-    step.spread.delete(run.worker);
+    step.openRunsByWorker.delete(run.worker);
   } else {
-    step.spread.set(run.worker, left);
+    step.openRunsByWorker.set(run.worker, left);
   }
   const load = workerRuns(state, run.worker);
   load.runs.delete(runKey(taskName(refOf(run.task)), run.number));
--- a/packages/domain/src/jobs/learnt.ts
+++ b/packages/domain/src/jobs/learned-estimates.ts
@@ -14,7 +14,7 @@
 ];
 
 /** The estimates that a leader has learned. */
-export interface Learnt {
+export interface LearnedEstimates {
   /** Average run time in milliseconds by queue and image. */
   readonly runTimes: readonly (readonly [key: string, average: number])[];
   /** Interference pressure by pair of images. */
@@ -24,27 +24,27 @@
 }
 
 /** Learned estimates and the time at which this host read them. */
-export interface LearntAt {
-  readonly learnt: Learnt;
+export interface ReceivedEstimates {
+  readonly learnt: LearnedEstimates;
   /** Monotonic. */
   readonly readAt: Instant;
 }
 
 /** Maximum number of entries of each kind in a record: about 60 KB, a quarter of the maximum record size. */
-export const MAX_LEARNT = 1_000;
+export const MAX_LEARNED_ENTRIES = 1_000;
 
 /** Decimal places that are kept: far finer than the precision of the estimates. */
 const DECIMAL_PLACES = 3;
 
 /** Rounds a value for the record. */
-export function roundLearnt(value: number): number {
+export function roundEstimate(value: number): number {
   return Number(value.toFixed(DECIMAL_PLACES));
 }
 
 /** Returns the valid entries of a record: an earlier version may have recorded values that are not numbers. */
 export function parseEstimates(
-  found: Partial<Learnt> | null | undefined,
-): Learnt {
+  found: Partial<LearnedEstimates> | null | undefined,
+): LearnedEstimates {
   const { runTimes, pressures, lowTails } = found ?? {};
   return {
     runTimes: validRows(runTimes),
--- a/packages/domain/src/jobs/suspicion.ts
+++ b/packages/domain/src/jobs/loss-attribution.ts
@@ -1,7 +1,7 @@
 /** Judges how likely each run that was lost with a worker is to have caused the loss. */
 import type { Instant, Millis, SpanBounds } from '../core/time.js';
-import { LOSS_RETENTION_MS, lostUnder } from './blame.js';
-import { workerOf } from './incarnation.js';
+import { LOSS_RETENTION_MS, workersLostUnder } from './suspect-tasks.js';
+import { workerIdOf } from './incarnation.js';
 import type { Job, Run } from './job.js';
 import type { JobsState } from './jobs-state.js';
 import type { Suspicion } from './loss.js';
@@ -22,11 +22,11 @@
  * How a worker was lost: it crashed; it was removed, which it may have announced; or it may only be
  * unreachable or has left as announced.
  */
-export type WorkerFate = 'crashed' | 'gone' | 'unknown';
+export type WorkerLossKind = 'crashed' | 'gone' | 'unknown';
 
 /** Evidence about the loss of a worker. */
 export interface LossEvidence {
-  readonly fate: WorkerFate;
+  readonly lossKind: WorkerLossKind;
   /** Number of workers that are registered. */
   readonly fleetSize: number;
   /** Monotonic time at which this leader took over. */
@@ -37,18 +37,18 @@
 }
 
 /** How likely a lost run is to be the cause, and its age when it was lost. */
-export interface JudgedLoss {
+export interface LossAttribution {
   readonly suspicion: Suspicion;
   readonly age: SpanBounds;
 }
 
 /** Judges each of the runs that were lost with one worker. */
-export function suspicionsOf(
+export function attributeLoss(
   state: JobsState,
   runs: readonly Run[],
   evidence: LossEvidence,
-): Map<Run, JudgedLoss> {
-  const { fate, leadsSince } = evidence;
+): Map<Run, LossAttribution> {
+  const { lossKind: fate, leadsSince } = evidence;
   const settled = new Set(
     runs.filter(run => isSettled(state, run, leadsSince)),
   );
@@ -136,7 +136,7 @@
 ): Millis {
   const seen = Math.min(
     journalTime.previousLeaderUntil,
-    unresponsiveSince.get(workerOf(worker)) ?? Infinity,
+    unresponsiveSince.get(workerIdOf(worker)) ?? Infinity,
   );
   return Math.max(
     0,
@@ -150,7 +150,7 @@
   { task, worker }: Run,
   { fleetSize, now }: LossEvidence,
 ): boolean {
-  const own = new Set([worker, ...lostUnder(task)]);
+  const own = new Set([worker, ...workersLostUnder(task)]);
   const losses = [...workerLosses].filter(
     ([lost, at]) => now - at < LOSS_RETENTION_MS && !own.has(lost),
   );
--- a/packages/domain/src/jobs/quarantine.ts
+++ b/packages/domain/src/jobs/quarantine.ts
@@ -4,10 +4,10 @@
  * other runs and shows which task caused it. If no such worker is free, one is reserved until it is.
  */
 import type { Instant, Millis } from '../core/time.js';
-import { blameOf, isSuspect } from './blame.js';
-import { isOver, type Step, type Task } from './job.js';
+import { suspicionPercent, isSuspect } from './suspect-tasks.js';
+import { isFinished, type Step, type Task } from './job.js';
 import type { JobsState } from './jobs-state.js';
-import { isSettled } from './suspicion.js';
+import { isSettled } from './loss-attribution.js';
 
 /** Input of a quarantine. */
 export interface QuarantineInput {
@@ -44,7 +44,10 @@
     const { suspects } = input.state;
     const waiting: Task[] = [];
     for (const task of suspects) {
-      if (blameOf(task) === 0 || isOver(task.step.occurrence.job)) {
+      if (
+        suspicionPercent(task) === 0 ||
+        isFinished(task.step.occurrence.job)
+      ) {
         suspects.delete(task);
       } else if (isSuspect(task)) {
         waiting.push(...(task.status === 'waiting' ? [task] : []));
@@ -66,7 +69,7 @@
       return isolated.spec.gang && isolated === task.step;
     }
     return isSuspect(task)
-      ? this.isPatienceOver(task) || this.countUnsettled(worker) === 0
+      ? this.hasIsolationWaitExpired(task) || this.countUnsettled(worker) === 0
       : !this.reserved.has(worker);
   }
 
@@ -82,7 +85,10 @@
    * Reserves a worker for each suspected task that waits: the `suited` worker with the fewest runs that have
    * not settled. Reserves no more than a share of `fleetSize`.
    */
-  keep(fleetSize: number, suited: (task: Task) => Iterable<string>): void {
+  reserveWorkers(
+    fleetSize: number,
+    suited: (task: Task) => Iterable<string>,
+  ): void {
     const share = Math.max(1, Math.floor(fleetSize * MAX_RESERVED_SHARE));
     const limit = Math.min(MAX_RESERVED_WORKERS, share);
     const waiting = this.waiting.filter(({ status }) => status === 'waiting');
@@ -110,7 +116,7 @@
   }
 
   /** Tells whether a task no longer waits for a worker of its own. */
-  isPatienceOver({ lossHistory }: Task): boolean {
+  hasIsolationWaitExpired({ lossHistory }: Task): boolean {
     return this.input.now - lossHistory.lastLossAt >= MAX_ISOLATION_WAIT_MS;
   }
 
--- a/packages/domain/src/jobs/records.ts
+++ b/packages/domain/src/jobs/records.ts
@@ -5,7 +5,7 @@
  * decisions of the leader, and the log rejects appends to it from any other host.
  */
 import type { Instant, Millis, SpanBounds } from '../core/time.js';
-import type { Learnt } from './learnt.js';
+import type { LearnedEstimates } from './learned-estimates.js';
 import type { Suspicion } from './loss.js';
 import type { JobImage } from './restate.js';
 import type { JobSpec } from './spec.js';
@@ -37,7 +37,7 @@
  * Remaining times of leases as a leader reports them in its heartbeats: upper bounds at the time of writing.
  * An earlier leader that is not listed holds no valid lease.
  */
-export interface HandedLeases {
+export interface LeaseHandover {
   /** By epoch of the leader; the writer's own entry covers leases that it may grant before its next record. */
   readonly epochs: readonly (readonly [epoch: number, leftMs: number])[];
   /** By id of a worker with open runs that does not answer the writer, which no longer extends its leases. */
@@ -60,7 +60,7 @@
       readonly host: string;
       readonly nonce: number;
       /** Undefined if the leader may not know the leases of all earlier leaders. */
-      readonly handed: HandedLeases | undefined;
+      readonly handed: LeaseHandover | undefined;
       /** Hosts that read the journal as standbys; undefined while every host may. */
       readonly standbys: readonly string[] | undefined;
       /** Address at which the leader accepts records for the inbox. */
@@ -78,7 +78,7 @@
       readonly heldMs: number | undefined;
     }
   /** The estimates that the leader has learned so far; the newest record replaces earlier ones. */
-  | { readonly kind: 'learnt'; readonly learnt: Learnt }
+  | { readonly kind: 'learnt'; readonly learnt: LearnedEstimates }
   /** The leader has reached the worker with this id and may extend its lease from now on. */
   | { readonly kind: 'reached'; readonly worker: string }
   /** A worker has started a run of the job, the first one that is confirmed. */
--- a/packages/domain/src/jobs/standbys.ts
+++ b/packages/domain/src/jobs/standbys.ts
@@ -10,14 +10,14 @@
   /** Address at which other hosts reach it; undefined if it runs an earlier version. */
   readonly address: string | undefined;
   /** Monotonic time at which its newest offer was read. */
-  readonly heardAt: Instant;
+  readonly lastOfferAt: Instant;
 }
 
 /**
  * Maximum number of standbys besides the leader. If a third of all hosts are unreachable, all nine are
  * unreachable once in 20,000 times; and in a fleet of up to nine hosts every other host is a standby.
  */
-export const STANDBYS = 8;
+export const MAX_STANDBYS = 8;
 /** Time after its last offer at which a host counts as unavailable: three offers may be lost. */
 export const VOLUNTEER_TIMEOUT_MS: Millis = 12_000;
 
@@ -35,7 +35,7 @@
   now: Instant,
 ): Map<string, string> {
   const found = new Map<string, string>();
-  for (const [host, { address, heardAt }] of volunteers) {
+  for (const [host, { address, lastOfferAt: heardAt }] of volunteers) {
     const follows = standbys?.includes(host) ?? true;
     const isAvailable = now - heardAt < VOLUNTEER_TIMEOUT_MS;
     if (address !== undefined && host !== leader && follows && isAvailable) {
@@ -46,8 +46,11 @@
 }
 
 /** Tells whether there are, or have been, more hosts than the leader and its standbys. */
-export function isCrowded({ volunteers, standbys }: Candidates): boolean {
-  return standbys !== undefined || volunteers.size > STANDBYS;
+export function hasMoreHostsThanStandbys({
+  volunteers,
+  standbys,
+}: Candidates): boolean {
+  return standbys !== undefined || volunteers.size > MAX_STANDBYS;
 }
 
 /**
@@ -59,18 +62,20 @@
   leader: string,
   now: Instant,
 ): string[] | undefined {
-  if (!isCrowded(candidates)) {
+  if (!hasMoreHostsThanStandbys(candidates)) {
     return undefined;
   }
   const { volunteers, standbys = [] } = candidates;
   const wasChosen = (host: string): number => Number(standbys.includes(host));
   return [...volunteers]
     .filter(([host]) => host !== leader)
-    .filter(([, { heardAt }]) => now - heardAt < VOLUNTEER_TIMEOUT_MS)
+    .filter(
+      ([, { lastOfferAt: heardAt }]) => now - heardAt < VOLUNTEER_TIMEOUT_MS,
+    )
     .sort(
       ([a, one], [b, other]) =>
         other.cores - one.cores || wasChosen(b) - wasChosen(a),
     )
-    .slice(0, STANDBYS)
+    .slice(0, MAX_STANDBYS)
     .map(([host]) => host);
 }
--- a/packages/domain/src/jobs/summary.test.ts
+++ b/packages/domain/src/jobs/summary.test.ts
@@ -2,7 +2,12 @@
 import { test } from 'node:test';
 
 import type { FailureReason, JobState } from './job.js';
-import { decodeSummary, encodeSummary, rowOf, Summary } from './summary.js';
+import {
+  decodeSummary,
+  encodeSummary,
+  summaryRowOf,
+  Summary,
+} from './summary.js';
 import { stateOf, testJob } from './test-support.js';
 
 /** Returns the state that a reader of the summary has of a job with this failure, or without one. */
@@ -12,7 +17,7 @@
   const job = stateOf(testJob('a', [{ tasks: 1 }])).jobs.get('a');
   assert.ok(job);
   job.failure = failure;
-  const rows = [rowOf(job)];
+  const rows = [summaryRowOf(job)];
   const bytes = encodeSummary({ kind: 'rows', inboxUpTo: 1, rows });
   const record = decodeSummary(bytes);
   assert.ok(record?.kind === 'rows');
--- a/packages/domain/src/jobs/summary.ts
+++ b/packages/domain/src/jobs/summary.ts
@@ -6,7 +6,7 @@
  */
 import type { Instant } from '../core/time.js';
 import {
-  toldStateOf,
+  reportedStateOf,
   type FailureReason,
   type Job,
   type JobState,
@@ -86,8 +86,8 @@
 const encoder = new TextEncoder();
 
 /** Returns the row for the current state of a job. */
-export function rowOf(job: Job): SummaryRow {
-  const { status, failure } = toldStateOf(job);
+export function summaryRowOf(job: Job): SummaryRow {
+  const { status, failure } = reportedStateOf(job);
   const { id, terms } = job.spec;
   if (status === 'failed' && failure !== undefined) {
     return [id, status, undefined, failure];
@@ -209,7 +209,7 @@
   }
 
   /** Removes jobs that finished before `since`. */
-  forgetOver(since: Instant): void {
+  forgetFinishedJobs(since: Instant): void {
     for (const [job, { finishedAt }] of this.jobs) {
       if (finishedAt < since) {
         this.jobs.delete(job);
--- a/packages/domain/src/jobs/blame.test.ts
+++ b/packages/domain/src/jobs/suspect-tasks.test.ts
@@ -1,21 +1,21 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { blameOf, isGivenUp, lostUnder } from './blame.js';
+import { suspicionPercent, isAbandoned, workersLostUnder } from './suspect-tasks.js';
 import type { Run, Task } from './job.js';
 import { statusOf } from './job.js';
 import { applyInbox } from './fold.js';
-import { forgetOver, refOf, type JobsState } from './jobs-state.js';
+import { forgetFinishedJobs, refOf, type JobsState } from './jobs-state.js';
 import { UNKNOWN_SPAN } from '../core/time.js';
 import type { Suspicion } from './loss.js';
 import { decodeJournal, encodeRecord } from './record-rows.js';
 import { imageOf } from './restate.js';
 import {
   SETTLED_MS,
-  suspicionsOf,
-  type JudgedLoss,
+  attributeLoss,
+  type LossAttribution,
   type LossEvidence,
-} from './suspicion.js';
+} from './loss-attribution.js';
 import {
   apply,
   stateOf,
@@ -26,7 +26,7 @@
 } from './test-support.js';
 
 const CONFIRMED_CRASH: LossEvidence = {
-  fate: 'crashed',
+  lossKind: 'crashed',
   fleetSize: 40,
   lostBy: 0,
   now: 0,
@@ -71,7 +71,7 @@
   loseRun(state, startOn(state, task, `w${task.lastRun + 1}`), suspicion, age);
 }
 
-function suspicionsIn(judged: ReadonlyMap<Run, JudgedLoss>): Suspicion[] {
+function suspicionsIn(judged: ReadonlyMap<Run, LossAttribution>): Suspicion[] {
   return [...judged.values()].map(({ suspicion }) => suspicion);
 }
 
@@ -79,7 +79,7 @@
   const state = stateWithJobs('a');
   const task = taskOf(state, 'a', 0, 0);
   let losses = 0;
-  while (!isGivenUp(task)) {
+  while (!isAbandoned(task)) {
     startAndLose(
       state,
       task,
@@ -96,27 +96,27 @@
   assert.ok(recent && settled);
   setRunTime(recent, SETTLED_MS - 1);
   setRunTime(settled, SETTLED_MS);
-  const found = suspicionsOf(state, [recent, settled], CONFIRMED_CRASH);
+  const found = attributeLoss(state, [recent, settled], CONFIRMED_CRASH);
   assert.deepEqual(suspicionsIn(found), ['sole', 'cleared']);
 });
 
 test('runs of several jobs share the suspicion, runs of a single job do not', () => {
   const state = stateWithJobs('a', 'b');
   const runs = startTogether(state, 'a', 'b');
-  const shared = suspicionsOf(state, runs, CONFIRMED_CRASH);
+  const shared = attributeLoss(state, runs, CONFIRMED_CRASH);
   assert.deepEqual(suspicionsIn(shared), ['shared', 'shared']);
   const second = startOn(state, taskOf(state, 'a', 0, 1), 'w');
   const own = runs.slice(0, 1).concat(second);
-  const sole = suspicionsOf(state, own, CONFIRMED_CRASH);
+  const sole = attributeLoss(state, own, CONFIRMED_CRASH);
   assert.deepEqual(suspicionsIn(sole), ['sole', 'sole']);
 });
 
 test('the loss of a worker that may only be unreachable is doubtful', () => {
   const state = stateWithJobs('a');
   const runs = startTogether(state, 'a');
-  const found = suspicionsOf(state, runs, {
+  const found = attributeLoss(state, runs, {
     ...CONFIRMED_CRASH,
-    fate: 'unknown',
+    lossKind: 'unknown',
   });
   assert.deepEqual(suspicionsIn(found), ['doubtful']);
 });
@@ -128,7 +128,7 @@
   const other = taskOf(state, 'b', 0, 0);
   const small = { ...CONFIRMED_CRASH, fleetSize: 6 };
   const judge = (evidence: LossEvidence): Suspicion | undefined =>
-    suspicionsOf(state, [run], evidence).get(run)?.suspicion;
+    attributeLoss(state, [run], evidence).get(run)?.suspicion;
   assert.equal(judge(small), 'sole');
   // One of six workers per minute: a healthy worker is lost within 5 s with a probability above 1 %.
   startAndLose(state, other, 'unexplained');
@@ -161,7 +161,7 @@
   assert.equal(statusOf(job), 'queued');
   startAndLose(state, task, 'sole');
   assert.equal(statusOf(job), 'failed');
-  assert.deepEqual(lostUnder(task), ['w1', 'w2', 'w3']);
+  assert.deepEqual(workersLostUnder(task), ['w1', 'w2', 'w3']);
   assert.equal(state.open.has(job), false);
 });
 
@@ -172,8 +172,8 @@
   startAndLose(state, task, 'sole');
   startAndLose(state, task, 'cleared');
   startAndLose(state, task, 'sole');
-  assert.equal(isGivenUp(task), false);
-  assert.deepEqual(lostUnder(task), ['w4']);
+  assert.equal(isAbandoned(task), false);
+  assert.deepEqual(workersLostUnder(task), ['w4']);
 });
 
 test('ends other than losses add no suspicion', () => {
@@ -182,7 +182,7 @@
   for (const how of ['lapsed', 'void', 'stopped', 'broken'] as const) {
     endRun(state, startOn(state, task, 'w'), how);
   }
-  assert.equal(blameOf(task), 0);
+  assert.equal(suspicionPercent(task), 0);
 });
 
 test('restated jobs keep the losses of their tasks', () => {
@@ -194,9 +194,9 @@
   const image = imageOf(task.step.occurrence.job, state);
   apply(reader, { kind: 'restate', image });
   const restored = taskOf(reader, 'a', 0, 0);
-  assert.deepEqual(lostUnder(restored), ['w1', 'w2']);
+  assert.deepEqual(workersLostUnder(restored), ['w1', 'w2']);
   startAndLose(reader, restored, 'sole');
-  assert.ok(isGivenUp(restored));
+  assert.ok(isAbandoned(restored));
 });
 
 test('earlier versions read a loss as an expired lease, and their expired leases are read as doubtful losses', () => {
@@ -237,7 +237,7 @@
     });
   }
   startAndLose(state, beside, 'sole');
-  assert.equal(isGivenUp(beside), true);
+  assert.equal(isAbandoned(beside), true);
   const again = stateWithJobs('a', 'b');
   const [first, second] = ['a', 'b'].map(job => taskOf(again, job, 0, 0));
   assert.ok(first && second);
@@ -249,9 +249,9 @@
   }
   startAndLose(again, first, 'sole');
   startAndLose(again, second, 'sole');
-  assert.equal(isGivenUp(second), false);
+  assert.equal(isAbandoned(second), false);
   startAndLose(again, second, 'sole');
-  assert.equal(isGivenUp(second), true);
+  assert.equal(isAbandoned(second), true);
 });
 
 test('losses that an earlier version recorded as expired leases count under a leader of this version', () => {
@@ -264,9 +264,9 @@
     assert.ok(earlier);
     apply(state, earlier);
   }
-  assert.equal(isGivenUp(task), false);
+  assert.equal(isAbandoned(task), false);
   startAndLose(state, task, 'sole');
-  assert.equal(isGivenUp(task), true);
+  assert.equal(isAbandoned(task), true);
 });
 
 test('tasks of finished jobs are no longer suspected', () => {
@@ -275,7 +275,7 @@
     startAndLose(state, taskOf(state, job, 0, 0), 'shared');
   }
   applyInbox(state, { kind: 'cancel', job: 'a' });
-  forgetOver(state, 0, 0);
+  forgetFinishedJobs(state, 0, 0);
   assert.deepEqual([...state.suspects], [taskOf(state, 'b', 0, 0)]);
 });
 
@@ -287,7 +287,7 @@
   const state = stateWithJobs('a');
   const task = taskOf(state, 'a', 0, 0);
   let losses = 0;
-  while (!isGivenUp(task) && losses < 10) {
+  while (!isAbandoned(task) && losses < 10) {
     const from = ages[losses % ages.length] ?? 0;
     startAndLose(state, task, suspicion, { from, to: from + 400 });
     losses += 1;
@@ -315,9 +315,9 @@
   for (const from of [0, 2_000, 0, 4_000]) {
     startAndLose(state, task, 'doubtful', { from, to: Infinity });
   }
-  assert.ok(!isGivenUp(task));
+  assert.ok(!isAbandoned(task));
   startAndLose(state, task, 'doubtful', { from: 100, to: Infinity });
-  assert.ok(isGivenUp(task));
+  assert.ok(isAbandoned(task));
 });
 
 // Such a task crashes at the same point of its work, so at a different age for each checkpoint it resumes from.
@@ -328,7 +328,7 @@
     task.checkpoint = at === 0 ? '' : `c${at}`;
     startAndLose(state, task, 'sole', { from, to: from + 100 });
   }
-  assert.ok(isGivenUp(task));
+  assert.ok(isAbandoned(task));
 });
 
 test('a loss at an imprecisely known age is doubtful', () => {
@@ -336,7 +336,7 @@
   const [run] = startTogether(state, 'a');
   assert.ok(run);
   const judge = (lostBy: number): Suspicion | undefined =>
-    suspicionsOf(state, [run], { ...CONFIRMED_CRASH, lostBy }).get(run)
+    attributeLoss(state, [run], { ...CONFIRMED_CRASH, lostBy }).get(run)
       ?.suspicion;
   assert.equal(judge(1_900), 'sole');
   assert.equal(judge(2_500), 'doubtful');
@@ -379,7 +379,7 @@
   const judge = (job: string): Suspicion | undefined => {
     const task = taskOf(state, job, 0, 0);
     const run = startOn(state, task, `${job}${task.lastRun + 1}`);
-    const judged = suspicionsOf(state, [run], small).get(run);
+    const judged = attributeLoss(state, [run], small).get(run);
     loseRun(state, run, judged?.suspicion ?? 'cleared', { from: 0, to: 0 });
     return judged?.suspicion;
   };
--- a/packages/domain/src/jobs/blame.ts
+++ b/packages/domain/src/jobs/suspect-tasks.ts
@@ -38,7 +38,7 @@
 const AGE_TOLERANCE_MS: Millis = 250;
 
 /** Returns the suspicion against a task in percent; 0 if there is none. */
-export function blameOf({ lossHistory }: Task): number {
+export function suspicionPercent({ lossHistory }: Task): number {
   const checkpoints = new Set(
     lossHistory.losses.map(({ resumedFrom }) => resumedFrom),
   );
@@ -93,17 +93,17 @@
 }
 
 /** Tells whether so many workers were lost under a task that it is abandoned. */
-export function isGivenUp(task: Task): boolean {
-  return blameOf(task) >= ABANDON_AT_PERCENT;
+export function isAbandoned(task: Task): boolean {
+  return suspicionPercent(task) >= ABANDON_AT_PERCENT;
 }
 
 /** Tells whether a task is isolated from others until it is known whether it crashes workers. */
 export function isSuspect(task: Task): boolean {
-  return blameOf(task) >= SUSPECT_AT_PERCENT;
+  return suspicionPercent(task) >= SUSPECT_AT_PERCENT;
 }
 
 /** Returns the workers that were lost while they ran a task, since it came under suspicion. */
-export function lostUnder({ lossHistory }: Task): string[] {
+export function workersLostUnder({ lossHistory }: Task): string[] {
   return lossHistory.losses.map(({ worker }) => worker);
 }
 
@@ -150,7 +150,7 @@
   { suspects }: JobsState,
   givenUp: Task,
 ): void {
-  const explained = new Set(lostUnder(givenUp));
+  const explained = new Set(workersLostUnder(givenUp));
   for (const task of suspects) {
     const losses = task === givenUp ? [] : task.lossHistory.losses;
     for (const loss of losses.filter(({ worker }) => explained.has(worker))) {
--- a/packages/domain/src/jobs/worker-health.ts
+++ b/packages/domain/src/jobs/worker-health.ts
@@ -75,7 +75,7 @@
   return (
     progress.confirmed &&
     !progress.stopping &&
-    (progress.allowed ?? 0) >= MIN_JUDGED_SPEED_PERCENT &&
+    (progress.allowedPercent ?? 0) >= MIN_JUDGED_SPEED_PERCENT &&
     progress.percent < 100 &&
     progress.seenAt - progress.percentSince > STALL_TIMEOUT_MS &&
     now - progress.allowedSince > STALL_TIMEOUT_MS
