--- a/packages/daemon/src/job-host/restarts-deployment.fixture.test.ts
+++ b/packages/daemon/src/job-host/restarts-deployment.fixture.test.ts
@@ -55,7 +55,10 @@
   });
   HOSTS.forEach(name => site.startHost(name));
   const step = { tasks: LONG_RUNNING_TASKS, after: [], lasting: true };
-  void site.submit(LONG_RUNNING_JOB, [step], { runMs: 10_000_000, failures: 0 });
+  void site.submit(LONG_RUNNING_JOB, [step], {
+    runMs: 10_000_000,
+    failures: 0,
+  });
   await site.time.advance(SETTLE_MS);
   assert.equal(site.history.runningOf(LONG_RUNNING_JOB), LONG_RUNNING_TASKS);
   return site;
@@ -132,7 +135,11 @@
 }
 
 /** Cuts a worker off from all hosts for `span`. */
-export function disconnectWorker(site: Simulation, machine: string, span: Millis): void {
+export function disconnectWorker(
+  site: Simulation,
+  machine: string,
+  span: Millis,
+): void {
   const from = site.time.clock();
   site.history.faults?.add({ from, until: from + span, of: 'workers' });
   const pairs = HOSTS.map(host => `${host}>${machine}`);
--- a/packages/domain/src/jobs/fold.ts
+++ b/packages/domain/src/jobs/fold.ts
@@ -45,8 +45,8 @@
     }
     case 'volunteer': {
       const { host, cores, address } = record;
-      const heardAt = state.now;
-      state.volunteers.set(host, { cores, address, lastOfferAt: heardAt });
+      const lastOfferAt = state.now;
+      state.volunteers.set(host, { cores, address, lastOfferAt });
       return;
     }
   }
--- a/packages/domain/src/jobs/job.ts
+++ b/packages/domain/src/jobs/job.ts
@@ -148,13 +148,13 @@
 export function newJob(
   spec: JobSpec,
   acceptedAtWall: Instant,
-  learntAt: Instant,
+  receivedAt: Instant,
   arrival: number,
 ): Job {
   return {
     spec,
     acceptedAtWall,
-    receivedAt: learntAt,
+    receivedAt,
     arrival,
     seenAt: undefined,
     occurrences: new Map(),
--- a/packages/domain/src/jobs/jobs-state.ts
+++ b/packages/domain/src/jobs/jobs-state.ts
@@ -226,8 +226,8 @@
 
 function addToWorker(state: JobsState, run: Run): void {
   const { task, number, worker } = run;
-  const { openRunsByWorker: spread } = task.step;
-  spread.set(worker, (spread.get(worker) ?? 0) + 1);
+  const { openRunsByWorker } = task.step;
+  openRunsByWorker.set(worker, (openRunsByWorker.get(worker) ?? 0) + 1);
   const load = workerRuns(state, worker);
   load.runs.set(runKey(taskName(refOf(task)), number), run);
   addLoad(load, task.step, 1);
@@ -258,7 +258,7 @@
 /** Tells whether a run of the job has not ended. */
 export function hasOpenRuns(job: Job): boolean {
   return [...job.occurrences.values()].some(({ steps }) =>
-    steps.some(({ openRunsByWorker: spread }) => spread.size > 0),
+    steps.some(({ openRunsByWorker }) => openRunsByWorker.size > 0),
   );
 }
 
--- a/packages/domain/src/jobs/loss-attribution.ts
+++ b/packages/domain/src/jobs/loss-attribution.ts
@@ -48,20 +48,20 @@
   runs: readonly Run[],
   evidence: LossEvidence,
 ): Map<Run, LossAttribution> {
-  const { lossKind: fate, leadsSince } = evidence;
+  const { lossKind, leadsSince } = evidence;
   const settled = new Set(
     runs.filter(run => isSettled(state, run, leadsSince)),
   );
   const recent = runs.filter(run => !settled.has(run));
   const jobs = new Set(recent.map(jobOf));
   const certain = jobs.size === 1 ? 'sole' : 'shared';
-  const isUnexplained = fate !== 'unknown' && recent.length === 0;
+  const isUnexplained = lossKind !== 'unknown' && recent.length === 0;
   const forSettled = isUnexplained ? 'unexplained' : 'cleared';
   return new Map(
     runs.map(run => {
       const age = ageBounds(state, run, evidence);
       const isIsolated = !hasUnrelatedLosses(state, run, evidence);
-      const isCertain = fate === 'crashed' && isIsolated && isPrecise(age);
+      const isCertain = lossKind === 'crashed' && isIsolated && isPrecise(age);
       const forRecent = isCertain ? certain : 'doubtful';
       const suspicion = settled.has(run) ? forSettled : forRecent;
       return [run, { suspicion, age }];
--- a/packages/domain/src/jobs/standbys.ts
+++ b/packages/domain/src/jobs/standbys.ts
@@ -35,9 +35,9 @@
   now: Instant,
 ): Map<string, string> {
   const found = new Map<string, string>();
-  for (const [host, { address, lastOfferAt: heardAt }] of volunteers) {
+  for (const [host, { address, lastOfferAt }] of volunteers) {
     const follows = standbys?.includes(host) ?? true;
-    const isAvailable = now - heardAt < VOLUNTEER_TIMEOUT_MS;
+    const isAvailable = now - lastOfferAt < VOLUNTEER_TIMEOUT_MS;
     if (address !== undefined && host !== leader && follows && isAvailable) {
       found.set(host, address);
     }
@@ -69,9 +69,7 @@
   const wasChosen = (host: string): number => Number(standbys.includes(host));
   return [...volunteers]
     .filter(([host]) => host !== leader)
-    .filter(
-      ([, { lastOfferAt: heardAt }]) => now - heardAt < VOLUNTEER_TIMEOUT_MS,
-    )
+    .filter(([, { lastOfferAt }]) => now - lastOfferAt < VOLUNTEER_TIMEOUT_MS)
     .sort(
       ([a, one], [b, other]) =>
         other.cores - one.cores || wasChosen(b) - wasChosen(a),
--- a/packages/domain/src/jobs/suspect-tasks.test.ts
+++ b/packages/domain/src/jobs/suspect-tasks.test.ts
@@ -1,7 +1,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { suspicionPercent, isAbandoned, workersLostUnder } from './suspect-tasks.js';
+import {
+  suspicionPercent,
+  isAbandoned,
+  workersLostUnder,
+} from './suspect-tasks.js';
 import type { Run, Task } from './job.js';
 import { statusOf } from './job.js';
 import { applyInbox } from './fold.js';
--- a/packages/domain/src/jobs/suspect-tasks.ts
+++ b/packages/domain/src/jobs/suspect-tasks.ts
@@ -148,11 +148,11 @@
 /** Marks losses of the same workers under other tasks as doubtful: the abandoned task caused most of them. */
 export function discountExplainedLosses(
   { suspects }: JobsState,
-  givenUp: Task,
+  abandoned: Task,
 ): void {
-  const explained = new Set(workersLostUnder(givenUp));
+  const explained = new Set(workersLostUnder(abandoned));
   for (const task of suspects) {
-    const losses = task === givenUp ? [] : task.lossHistory.losses;
+    const losses = task === abandoned ? [] : task.lossHistory.losses;
     for (const loss of losses.filter(({ worker }) => explained.has(worker))) {
       loss.suspicion = 'doubtful';
     }
--- a/packages/stand-ins/src/jobs/fault-free-guarantees.ts
+++ b/packages/stand-ins/src/jobs/fault-free-guarantees.ts
@@ -53,7 +53,10 @@
       return [];
     }
     const aloneAt = aloneFrom(run, step.tasks, runs) + GANG_MS;
-    const cancelAt = Math.min(job.cancelledAt, job.cancelRequestedAt ?? Infinity);
+    const cancelAt = Math.min(
+      job.cancelledAt,
+      job.cancelRequestedAt ?? Infinity,
+    );
     return aloneAt <= Math.min(run.endedAt, now) &&
       aloneAt < cancelAt &&
       faults.isFaultFree(aloneAt - GANG_MS - CONTACT_MS, aloneAt)
--- a/packages/stand-ins/src/jobs/response-guarantees.test.ts
+++ b/packages/stand-ins/src/jobs/response-guarantees.test.ts
@@ -66,7 +66,10 @@
 });
 
 test('a job shown as cancelled before anybody asked for it is reported, later it is not', () => {
-  const story = new Story([PAIR], { cancelRequestedAt: 1_000, cancelledAt: 2_000 });
+  const story = new Story([PAIR], {
+    cancelRequestedAt: 1_000,
+    cancelledAt: 2_000,
+  });
   story.now = 1_000;
   story.history.told(JOB, 900, 'cancelled');
   assert.deepEqual(story.broken(), []);
