--- a/packages/domain/src/jobs/spec.ts
+++ b/packages/domain/src/jobs/spec.ts
@@ -114,14 +114,14 @@
 const MILLI_PER_CORE = 1_000;
 
 /** Size of one occurrence of a job by the caller's estimates. */
-export interface AskedSize {
+export interface EstimatedSize {
   readonly tasks: number;
   /** Core-milliseconds. */
   readonly coreMs: number;
 }
 
 /** Returns the size of one occurrence of a job by the caller's estimates. */
-export function askedSizeOf({ steps }: JobSpec): AskedSize {
+export function askedSizeOf({ steps }: JobSpec): EstimatedSize {
   const sum = (of: (step: StepSpec) => number): number =>
     steps.reduce((total, step) => total + of(step), 0);
   return {
