--- a/packages/domain/src/jobs/summary.ts
+++ b/packages/domain/src/jobs/summary.ts
@@ -38,11 +38,11 @@
     }
   | {
       readonly kind: 'rows';
-      /** Offset in the inbox up to which records are summarized. */
+      /** Offset in the inbox before which all records are summarized. */
       readonly inboxUpTo: number;
       readonly rows: readonly SummaryRow[];
     }
-  /** Part of a snapshot of the summary up to the offset `summaryUpTo`. */
+  /** Part of a snapshot of the summary before the offset `summaryUpTo`. */
   | {
       readonly kind: 'snapshot';
       readonly part: number;
@@ -163,7 +163,7 @@
 
 /** The newest row of each job. */
 export class Summary {
-  /** Offset in the inbox up to which records are summarized. */
+  /** Offset in the inbox before which all records are summarized. */
   inboxUpTo = 0;
   private readonly jobs = new Map<string, SummarizedJob>();
   private readonly waiting = new Map<string, number>();
