--- a/packages/domain/src/jobs/journal-time.test.ts
+++ b/packages/domain/src/jobs/journal-time.test.ts
@@ -37,11 +37,11 @@
   const time = new JournalTime();
   time.noteClaim(1);
   time.noteLeadTime(1, 1_000);
-  const { currentMoment: present } = time;
-  assert.equal(present.nextRecordSlow, Infinity);
+  const { currentMoment } = time;
+  assert.equal(currentMoment.nextRecordSlow, Infinity);
   // The log was unavailable for eight seconds.
   time.noteLeadTime(1, 9_000);
-  assert.equal(present.nextRecordSlow, 9_000);
+  assert.equal(currentMoment.nextRecordSlow, 9_000);
 });
 
 test('the age of a moment is bounded by the silences since then', () => {
@@ -49,21 +49,30 @@
   time.noteClaim(1);
   time.noteLeadTime(1, 0);
   time.noteLeadTime(1, 1_000);
-  const { currentMoment: present } = time;
+  const { currentMoment } = time;
   time.noteLeadTime(1, 1_400);
   time.noteLeadTime(1, 3_000);
   time.noteClaim(2);
-  assert.deepEqual(time.spanBeforeLeader(present), {
+  assert.deepEqual(time.spanBeforeLeader(currentMoment), {
     from: 1_600,
     to: Infinity,
   });
   time.noteLeadTime(2, 0, { from: 1_200, to: 2_000 });
-  assert.deepEqual(time.spanBeforeLeader(present), { from: 2_800, to: 4_000 });
+  assert.deepEqual(time.spanBeforeLeader(currentMoment), {
+    from: 2_800,
+    to: 4_000,
+  });
   time.noteLeadTime(2, 5_000, { from: 1_200, to: 2_000 });
-  assert.deepEqual(time.spanBeforeLeader(present), { from: 2_800, to: 4_000 });
+  assert.deepEqual(time.spanBeforeLeader(currentMoment), {
+    from: 2_800,
+    to: 4_000,
+  });
   time.noteClaim(3);
   time.noteLeadTime(3, 0, { from: 100, to: 300 });
-  assert.deepEqual(time.spanBeforeLeader(present), { from: 7_900, to: 9_300 });
+  assert.deepEqual(time.spanBeforeLeader(currentMoment), {
+    from: 7_900,
+    to: 9_300,
+  });
 });
 
 test('moments before a silence of unknown length have no upper bound on their age', () => {
