--- a/packages/domain/src/jobs/quarantine.test.ts
+++ b/packages/domain/src/jobs/quarantine.test.ts
@@ -18,11 +18,11 @@
   testWorker,
 } from './test-support.js';
 
-const SETTLED = 5_000;
+const SETTLED_MS = 5_000;
 const WORKERS = ['w1', 'w2', 'w3'].map(id => testWorker(id));
 
-/** Loses a run of a task with some worker, so that others may be the reason as well. */
-function loseOnce(state: JobsState, task: Task): void {
+/** Starts a task and loses its worker in such a way that other jobs may have caused the loss as well. */
+function startAndLose(state: JobsState, task: Task): void {
   const { number } = startOn(state, task, `lost${task.lastRun}`);
   const lost = { task: refOf(task), run: number, checkpoint: '' };
   apply(state, {
@@ -33,23 +33,23 @@
   });
 }
 
-function suspect(state: JobsState, job: string, index = 0): Task {
+function makeSuspect(state: JobsState, job: string, index = 0): Task {
   const task = taskOf(state, job, 0, index);
-  loseOnce(state, task);
-  loseOnce(state, task);
+  startAndLose(state, task);
+  startAndLose(state, task);
   return task;
 }
 
-function settle(run: Run): Run {
+function markSettled(run: Run): Run {
   if (run.progress !== undefined) {
     run.progress.confirmed = true;
-    run.progress.seenAt = run.openedAt + SETTLED;
+    run.progress.seenAt = run.openedAt + SETTLED_MS;
   }
   return run;
 }
 
-/** Plans one round at `now` and returns where tasks began. */
-function round(
+/** Plans one round at `now` and returns the tasks that start, with their workers. */
+function planRound(
   state: JobsState,
   workers: readonly PlanWorker[] = WORKERS,
   now = 0,
@@ -68,34 +68,34 @@
   return started;
 }
 
-test('a suspected task begins where nothing else has just begun, and nothing joins it', () => {
+test('a suspected task starts on a worker without recently started runs, and nothing starts beside it', () => {
   const state = stateOf(
     testJob('a', [{ tasks: 1 }]),
     testJob('b', [{ tasks: 7 }]),
   );
   startOn(state, taskOf(state, 'b', 0, 0), 'w1');
   startOn(state, taskOf(state, 'b', 0, 1), 'w3');
-  suspect(state, 'a');
-  const started = round(state);
+  makeSuspect(state, 'a');
+  const started = planRound(state);
   assert.equal(started[0], 'a0 w2');
   assert.equal(started.length, 6);
   assert.ok(started.slice(1).every(at => !at.endsWith('w2')));
 });
 
-test('others begin beside it once it has settled', () => {
+test('other tasks start beside a suspected task once it has settled', () => {
   const state = stateOf(
     testJob('a', [{ tasks: 1 }]),
     testJob('b', [{ tasks: 3 }]),
   );
   const [only] = WORKERS;
   assert.ok(only);
-  const run = startOn(state, suspect(state, 'a'), 'w1');
-  assert.deepEqual(round(state, [only]), []);
-  settle(run);
-  assert.deepEqual(round(state, [only]), ['b0 w1', 'b1 w1', 'b2 w1']);
+  const run = startOn(state, makeSuspect(state, 'a'), 'w1');
+  assert.deepEqual(planRound(state, [only]), []);
+  markSettled(run);
+  assert.deepEqual(planRound(state, [only]), ['b0 w1', 'b1 w1', 'b2 w1']);
 });
 
-test('where no worker is free one is kept for it, and it waits no longer than it has to', () => {
+test('if no worker is free, one is reserved, and the suspected task starts there once it is free', () => {
   const state = stateOf(
     testJob('a', [{ tasks: 1 }]),
     testJob('b', [{ tasks: 9 }]),
@@ -103,19 +103,19 @@
   const busy = ['w1', 'w1', 'w2', 'w3', 'w3'].map((worker, at) =>
     startOn(state, taskOf(state, 'b', 0, at), worker),
   );
-  suspect(state, 'a');
-  // w2 has the fewest others.
-  const started = round(state);
+  makeSuspect(state, 'a');
+  // w2 has the fewest other runs.
+  const started = planRound(state);
   assert.deepEqual(started, ['b5 w1', 'b6 w1', 'b7 w3', 'b8 w3']);
-  assert.deepEqual(round(state, WORKERS, 1_999), []);
-  const [, , onKept] = busy;
-  assert.ok(onKept);
-  const end = { task: refOf(onKept.task), run: 1, checkpoint: '' };
+  assert.deepEqual(planRound(state, WORKERS, 1_999), []);
+  const [, , onReserved] = busy;
+  assert.ok(onReserved);
+  const end = { task: refOf(onReserved.task), run: 1, checkpoint: '' };
   apply(state, { kind: 'end', ...end, how: 'done' });
-  assert.deepEqual(round(state, WORKERS, 1_999), ['a0 w2']);
+  assert.deepEqual(planRound(state, WORKERS, 1_999), ['a0 w2']);
 });
 
-test('a suspected task that has waited for long begins beside the fewest others', () => {
+test('a suspected task that has waited too long starts on the worker with the fewest other runs', () => {
   const state = stateOf(
     testJob('a', [{ tasks: 1 }]),
     testJob('b', [{ tasks: 5 }]),
@@ -123,53 +123,53 @@
   ['w1', 'w1', 'w2', 'w3', 'w3'].forEach((worker, at) =>
     startOn(state, taskOf(state, 'b', 0, at), worker),
   );
-  suspect(state, 'a');
-  assert.deepEqual(round(state, WORKERS, 1_999), []);
-  assert.deepEqual(round(state, WORKERS, 2_000), ['a0 w2']);
+  makeSuspect(state, 'a');
+  assert.deepEqual(planRound(state, WORKERS, 1_999), []);
+  assert.deepEqual(planRound(state, WORKERS, 2_000), ['a0 w2']);
 });
 
-test('suspected tasks are kept apart from each other', () => {
+test('suspected tasks start on different workers', () => {
   const state = stateOf(testJob('a', [{ tasks: 3 }]));
-  [0, 1, 2].forEach(index => suspect(state, 'a', index));
-  assert.deepEqual(round(state), ['a0 w1', 'a1 w2', 'a2 w3']);
+  [0, 1, 2].forEach(index => makeSuspect(state, 'a', index));
+  assert.deepEqual(planRound(state), ['a0 w1', 'a1 w2', 'a2 w3']);
 });
 
-test('after one loss tasks that were lost together go to different workers', () => {
+test('after one loss the tasks that were lost together start on different workers', () => {
   const state = stateOf(
     testJob('a', [{ tasks: 1 }]),
     testJob('b', [{ tasks: 1 }]),
   );
   for (const job of ['a', 'b']) {
-    loseOnce(state, taskOf(state, job, 0, 0));
+    startAndLose(state, taskOf(state, job, 0, 0));
   }
-  assert.deepEqual(round(state).sort(), ['a0 w1', 'b0 w2']);
+  assert.deepEqual(planRound(state).sort(), ['a0 w1', 'b0 w2']);
 });
 
-test('a suspected task keeps no place from tasks like it', () => {
+test('a suspected task blocks only one worker for the other tasks of its step', () => {
   const state = stateOf(testJob('a', [{ tasks: 5 }]));
   startOn(state, taskOf(state, 'a', 0, 1), 'w1');
-  suspect(state, 'a', 0);
+  makeSuspect(state, 'a', 0);
   const [only] = WORKERS;
   assert.ok(only);
   const others = [only, testWorker('w2')];
   startOn(state, taskOf(state, 'a', 0, 2), 'w2');
   startOn(state, taskOf(state, 'a', 0, 3), 'w2');
-  assert.deepEqual(round(state, others), ['a4 w2']);
+  assert.deepEqual(planRound(state, others), ['a4 w2']);
 });
 
-test('members of a suspected gang start together in the end', () => {
+test('all members of a gang with a suspected member start together', () => {
   const state = stateOf(testJob('a', [{ tasks: 3, gang: true }]));
-  suspect(state, 'a', 1);
+  makeSuspect(state, 'a', 1);
   const tasks = state.jobs.get('a')?.occurrences.get(0)?.steps[0]?.tasks ?? [];
   assert.equal(tasks.length, 3);
-  assert.equal(round(state).length, 3);
+  assert.equal(planRound(state).length, 3);
 });
 
-test('no copy is started of a task under which a worker was lost', () => {
+test('no speculative copy is started of a task with lost workers', () => {
   const state = stateOf(testJob('a', [{ tasks: 1, speculative: true }]));
   const task = taskOf(state, 'a', 0, 0);
-  loseOnce(state, task);
-  settle(startOn(state, task, 'w1'));
+  startAndLose(state, task);
+  markSettled(startOn(state, task, 'w1'));
   const input = {
     ...planInput(state, WORKERS),
     time: { now: 60_000, nowWall: 0 },
@@ -177,7 +177,7 @@
   const copies: string[] = [];
   planSpeculativeCopies(input, ({ worker }) => copies.push(worker));
   assert.equal(copies.length, 0);
-  task.blame.losses = [];
+  task.lossHistory.losses = [];
   planSpeculativeCopies(input, ({ worker }) => copies.push(worker));
   assert.equal(copies.length, 1);
 });
