--- a/packages/daemon/src/job-host/adviser.ts
+++ b/packages/daemon/src/job-host/adviser.ts
@@ -1,4 +1,4 @@
-/** Asks the advice service about waiting steps, one question at a time. */
+/** Requests advice for waiting steps from the advice service, one request at a time. */
 import {
   candidates,
   hasRoom,
@@ -12,36 +12,36 @@
 import { pause, type HostContext } from './context.js';
 import { ADVICE_RETRY_MS, ADVICE_SLACK_MS } from './timing.js';
 
-/** Keeps at most one question under way. */
+/** Sends requests to the advice service, with at most one in flight. */
 export class Adviser {
-  private asking = false;
+  private requestInFlight = false;
 
-  /** Creates an adviser that files answers in `advice` and then calls `answered`. */
+  /** Creates an adviser that stores answers in `advice` and calls `onAnswer` after each request. */
   constructor(
     private readonly ctx: HostContext,
     private readonly port: AdvicePort,
     private readonly advice: Advice,
-    private readonly answered: () => void,
+    private readonly onAnswer: () => void,
   ) {}
 
-  /** Asks about the first waiting step that needs it, unless a question is under way. */
+  /** Requests advice for the first waiting step that needs it, unless a request is in flight. */
   askIfNeeded(input: PlanInput): void {
-    if (this.asking) {
+    if (this.requestInFlight) {
       return;
     }
     const question = this.nextQuestion(input);
     if (question !== undefined) {
-      this.asking = true;
+      this.requestInFlight = true;
       void this.ask(question);
     }
   }
 
   private nextQuestion(input: PlanInput): Question | undefined {
     const { state, workers, times, time } = input;
-    const asking = [...state.open].filter(
+    const jobsWithAdvice = [...state.open].filter(
       ({ spec }) => spec.terms.advice !== undefined,
     );
-    for (const { step } of candidates(asking, times, time)) {
+    for (const { step } of candidates(jobsWithAdvice, times, time)) {
       const { terms } = step.occurrence.job.spec;
       const fitting = workers
         .filter(({ info }) => info.service === terms.service)
@@ -66,22 +66,22 @@
     const { decisionMs = 0, perWorkerMs = 0 } = job.terms.advice ?? {};
     const expectedMs = decisionMs + perWorkerMs * workers.length;
     const sentAt = ctx.clock();
-    const found = await this.port.ask(
+    const answer = await this.port.ask(
       ref,
       workers,
       expectedMs + ADVICE_SLACK_MS,
     );
-    if (found.kind === 'advised') {
-      this.advice.take(question, found.tickets, sentAt + found.validityMs);
+    if (answer.kind === 'advised') {
+      this.advice.take(question, answer.tickets, sentAt + answer.validityMs);
       ctx.log.info(
-        { ...ref, asked: workers.length, allowed: found.tickets.size },
+        { ...ref, asked: workers.length, allowed: answer.tickets.size },
         'advice: answered',
       );
     } else {
-      ctx.log.warn({ ...ref, reason: found.reason }, 'advice: no answer');
+      ctx.log.warn({ ...ref, reason: answer.reason }, 'advice: no answer');
       await pause(ctx, ADVICE_RETRY_MS);
     }
-    this.asking = false;
-    this.answered();
+    this.requestInFlight = false;
+    this.onAnswer();
   }
 }
--- a/packages/daemon/src/job-host/alarm.ts
+++ b/packages/daemon/src/job-host/alarm.ts
@@ -1,33 +1,33 @@
-/** A wait that an event or a time limit ends. */
+/** A wait that ends on a signal or a timeout. */
 import type { Millis, Schedule } from '@paddlewind/domain';
 
-/** Wakes its one waiter; a ring without a waiter is kept for the next one. */
+/** Wakes a single waiter; a signal without a waiter ends the next wait immediately. */
 export class Alarm {
-  private rung = false;
-  private wake: (() => void) | undefined;
+  private isPending = false;
+  private endWait: (() => void) | undefined;
 
-  /** Creates an alarm whose waits are limited by the timers of `schedule`. */
+  /** Creates a signal that uses `schedule` for the timeouts of its waits. */
   constructor(private readonly schedule: Schedule) {}
 
-  /** Ends the present wait, or the next one at once. */
+  /** Ends the current wait, or the next one if nobody is waiting. */
   readonly ring = (): void => {
-    this.rung = true;
-    this.wake?.();
+    this.isPending = true;
+    this.endWait?.();
   };
 
-  /** Resolves at the next ring, or after `span` where that is given. */
+  /** Resolves on the next signal, or after `span` if given. */
   async wait(span?: Millis): Promise<void> {
-    if (!this.rung) {
+    if (!this.isPending) {
       await new Promise<void>(resolve => {
         const cancel =
           span === undefined ? undefined : this.schedule(span, resolve);
-        this.wake = () => {
+        this.endWait = () => {
           cancel?.();
           resolve();
         };
       });
     }
-    this.wake = undefined;
-    this.rung = false;
+    this.endWait = undefined;
+    this.isPending = false;
   }
 }
--- a/packages/daemon/src/job-host/answer-slack.ts
+++ b/packages/daemon/src/job-host/answer-slack.ts
@@ -1,43 +1,43 @@
-/** How long answers may take. */
+/** A timeout that adapts to recent response times. */
 import type { Millis } from '@paddlewind/domain';
 
-import { LOOK_SLACK_MS, MAX_LOOK_SLACK_MS } from './timing.js';
+import { POLL_SLACK_MS, MAX_POLL_SLACK_MS } from './timing.js';
 
-/** An answer may take this many times as long as the last ones. */
-const HEADROOM = 2;
-/** Share of a longest time that is left with each answer that took less. */
-const FADING = 0.9;
+/** Timeout as a multiple of the recent response time. */
+const HEADROOM_FACTOR = 2;
+/** Factor by which the remembered response time decays with each faster answer. */
+const DECAY_FACTOR = 0.9;
 
-/** Bounds of the time for an answer. */
-export interface SlackBounds {
+/** Limits of the timeout. */
+export interface TimeoutBounds {
   readonly leastMs: Millis;
   readonly mostMs: Millis;
 }
 
-const LOOK_BOUNDS: SlackBounds = {
-  leastMs: LOOK_SLACK_MS,
-  mostMs: MAX_LOOK_SLACK_MS,
+const POLL_BOUNDS: TimeoutBounds = {
+  leastMs: POLL_SLACK_MS,
+  mostMs: MAX_POLL_SLACK_MS,
 };
 
 /**
- * Adapts the time for an answer to what answers were seen to take, as on a link that carries too little for
- * all workers of a leader: one that answers late is not silent.
+ * Adapts the timeout of calls to observed response times. On a link that is too slow for all workers of a
+ * leader, a worker that answers late must not count as unresponsive.
  */
 export class AnswerSlack {
-  private tookMs: Millis = 0;
+  private slowestMs: Millis = 0;
 
-  /** Creates a slack of the least time. */
-  constructor(private readonly bounds: SlackBounds = LOOK_BOUNDS) {}
+  /** Creates a timeout that starts at its minimum. */
+  constructor(private readonly bounds: TimeoutBounds = POLL_BOUNDS) {}
 
-  /** Time for the next answer, beyond the worker's own wait. */
+  /** Timeout of the next answer, in addition to the time the worker may wait by itself. */
   get ms(): Millis {
     const { leastMs, mostMs } = this.bounds;
-    const needed = Math.ceil(HEADROOM * this.tookMs);
+    const needed = Math.ceil(HEADROOM_FACTOR * this.slowestMs);
     return Math.min(mostMs, Math.max(leastMs, needed));
   }
 
-  /** Notes what an answer took beyond the worker's own wait. */
+  /** Records the response time of an answer, without the time the worker waited by itself. */
   note(tookMs: Millis): void {
-    this.tookMs = Math.max(tookMs, FADING * this.tookMs);
+    this.slowestMs = Math.max(tookMs, DECAY_FACTOR * this.slowestMs);
   }
 }
--- a/packages/daemon/src/job-host/coalesce.ts
+++ b/packages/daemon/src/job-host/coalesce.ts
@@ -1,12 +1,15 @@
-/** Lets all who ask at the same time share one answer. */
+/** Shares one result among concurrent callers. */
 
-/** Runs `work` for all who ask while it is under way once more after it, one at a time. */
+/**
+ * Returns a function that runs `work` one call at a time. Calls made during a run share a single run that
+ * begins after it.
+ */
 export function coalesce<T>(work: () => Promise<T>): () => Promise<T> {
   let running: Promise<T> | undefined;
   let queued: Promise<T> | undefined;
 
   async function runNext(): Promise<T> {
-    // Who waits for the next run is not concerned by how this one ends.
+    // A failure of the current run does not affect callers that wait for the next one.
     await running?.catch(() => undefined);
     queued = undefined;
     running = work();
--- a/packages/daemon/src/job-host/decision-log.ts
+++ b/packages/daemon/src/job-host/decision-log.ts
@@ -1,4 +1,6 @@
-/** The leader's decisions: applied to the state at once, recorded in batches, acted on after that. */
+/**
+ * The leader's decisions: applied to the state at once, written to the journal in batches, then carried out.
+ */
 import type { Instant } from '@paddlewind/domain';
 import {
   applyJournal,
@@ -12,16 +14,16 @@
 import type { WonClaim } from './leadership.js';
 import type { Replica } from './replica.js';
 
-/** Done once an append is confirmed, or once it is certain that it never will be. */
+/** Called with true once an append is confirmed, or with false once it can no longer succeed. */
 type Effect = (written: boolean) => void;
 
-/** Records that go into one append, and what follows it. */
+/** Records of one append, and the callbacks to run after it. */
 interface Batch {
   readonly records: JournalRecord[];
   readonly effects: Effect[];
 }
 
-/** Collects decisions while an append is under way, and appends them together. */
+/** Collects decisions while an append is in flight, and appends them together. */
 export class DecisionLog {
   private readonly writer: JournalWriter;
   private readonly state: JobsState;
@@ -41,17 +43,17 @@
     replica.becomeWriter();
   }
 
-  /** Monotonic time at which the newest confirmed append was sent. */
+  /** Monotonic time at which the last confirmed append was sent. */
   get confirmedSentAt(): Instant {
     return this.writer.confirmedSentAt;
   }
 
-  /** Whether nothing waits to be appended. */
+  /** Whether there is nothing to append. */
   get isEmpty(): boolean {
     return this.batch.records.length === 0;
   }
 
-  /** Applies a decision; `effect` follows once it is recorded, or never will be. */
+  /** Applies a decision; `effect` is called once it is written, or once it can no longer be. */
   record(entry: JournalRecord, effect?: Effect): void {
     this.state.now = this.ctx.clock();
     applyJournal(this.state, entry);
@@ -62,7 +64,7 @@
     }
   }
 
-  /** Resolves when all that was decided so far is recorded; with false when it never will be. */
+  /** Resolves with true once all decisions so far are written, with false if they never will be. */
   recorded(): Promise<boolean> {
     if (this.closed) {
       return Promise.resolve(false);
@@ -77,7 +79,7 @@
     });
   }
 
-  /** Appends what waits; false when another host leads. */
+  /** Appends the pending records; resolves with false if another host leads. */
   async write(): Promise<boolean> {
     const { batch } = this;
     this.batch = emptyBatch();
@@ -85,7 +87,7 @@
     const result = await this.writer.write(batch.records);
     this.writing = undefined;
     const written = result.kind === 'written';
-    // Once this host has ceased to lead its copy is read anew from the log.
+    // After this host has lost the lead, its replica is rebuilt from the log.
     if (written && !this.closed) {
       this.replica.wroteJournal(result.nextOffset);
     }
@@ -93,7 +95,7 @@
     return written;
   }
 
-  /** Appends nothing more. */
+  /** Stops appending. */
   close(): void {
     this.closed = true;
     settle(this.batch, false);
--- a/packages/daemon/src/job-host/fences.ts
+++ b/packages/daemon/src/job-host/fences.ts
@@ -1,30 +1,30 @@
 /**
- * Fences of one leader. A worker that has started again has seen none, and would carry out what was sent to the
- * start before and comes late. Each start of a worker is called under a higher fence: from its first answer on
- * it refuses whatever was meant for an earlier one.
+ * Fencing tokens of one leader. A restarted worker has seen no fence, so it would carry out a delayed call
+ * that was meant for its previous incarnation. Each incarnation is therefore called with a higher fence:
+ * after its first answer it refuses every call meant for an earlier one.
  */
 
-/** The fences of a leader, from the lowest that no leader before it may have used. */
+/** Assigns fences to workers, from a range that no earlier leader can have used. */
 export class Fences {
-  /** Fences under which workers are called, by id. */
-  private readonly used = new Map<string, number>();
+  /** Current fence of each worker, by id. */
+  private readonly current = new Map<string, number>();
 
-  /** Creates the fences from `first` to `last`. */
+  /** Creates fences from `first` to `last`. */
   constructor(
     private readonly first: number,
     private readonly last: number,
-    /** There is no higher fence for the next start of a worker, which is left to another leader. */
-    private readonly spent: (worker: string) => void,
+    /** Called if no higher fence is left for a restarted worker; another leader has to take over. */
+    private readonly onExhausted: (worker: string) => void,
   ) {}
 
-  /** Returns the fence for a worker that this leader calls for the first time, or that has started again. */
+  /** Returns the fence for a worker that this leader calls for the first time, or that has restarted. */
   next(worker: string): number {
-    const before = this.used.get(worker) ?? this.first - 1;
-    if (before === this.last) {
-      this.spent(worker);
-      return before;
+    const previous = this.current.get(worker) ?? this.first - 1;
+    if (previous === this.last) {
+      this.onExhausted(worker);
+      return previous;
     }
-    this.used.set(worker, before + 1);
-    return before + 1;
+    this.current.set(worker, previous + 1);
+    return previous + 1;
   }
 }
--- a/packages/daemon/src/job-host/fleet-account.ts
+++ b/packages/daemon/src/job-host/fleet-account.ts
@@ -1,4 +1,4 @@
-/** Tells who holds the fleet's processors and why tasks wait, for as long as this host leads. */
+/** Reports how the fleet's processors are used and why tasks wait, while this host leads. */
 import {
   accountFleet,
   type PlanInput,
@@ -6,25 +6,25 @@
 } from '@paddlewind/domain/jobs';
 
 import { pause, type HostContext } from './context.js';
-import { ACCOUNT_EVERY_MS } from './timing.js';
+import { FLEET_ACCOUNT_INTERVAL_MS } from './timing.js';
 
-/** What the account is drawn up from. */
+/** Sources of the fleet account. */
 export interface FleetAccountOptions {
   readonly ctx: HostContext;
   readonly planInput: () => PlanInput;
   readonly registeredWorkers: () => WorkerInfo[];
-  readonly ended: () => boolean;
+  readonly hasEnded: () => boolean;
 }
 
-/** Logs and measures the account until the leader has ended. */
-export async function keepAccount({
+/** Logs the account and updates its metrics until the leader has ended. */
+export async function publishFleetAccount({
   ctx,
   planInput,
   registeredWorkers,
-  ended,
+  hasEnded: ended,
 }: FleetAccountOptions): Promise<void> {
   for (;;) {
-    await pause(ctx, ACCOUNT_EVERY_MS);
+    await pause(ctx, FLEET_ACCOUNT_INTERVAL_MS);
     if (ended()) {
       return;
     }
--- a/packages/daemon/src/job-host/fleet.ts
+++ b/packages/daemon/src/job-host/fleet.ts
@@ -12,52 +12,52 @@
 import type { UnreadableEntry, WorkerFeed } from '@paddlewind/ports/jobs';
 
 import { pause, type HostContext } from './context.js';
-import { REGISTRY_EVERY_MS } from './timing.js';
+import { REGISTRY_READ_INTERVAL_MS } from './timing.js';
 import type { WorkerLink } from './worker-link.js';
 
-/** What a fleet is given. */
+/** Dependencies and callbacks of a fleet. */
 export interface FleetOptions {
   readonly ctx: HostContext;
   readonly feed: WorkerFeed;
-  /** Opens a link; `isNew` where the leader had one to the incarnation before. */
-  readonly open: (info: WorkerInfo, isNew: boolean) => WorkerLink;
+  /** Opens a link; `isNew` if the leader had a link to the previous incarnation. */
+  readonly openLink: (info: WorkerInfo, isNew: boolean) => WorkerLink;
   readonly state: JobsState;
   readonly health: WorkerHealth;
-  /** An incarnation is gone, as announced or not, and nothing is open there any more. */
-  readonly left: (worker: string, announced: boolean) => void;
+  /** An incarnation was removed, announced or not, and has no open runs any more. */
+  readonly onRemoved: (worker: string, announced: boolean) => void;
   readonly changed: () => void;
 }
 
-/** What is known of an incarnation: whether it is there, about to leave, or gone. */
+/** State of an incarnation in the registry: registered, about to leave, or removed. */
 export type WorkerPresence = 'registered' | 'leaving' | 'gone';
 
-/** Follows the registry; a worker that left it keeps its link until its runs have ended. */
+/** Follows the registry; an unregistered worker keeps its link until its runs have ended. */
 export class Fleet {
-  /** By incarnation; of each worker there is one. */
+  /** Links by incarnation; each worker has at most one. */
   private readonly links = new Map<string, WorkerLink>();
-  /** Present incarnations by the id of their worker. */
-  private readonly present = new Map<string, string>();
-  /** Incarnations that others have replaced, by the id of their worker: entries may still tell of them. */
-  private readonly replaced = new Map<string, Set<string>>();
-  /** Replaced incarnations of which it was not told yet that they are gone. */
-  private readonly untold = new Set<string>();
-  /** Ids of the workers that have an entry. */
-  private listed = new Set<string>();
-  /** Incarnations that have an entry, and are not replaced. */
-  private registered = new Set<string>();
-  /** When incarnations were first seen to be about to leave. */
-  private readonly leaving = new Map<string, Instant>();
-  /** Reasons why entries of the registry can't be read, by key. */
-  private unreadable = new Map<string, string>();
+  /** Current incarnation of each worker, by worker id. */
+  private readonly currentIncarnations = new Map<string, string>();
+  /** Superseded incarnations by worker id; registry entries may still name them. */
+  private readonly supersededIncarnations = new Map<string, Set<string>>();
+  /** Superseded or removed incarnations whose removal has not been reported yet. */
+  private readonly unreportedRemovals = new Set<string>();
+  /** Ids of the workers that have a registry entry. */
+  private listedWorkers = new Set<string>();
+  /** Incarnations that have a registry entry and are not superseded. */
+  private registeredIncarnations = new Set<string>();
+  /** Times at which incarnations were first seen to be about to leave. */
+  private readonly leavingSinceById = new Map<string, Instant>();
+  /** Reasons why registry entries can't be read, by key. */
+  private unreadableEntries = new Map<string, string>();
   private closed = false;
-  private readAt: Instant = -Infinity;
+  private lastReadAt: Instant = -Infinity;
 
   /** Creates a fleet without workers. */
   constructor(private readonly options: FleetOptions) {}
 
-  /** Monotonic time as of which the registry is known: that at which its last reading began. */
+  /** Monotonic time at which the last successful read of the registry was sent. */
   get knownAsOf(): Instant {
-    return this.readAt;
+    return this.lastReadAt;
   }
 
   /** Follows the registry until the fleet is closed. */
@@ -66,66 +66,71 @@
       const sentAt = this.options.ctx.clock();
       const found = await this.options.feed.refresh();
       if (found.kind === 'value') {
-        this.readAt = sentAt;
-        this.take(found.value.workers);
+        this.lastReadAt = sentAt;
+        this.applyRegistry(found.value.workers);
         this.noteUnreadable(found.value.unreadable);
       }
-      await pause(this.options.ctx, REGISTRY_EVERY_MS);
+      await pause(this.options.ctx, REGISTRY_READ_INTERVAL_MS);
     }
   }
 
-  /** Returns the link to an incarnation, undefined where there is none or another one has replaced it. */
+  /** Returns the link to an incarnation, or undefined if it has none or was superseded. */
   link(worker: string): WorkerLink | undefined {
     return this.links.get(worker);
   }
 
-  /** Returns the link to the present incarnation of the worker that an incarnation belongs to. */
-  linkToPresent(worker: string): WorkerLink | undefined {
-    return this.links.get(this.present.get(workerOf(worker)) ?? '');
+  /** Returns the link to the current incarnation of the worker to which `worker` belongs. */
+  linkToCurrent(worker: string): WorkerLink | undefined {
+    return this.links.get(this.currentIncarnations.get(workerOf(worker)) ?? '');
   }
 
-  /** Takes in that another incarnation has answered in place of the one of a link. */
-  replace(before: WorkerInfo, by: string): void {
+  /** Replaces the link to `before` after the incarnation `by` of the same worker has answered. */
+  supersede(before: WorkerInfo, by: string): void {
     const worker = workerOf(by);
-    if (!this.closed && this.present.get(worker) === before.id) {
-      this.replaced.get(worker)?.delete(by);
-      this.open({ ...before, id: by, leaving: false });
+    if (!this.closed && this.currentIncarnations.get(worker) === before.id) {
+      this.supersededIncarnations.get(worker)?.delete(by);
+      this.openLink({ ...before, id: by, leaving: false });
     }
   }
 
   /**
-   * Monotonic time at which a worker was first seen to be about to leave, undefined when it is not; 0 for
-   * one that was so when this leader first read of it: how long it has been so is not known.
+   * Returns the monotonic time at which a worker was first seen to be about to leave, or undefined if it is
+   * not leaving. Returns 0 if it was already leaving when this leader first read its entry, since the time is
+   * unknown.
    */
   leavingSince(worker: string): Instant | undefined {
-    return this.leaving.get(worker);
+    return this.leavingSinceById.get(worker);
   }
 
-  /** What the registry says of a worker: a worker that has announced so may leave with what runs there. */
+  /**
+   * Returns the registry state of an incarnation. A worker that is leaving may disappear together with its
+   * runs.
+   */
   presenceOf(incarnation: string): WorkerPresence {
-    if (this.leaving.has(incarnation)) {
+    if (this.leavingSinceById.has(incarnation)) {
       return 'leaving';
     }
     const worker = workerOf(incarnation);
     const isThere =
-      this.listed.has(worker) && this.present.get(worker) === incarnation;
+      this.listedWorkers.has(worker) &&
+      this.currentIncarnations.get(worker) === incarnation;
     return isThere ? 'registered' : 'gone';
   }
 
-  /** All workers that are registered. */
+  /** Returns all registered workers. */
   registeredWorkers(): WorkerInfo[] {
     return [...this.links.values()]
       .map(({ info }) => info)
-      .filter(({ id }) => this.registered.has(id));
+      .filter(({ id }) => this.registeredIncarnations.has(id));
   }
 
-  /** Workers that may be given tasks now. */
+  /** Returns the workers that may be assigned tasks now. */
   planWorkers(): PlanWorker[] {
     const { ctx, health } = this.options;
     const found: PlanWorker[] = [];
     for (const { usable, info } of this.links.values()) {
       const trust = health.trustIn(info.id, ctx.clock());
-      const isOpen = !info.leaving && this.registered.has(info.id);
+      const isOpen = !info.leaving && this.registeredIncarnations.has(info.id);
       if (usable && isOpen && trust !== 'none') {
         found.push({ info, trusted: trust === 'full' });
       }
@@ -141,55 +146,56 @@
     }
   }
 
-  private take(workers: readonly WorkerInfo[]): void {
+  private applyRegistry(workers: readonly WorkerInfo[]): void {
     if (this.closed) {
       return;
     }
-    this.listed = new Set(workers.map(({ id }) => workerOf(id)));
-    this.registered = new Set();
+    this.listedWorkers = new Set(workers.map(({ id }) => workerOf(id)));
+    this.registeredIncarnations = new Set();
     for (const info of workers) {
-      this.takeEntry(info);
+      this.applyEntry(info);
     }
-    this.dropLeft();
-    this.tellLeft();
+    this.removeUnlisted();
+    this.reportRemovals();
     this.options.changed();
   }
 
-  private takeEntry(info: WorkerInfo): void {
-    const current = this.linkToPresent(info.id);
+  private applyEntry(info: WorkerInfo): void {
+    const current = this.linkToCurrent(info.id);
     if (current === undefined || this.isNewer(info.id, current.info.id)) {
       this.noteLeaving(info, current !== undefined);
-      this.registered.add(info.id);
-      this.open(info);
+      this.registeredIncarnations.add(info.id);
+      this.openLink(info);
       return;
     }
     const { id } = current.info;
     if (info.id === id || startOf(info.id) === undefined) {
       current.info = { ...info, id };
       this.noteLeaving(current.info, true);
-      this.registered.add(id);
+      this.registeredIncarnations.add(id);
     }
   }
 
-  /** Whether an entry tells of an incarnation that has replaced the one that is known: it may be an old entry. */
-  private isNewer(told: string, known: string): boolean {
-    const toldStart = startOf(told) ?? -Infinity;
-    const knownStart = startOf(known) ?? -Infinity;
-    const isReplaced = this.replaced.get(workerOf(told))?.has(told) === true;
-    return toldStart > knownStart && !isReplaced;
+  /** Whether a registry entry names a newer incarnation than the known one; entries may be outdated. */
+  private isNewer(entryId: string, currentId: string): boolean {
+    const entryStart = startOf(entryId) ?? -Infinity;
+    const currentStart = startOf(currentId) ?? -Infinity;
+    const isReplaced =
+      this.supersededIncarnations.get(workerOf(entryId))?.has(entryId) === true;
+    return entryStart > currentStart && !isReplaced;
   }
 
-  private open(info: WorkerInfo): void {
+  private openLink(info: WorkerInfo): void {
     const worker = workerOf(info.id);
-    const before = this.linkToPresent(info.id);
+    const before = this.linkToCurrent(info.id);
     if (before !== undefined) {
-      this.endReplaced(before, info.id);
+      this.closeSuperseded(before, info.id);
     }
-    this.present.set(worker, info.id);
-    this.links.set(info.id, this.options.open(info, before !== undefined));
+    this.currentIncarnations.set(worker, info.id);
+    this.links.set(info.id, this.options.openLink(info, before !== undefined));
   }
 
-  private endReplaced(link: WorkerLink, by: string): void {
+  private closeSuperseded(link: WorkerLink, by: string): void {
     const { id } = link.info;
     const worker = workerOf(id);
     const runs = this.options.state.workers.get(id)?.runs.size ?? 0;
@@ -200,56 +206,58 @@
     );
     link.supersede();
     this.links.delete(id);
-    const known = this.replaced.get(worker) ?? new Set();
-    this.replaced.set(worker, known.add(id));
-    this.untold.add(id);
+    const known = this.supersededIncarnations.get(worker) ?? new Set();
+    this.supersededIncarnations.set(worker, known.add(id));
+    this.unreportedRemovals.add(id);
   }
 
   private noteLeaving({ id, leaving }: WorkerInfo, known: boolean): void {
     if (!leaving) {
-      this.leaving.delete(id);
-    } else if (!this.leaving.has(id)) {
-      this.leaving.set(id, known ? this.options.ctx.clock() : 0);
+      this.leavingSinceById.delete(id);
+    } else if (!this.leavingSinceById.has(id)) {
+      this.leavingSinceById.set(id, known ? this.options.ctx.clock() : 0);
     }
   }
 
   /**
-   * An entry that can't be read names no worker to use. What runs at a worker whose entry became so
-   * goes on, as at one that has left the registry: its lease is extended while it answers.
+   * An unreadable entry adds no worker. Runs of a worker whose entry has become unreadable continue, as on an
+   * unregistered worker: its lease is extended while it answers.
    */
   private noteUnreadable(entries: readonly UnreadableEntry[]): void {
     const { ctx } = this.options;
-    const before = this.unreadable;
-    this.unreadable = new Map(entries.map(({ id, reason }) => [id, reason]));
+    const before = this.unreadableEntries;
+    this.unreadableEntries = new Map(
+      entries.map(({ id, reason }) => [id, reason]),
+    );
     ctx.meters.unreadable('worker', entries.length);
-    for (const [worker, reason] of this.unreadable) {
+    for (const [worker, reason] of this.unreadableEntries) {
       if (before.get(worker) !== reason) {
         ctx.log.warn({ worker, reason }, 'fleet: an entry can not be read');
       }
     }
   }
 
-  private dropLeft(): void {
+  private removeUnlisted(): void {
     const { ctx, state } = this.options;
     for (const [id, link] of this.links) {
       const worker = workerOf(id);
-      if (!this.listed.has(worker) && openRunsAt(state, worker) === 0) {
-        ctx.log.info({ worker: id }, 'fleet: worker has left');
+      if (!this.listedWorkers.has(worker) && openRunsAt(state, worker) === 0) {
+        ctx.log.info({ worker: id }, 'fleet: worker was removed');
         link.close();
         this.links.delete(id);
-        this.present.delete(worker);
-        this.replaced.delete(worker);
-        this.untold.add(id);
+        this.currentIncarnations.delete(worker);
+        this.supersededIncarnations.delete(worker);
+        this.unreportedRemovals.add(id);
       }
     }
   }
 
-  /** Tells that incarnations are gone, once it is known what became of all that ran there. */
-  private tellLeft(): void {
-    for (const id of this.untold) {
+  /** Reports removed incarnations once the outcome of all their runs is known. */
+  private reportRemovals(): void {
+    for (const id of this.unreportedRemovals) {
       if ((this.options.state.workers.get(id)?.runs.size ?? 0) === 0) {
-        this.untold.delete(id);
-        this.options.left(id, this.leaving.delete(id));
+        this.unreportedRemovals.delete(id);
+        this.options.onRemoved(id, this.leavingSinceById.delete(id));
       }
     }
   }
--- a/packages/daemon/src/job-host/given-up-runs.ts
+++ b/packages/daemon/src/job-host/given-up-runs.ts
@@ -1,14 +1,17 @@
-/** Tells operators of the runs that are given up with their worker. */
+/** Logs the runs that are abandoned together with their worker. */
 import { refOf, taskName, type Run } from '@paddlewind/domain/jobs';
 
 import type { HostContext } from './context.js';
 import type { WorkerGivenUp } from './meters.js';
 
-/** Most runs that the line names: what brings a worker down is mostly what began there last. */
-const NAMED_RUNS = 5;
+/**
+ * Maximum number of runs named in the log line. A worker is mostly brought down by the runs that started
+ * last.
+ */
+const MAX_NAMED_RUNS = 5;
 
-/** Tells that all runs of a worker are given up, and which of them began last. */
-export function tellGivenUp(
+/** Logs that all runs of a worker are abandoned, and which of them started last. */
+export function logAbandonedRuns(
   ctx: HostContext,
   worker: string,
   runs: readonly Run[],
@@ -22,7 +25,7 @@
   const now = ctx.clock();
   const newest = [...runs]
     .sort((a, b) => b.openedAt - a.openedAt)
-    .slice(0, NAMED_RUNS)
+    .slice(0, MAX_NAMED_RUNS)
     .map(({ task, number, openedAt, progress }) => ({
       task: taskName(refOf(task)),
       run: number,
--- a/packages/daemon/src/job-host/journal-writer.ts
+++ b/packages/daemon/src/job-host/journal-writer.ts
@@ -6,9 +6,9 @@
 import { appendAgain, SLOW_FACTOR } from './append-again.js';
 import { pause, type HostContext } from './context.js';
 import type { WonClaim } from './leadership.js';
-import { APPEND_AGAIN_MS, APPEND_RETRY_MS } from './timing.js';
+import { APPEND_RESEND_AFTER_MS, APPEND_RETRY_MS } from './timing.js';
 
-/** What became of a batch. */
+/** Outcome of writing a batch. */
 export type WriteResult =
   | { readonly kind: 'written'; readonly nextOffset: number }
   /** Another host leads, or the writer was closed. */
@@ -17,10 +17,10 @@
 /** Writes one batch at a time. */
 export class JournalWriter {
   private stamp: WriterStamp;
-  private sentAt: Instant;
+  private lastConfirmedSentAt: Instant;
   private closed = false;
-  /** Time that the newest append took. */
-  private answerMs: Millis = 0;
+  /** Duration of the last append. */
+  private lastAppendMs: Millis = 0;
 
   /** Creates a writer for the leader that won `claim`. */
   constructor(
@@ -29,15 +29,17 @@
     claim: WonClaim,
   ) {
     this.stamp = claim.nextStamp;
-    this.sentAt = claim.sentAt;
+    this.lastConfirmedSentAt = claim.sentAt;
   }
 
-  /** Monotonic time at which the newest confirmed append was sent, for the first time if it was repeated. */
+  /**
+   * Monotonic time at which the last confirmed append was sent; the first attempt counts if it was repeated.
+   */
   get confirmedSentAt(): Instant {
-    return this.sentAt;
+    return this.lastConfirmedSentAt;
   }
 
-  /** Sends nothing more. */
+  /** Stops sending. */
   close(): void {
     this.closed = true;
   }
@@ -45,7 +47,10 @@
   /** Appends `records`, repeating the append until its outcome is known. */
   async write(records: readonly JournalRecord[]): Promise<WriteResult> {
     const encoded = records.map(encodeRecord);
-    /** When it was first sent without an answer: it may be in the log since then, and another host lead. */
+    /**
+     * Time of the first attempt that got no answer. It may have been written then, and another host may lead
+     * since.
+     */
     let firstSentAt: Instant | undefined;
     while (!this.closed) {
       const sentAt = firstSentAt ?? this.ctx.clock();
@@ -53,21 +58,21 @@
       switch (result.kind) {
         case 'appended':
           this.stamp = { ...this.stamp, sequence: this.stamp.sequence + 1 };
-          this.sentAt = sentAt;
+          this.lastConfirmedSentAt = sentAt;
           return { kind: 'written', nextOffset: result.nextOffset };
         case 'fenced':
         case 'out_of_sequence':
           this.ctx.log.info(
             { epoch: this.stamp.epoch, why: result.kind },
-            'journal: an append was refused for good',
+            'journal: an append was refused permanently',
           );
           return { kind: 'deposed' };
         case 'refused':
-          await this.beforeRepeat(result);
+          await this.delayRetry(result);
           break;
         case 'unknown':
           firstSentAt = sentAt;
-          await this.beforeRepeat(result);
+          await this.delayRetry(result);
           break;
       }
     }
@@ -77,20 +82,26 @@
   private async append(encoded: readonly Uint8Array[]): Promise<AppendResult> {
     const { ctx, jobLog, stamp } = this;
     const sentAt = ctx.clock();
-    const everyMs = Math.max(APPEND_AGAIN_MS, SLOW_FACTOR * this.answerMs);
+    const everyMs = Math.max(
+      APPEND_RESEND_AFTER_MS,
+      SLOW_FACTOR * this.lastAppendMs,
+    );
     const append = (): Promise<AppendResult> =>
       jobLog.append('journal', encoded, stamp);
     const stopped = (): boolean => this.closed;
     const result = await appendAgain(ctx, append, { everyMs, stopped });
     if (result.kind === 'appended') {
-      // How long an outage took tells nothing of how fast the log is after it.
-      this.answerMs = Math.min(ctx.clock() - sentAt, APPEND_AGAIN_MS);
+      // The duration of an outage says nothing about the speed of the log after it.
+      this.lastAppendMs = Math.min(
+        ctx.clock() - sentAt,
+        APPEND_RESEND_AFTER_MS,
+      );
     }
     return result;
   }
 
-  /** The same stamp is sent again: if the first one was carried out, its answer is repeated. */
-  private async beforeRepeat({
+  /** The retry uses the same stamp: if the first attempt was written, the log repeats its answer. */
+  private async delayRetry({
     kind,
     reason,
   }: Extract<AppendResult, { kind: 'refused' | 'unknown' }>): Promise<void> {
--- a/packages/daemon/src/job-host/keep-running.ts
+++ b/packages/daemon/src/job-host/keep-running.ts
@@ -1,23 +1,23 @@
-/** Runs a loop again when it fails. */
+/** Restarts a loop when it fails. */
 import type { Millis } from '@paddlewind/domain';
 
 import { pause, type HostContext } from './context.js';
 
-/** Pause after a first failure: most are over with the event that caused them. */
-const FIRST_PAUSE_MS: Millis = 100;
-/** Longest pause: a loop that fails each time costs next to nothing. */
-const LONGEST_PAUSE_MS: Millis = 5_000;
+/** Delay after the first failure; the cause has usually passed by then. */
+const INITIAL_DELAY_MS: Millis = 100;
+/** Maximum delay, so that a loop that always fails costs almost nothing. */
+const MAX_DELAY_MS: Millis = 5_000;
 
 /**
- * Runs `loop` until it ends by itself. A rejection that nobody handles would end the process, and with
- * it all that the other loops do for callers; the same cause would then end the next leader.
+ * Runs `loop` until it returns, and restarts it after failures. An unhandled rejection would end the process,
+ * and with it all other loops that serve callers; the same cause would then end the next leader.
  */
 export async function keepRunning(
   ctx: HostContext,
   name: string,
   loop: () => Promise<void>,
 ): Promise<void> {
-  let span = FIRST_PAUSE_MS;
+  let delayMs = INITIAL_DELAY_MS;
   for (;;) {
     try {
       await loop();
@@ -26,7 +26,7 @@
       ctx.meters.loopFailed(name);
       ctx.log.error({ err, loop: name }, 'host: a loop failed, runs again');
     }
-    await pause(ctx, span);
-    span = Math.min(2 * span, LONGEST_PAUSE_MS);
+    await pause(ctx, delayMs);
+    delayMs = Math.min(2 * delayMs, MAX_DELAY_MS);
   }
 }
--- a/packages/daemon/src/job-host/leader-leases.ts
+++ b/packages/daemon/src/job-host/leader-leases.ts
@@ -1,4 +1,4 @@
-/** The leases that a leader gives: until when, what it tells others of them, and which have ended. */
+/** Leases of a leader: how long they last, what other hosts are told about them, and which have expired. */
 import type { Instant, Millis } from '@paddlewind/domain';
 import {
   workerOf,
@@ -10,32 +10,32 @@
 
 import type { HostContext } from './context.js';
 import type { Fleet } from './fleet.js';
-import { tellGivenUp } from './given-up-runs.js';
+import { logAbandonedRuns } from './given-up-runs.js';
 import type { WonClaim } from './leadership.js';
-import { longestLeaseEnd } from './lease.js';
+import { latestLeaseEnd } from './lease.js';
 import type { Replica } from './replica.js';
 import {
   HORIZON_SLACK_MS,
   LEASE_HORIZON_MS,
-  MAX_TOLD_WORKERS,
+  MAX_REPORTED_WORKERS,
   TASK_LEASE_MS,
 } from './timing.js';
 
-/** What the leases of a leader are given. */
+/** Dependencies and callbacks of a leader's leases. */
 export interface LeaderLeasesOptions {
   readonly ctx: HostContext;
   readonly replica: Replica;
   readonly claim: WonClaim;
   readonly state: JobsState;
   readonly fleet: Fleet;
-  /** Monotonic time at which the newest confirmed append was sent. */
+  /** Monotonic time at which the last confirmed append was sent. */
   readonly confirmedSentAt: () => Instant;
-  /** Runs at a worker to which there is no link are given up: its lease has ended. */
-  readonly givenUp: (worker: string, runs: readonly Run[]) => void;
+  /** Runs at a worker without a link are abandoned because its lease has expired. */
+  readonly onRunsAbandoned: (worker: string, runs: readonly Run[]) => void;
 }
 
-/** A worker that does not answer, and by when its lease has ended. */
-interface SilentWorker {
+/** A worker that does not answer, and the time by which its lease has expired. */
+interface UnresponsiveWorker {
   readonly worker: string;
   readonly leaseEnd: Instant;
 }
@@ -45,77 +45,84 @@
   /** Monotonic time at which this leader asked to be replaced. */
   private releasedAt: Instant = Infinity;
 
-  /** Creates the leases of a leader that has given none. */
+  /** Creates the leases of a leader that has granted none. */
   constructor(private readonly options: LeaderLeasesOptions) {}
 
-  /** Monotonic time by which all leases have to end that are given now. */
+  /** Monotonic time by which all leases granted now must end. */
   get horizon(): Instant {
     return this.horizonAfter(this.options.confirmedSentAt());
   }
 
   /**
-   * Returns the record by which this leader asks to be replaced. Leases that it gives from now on end with
-   * those that it gave last: the next leader need not wait longer for a worker that it can't reach.
+   * Returns the record by which this leader asks to be replaced. Leases granted from now on end no later than
+   * those granted last, so that the next leader need not wait longer for a worker that it can't reach.
    */
   release(): JournalRecord {
     this.releasedAt = this.options.ctx.clock();
-    return { kind: 'release', heldMs: this.heldMs() };
+    return { kind: 'release', heldMs: this.maxLeaseAfterRecordMs() };
   }
 
-  /** Returns what a record that is written now tells others; undefined while this host may not know of all leaders. */
-  tell(): HandedLeases | undefined {
+  /**
+   * Returns the lease state to write to the journal for other hosts, or undefined if this host may not know
+   * all leaders.
+   */
+  report(): HandedLeases | undefined {
     const { replica, claim, ctx, fleet } = this.options;
     const now = ctx.clock();
-    const handed = replica.handedLeases(claim.epoch, this.heldMs());
+    const handed = replica.handedLeases(
+      claim.epoch,
+      this.maxLeaseAfterRecordMs(),
+    );
     if (handed === undefined) {
       return undefined;
     }
-    const told = this.silentWorkers().slice(0, MAX_TOLD_WORKERS);
+    const reported = this.unresponsiveWorkers().slice(0, MAX_REPORTED_WORKERS);
     const workers = new Map<string, Millis>();
-    for (const { worker, leaseEnd } of told) {
-      fleet.linkToPresent(worker)?.noteSilenceTold();
+    for (const { worker, leaseEnd } of reported) {
+      fleet.linkToCurrent(worker)?.noteSilenceReported();
       workers.set(workerOf(worker), Math.max(0, Math.ceil(leaseEnd - now)));
     }
     return { ...handed, workers: [...workers] };
   }
 
   /**
-   * Returns the time by which whatever a worker was given before it has a link has ended. What a start before
-   * was given, `isRestarted`, has ended with it, but a call that comes late to the next one extends its lease.
+   * Returns the time by which any lease that a worker got before its link was opened has expired. If it has
+   * restarted (`isRestarted`), the lease of its previous incarnation is void, but a delayed call may extend
+   * the lease of the new one.
    */
-  earlierEnd(
+  earlierLeaseEnd(
     worker: string,
     isRestarted: boolean,
     maxLeaseMs: Millis,
   ): Instant {
     const { ctx, replica } = this.options;
     return isRestarted
-      ? longestLeaseEnd(ctx.clock(), maxLeaseMs)
+      ? latestLeaseEnd(ctx.clock(), maxLeaseMs)
       : replica.earlierLeaseEnd(worker);
   }
 
-  /** Gives up runs at workers that do not answer, or are not registered, once no lease can hold there. */
-  giveUpLapsed(): void {
+  /** Abandons runs at workers that do not answer or are not registered, once their leases have expired. */
+  abandonExpired(): void {
     const now = this.options.ctx.clock();
-    for (const { worker, leaseEnd } of this.silentWorkers()) {
-      const link = this.options.fleet.linkToPresent(worker);
+    for (const { worker, leaseEnd } of this.unresponsiveWorkers()) {
+      const link = this.options.fleet.linkToCurrent(worker);
       if (link !== undefined) {
-        link.giveUpIfLapsed(now);
+        link.abandonIfExpired(now);
       } else if (now > leaseEnd) {
-        this.giveUpUnregistered(worker);
+        this.abandonUnregistered(worker);
       }
     }
   }
 
-  private giveUpUnregistered(worker: string): void {
-    const { ctx, state, givenUp } = this.options;
+  private abandonUnregistered(worker: string): void {
+    const { ctx, state, onRunsAbandoned: givenUp } = this.options;
     const runs = [...(state.workers.get(worker)?.runs.values() ?? [])];
-    tellGivenUp(ctx, worker, runs, 'unregistered');
+    logAbandonedRuns(ctx, worker, runs, 'unregistered');
     givenUp(worker, runs);
   }
 
   /** How long leases of this leader may hold after a record that is written now. */
-  private heldMs(): Millis {
+  private maxLeaseAfterRecordMs(): Millis {
     const now = this.options.ctx.clock();
     return Math.ceil(this.horizonAfter(now) - now + HORIZON_SLACK_MS);
   }
@@ -127,16 +134,16 @@
     );
   }
 
-  /** Workers with open runs that do not answer, and when their leases have ended at the latest. */
-  private silentWorkers(): SilentWorker[] {
+  /** Workers with open runs that do not answer, and the latest ends of their leases. */
+  private unresponsiveWorkers(): UnresponsiveWorker[] {
     const { state, fleet, replica } = this.options;
-    const found: SilentWorker[] = [];
+    const found: UnresponsiveWorker[] = [];
     for (const [worker, { runs }] of state.workers) {
-      const link = fleet.linkToPresent(worker);
+      const link = fleet.linkToCurrent(worker);
       const leaseEnd =
         link === undefined
           ? replica.earlierLeaseEnd(worker)
-          : link.silentLeaseEnd;
+          : link.unresponsiveLeaseEnd;
       if (runs.size > 0 && leaseEnd !== undefined && leaseEnd < Infinity) {
         found.push({ worker, leaseEnd });
       }
--- a/packages/daemon/src/job-host/leader-log.ts
+++ b/packages/daemon/src/job-host/leader-log.ts
@@ -1,4 +1,4 @@
-/** The lines of a leader's log that tell of runs and jobs. */
+/** Log lines of a leader about runs and jobs. */
 import {
   lostUnder,
   objectiveOf,
@@ -15,15 +15,15 @@
 import type { HostContext } from './context.js';
 import type { WonClaim } from './leadership.js';
 
-/** Whose line it is. */
-interface Writer {
+/** The leader that writes a line. */
+interface LogSource {
   readonly ctx: HostContext;
   readonly claim: WonClaim;
 }
 
-/** Tells of a run. */
+/** Logs `msg` with the fields of a run. */
 export function logRun(
-  { ctx, claim }: Writer,
+  { ctx, claim }: LogSource,
   { task, number, worker }: Run,
   msg: string,
   more: Record<string, unknown>,
@@ -37,8 +37,8 @@
   );
 }
 
-/** Tells of a task that is given up, and which workers were lost under it. */
-export function logGivenUp({ ctx, claim }: Writer, task: Task): void {
+/** Logs that a task is abandoned, and which workers were lost while running it. */
+export function logAbandonedTask({ ctx, claim }: LogSource, task: Task): void {
   const workers = lostUnder(task);
   const name = taskName(refOf(task));
   const { epoch } = claim;
@@ -48,9 +48,9 @@
   );
 }
 
-/** Tells of a run that a worker lists as done and that is not open here, of a task that is not done here. */
+/** Logs that a worker lists a run as done that is not open here, while its task is not done. */
 export function logStrayEnd(
-  { ctx, claim }: Writer,
+  { ctx, claim }: LogSource,
   task: Task,
   { worker, run }: { readonly worker: string; readonly run: number },
 ): void {
@@ -64,8 +64,8 @@
   );
 }
 
-/** Tells how long a job took, and against which objective, once it is over. */
-export function logJobOver(
+/** Logs how long a finished job took, and its objective. */
+export function logJobFinished(
   ctx: HostContext,
   times: RunTimes,
   occurrence: Occurrence,
--- a/packages/daemon/src/job-host/leader-options.ts
+++ b/packages/daemon/src/job-host/leader-options.ts
@@ -1,4 +1,4 @@
-/** What a leader works with. */
+/** Dependencies and settings of a leader. */
 import type { Millis } from '@paddlewind/domain';
 import type {
   AdvicePort,
@@ -12,7 +12,7 @@
 import type { StartSender } from './relay/start-sender.js';
 import type { Replica } from './replica.js';
 
-/** What a leader is given. */
+/** Dependencies and settings of a leader. */
 export interface LeaderOptions {
   readonly ctx: HostContext;
   readonly jobLog: JobLog;
@@ -24,9 +24,9 @@
   readonly maxLeaseMs: Millis;
   /** How long the log keeps records. */
   readonly retentionMs: Millis;
-  /** How long the state of a job that is over can be asked for. */
+  /** How long the state of a finished job can be queried. */
   readonly statusMs: Millis;
-  /** Where this host takes records for the inbox. */
+  /** Address at which this host accepts records for the inbox. */
   readonly peerAddress: string;
   readonly claim: WonClaim;
 }
--- a/packages/daemon/src/job-host/leader-records.ts
+++ b/packages/daemon/src/job-host/leader-records.ts
@@ -1,4 +1,4 @@
-/** Records that the leader repeats: that it leads, and what it has learnt; and how it learns. */
+/** Records that the leader writes repeatedly: heartbeats and learned statistics; and how it learns. */
 import type { Instant } from '@paddlewind/domain';
 import {
   chooseStandbys,
@@ -15,7 +15,7 @@
 import type { WonClaim } from './leadership.js';
 import type { Replica } from './replica.js';
 
-/** Says again who leads, until when leases hold, and who is to stand by. */
+/** Returns a heartbeat: who leads, until when leases hold, and which hosts are standbys. */
 export function heartbeatRecord(
   {
     ctx,
@@ -43,7 +43,7 @@
   };
 }
 
-/** Learns from the end of a run how long runs take, and how far its worker can be trusted. */
+/** Updates run-time estimates and worker health from the end of a run. */
 export function learnFromEnd(
   { task, progress, worker }: Run,
   how: RunEnd | 'lost',
@@ -67,8 +67,8 @@
   }
 }
 
-/** Says what was learnt of run times and of disturbance. */
-export function learntRecord(
+/** Returns a record of the learned run times and interference. */
+export function learnedRecord(
   times: RunTimes,
   interference: Interference,
 ): JournalRecord {
--- a/packages/daemon/src/job-host/leader.ts
+++ b/packages/daemon/src/job-host/leader.ts
@@ -1,4 +1,4 @@
-/** The leader's loop: takes in ends, plans starts, records both, then acts. */
+/** The leader's loop: handles ends of runs, plans starts, records both, then acts. */
 import type { Instant, Millis } from '@paddlewind/domain';
 import {
   Advice,
@@ -28,27 +28,27 @@
 import { DecisionLog } from './decision-log.js';
 import { Fences } from './fences.js';
 import { Fleet } from './fleet.js';
-import { keepAccount } from './fleet-account.js';
+import { publishFleetAccount } from './fleet-account.js';
 import { keepRunning } from './keep-running.js';
 import { logRun } from './leader-log.js';
 import { LeaderLeases } from './leader-leases.js';
 import type { LeaderOptions } from './leader-options.js';
-import { heartbeatRecord, learntRecord } from './leader-records.js';
-import { restateDue } from './restate-due.js';
+import { heartbeatRecord, learnedRecord } from './leader-records.js';
+import { restateDueJobs } from './restate-due.js';
 import { RunRecorder } from './run-recorder.js';
 import { RunSupervisor } from './run-supervisor.js';
 import { StartWindow } from './start-window.js';
 import { SummaryWriter } from './summary-writer.js';
 import {
   CLAIM_REPEAT_MS,
-  HEARTBEAT_EVERY_MS,
+  IDLE_HEARTBEAT_MS,
   INBOX_RETRY_MS,
   INBOX_STALE_MS,
-  INBOX_WAIT_MS,
-  LEARNT_EVERY_MS,
+  INBOX_READ_WAIT_MS,
+  LEARNED_RECORD_INTERVAL_MS,
   LONG_ROUND_MS,
-  PLAN_EVERY_MS,
-  TELL_SILENCE_MS,
+  PLAN_INTERVAL_MS,
+  SILENCE_REPORT_MS,
 } from './timing.js';
 import { WorkerLink } from './worker-link.js';
 
@@ -66,30 +66,32 @@
   private readonly fences: Fences;
   private readonly times: RunTimes;
   private readonly interference: Interference;
-  private readonly window = new StartWindow();
+  private readonly startWindow = new StartWindow();
   private readonly health = new WorkerHealth();
   private readonly advice = new Advice();
   private readonly adviser: Adviser;
   private readonly supervisor: RunSupervisor;
-  private readonly alarm: Alarm;
-  /** Whether a worker has ceased to answer since the others were told which do not. */
-  private silenceUntold = false;
-  private ended = false;
+  private readonly wakeSignal: Alarm;
+  /**
+   * Whether a worker has become unresponsive since unresponsive workers were last reported to other hosts.
+   */
+  private hasNewSilence = false;
+  private hasEnded = false;
   private resolveDeposed!: () => void;
 
-  /** Creates a leader; `begin` starts its loops. */
+  /** Creates a leader; its loops are started separately. */
   constructor(private readonly options: LeaderOptions) {
     const { ctx, replica, claim } = options;
     this.state = replica.state;
     const earlier = this.state.learnt;
     this.times = createRunTimes(earlier?.learnt.runTimes);
     this.interference = new Interference(earlier);
-    this.alarm = new Alarm(ctx.schedule);
+    this.wakeSignal = new Alarm(ctx.schedule);
     this.adviser = new Adviser(
       ctx,
       options.advicePort,
       this.advice,
-      this.alarm.ring,
+      this.wakeSignal.ring,
     );
     this.supervisor = new RunSupervisor({
       ctx,
@@ -107,13 +109,13 @@
       decisions: this.decisions,
       times: this.times,
       health: this.health,
-      window: this.window,
-      noteEnd: run => {
-        this.supervisor.noteEnd(run);
+      startWindow: this.startWindow,
+      onRunEnding: run => {
+        this.supervisor.noteRunEnding(run);
       },
       presenceOf: worker => this.fleet.presenceOf(worker),
       fleetSize: () => this.fleet.registeredWorkers().length,
-      changed: this.alarm.ring,
+      onChange: this.wakeSignal.ring,
     });
     this.summary = new SummaryWriter({
       ctx,
@@ -128,13 +130,13 @@
     this.fleet = new Fleet({
       ctx,
       feed: options.feed,
-      open: (info, isNew) => this.open(info, isNew),
+      openLink: (info, isNew) => this.openLink(info, isNew),
       state: this.state,
       health: this.health,
-      left: (worker, announced) => {
-        this.runs.workerLeft(worker, announced);
+      onRemoved: (worker, announced) => {
+        this.runs.noteWorkerRemoved(worker, announced);
       },
-      changed: this.alarm.ring,
+      changed: this.wakeSignal.ring,
     });
     this.fences = new Fences(claim.firstFence, claim.epoch, worker => {
       ctx.log.warn({ worker }, 'leader: its fences are used up');
@@ -147,8 +149,8 @@
       state: this.state,
       fleet: this.fleet,
       confirmedSentAt: () => this.decisions.confirmedSentAt,
-      givenUp: (worker, runs) => {
-        this.runs.givenUp(worker, runs, 'unregistered', ctx.clock());
+      onRunsAbandoned: (worker, runs) => {
+        this.runs.recordAbandoned(worker, runs, 'unregistered', ctx.clock());
       },
     });
     this.deposed = new Promise(resolve => {
@@ -156,30 +158,30 @@
     });
   }
 
-  /** Starts to decide. */
+  /** Starts the loops of the leader. */
   begin(): void {
     const { ctx } = this.options;
     void keepRunning(ctx, 'registry', () => this.fleet.follow());
     void keepRunning(ctx, 'inbox', () => this.followInbox());
     void keepRunning(ctx, 'decisions', () => this.decideOrResign());
     void keepRunning(ctx, 'summary', () => this.summary.run());
-    void keepRunning(ctx, 'account', () => this.keepAccount());
+    void keepRunning(ctx, 'account', () => this.publishFleetAccount());
     void keepRunning(ctx, 'starts', () => this.options.starts.begin());
   }
 
-  /** Asks the others to take over; this host leads on until one does. */
+  /** Asks other hosts to take over; this host continues to lead until one does. */
   release(): void {
-    this.recordLearnt();
+    this.recordLearned();
     this.decisions.record(this.leases.release());
-    this.alarm.ring();
+    this.wakeSignal.ring();
   }
 
-  /** Resolves when all that was decided so far is recorded; with false when it never will be. */
+  /** Resolves with true once all decisions so far are written, with false if they never will be. */
   recorded(): Promise<boolean> {
     return this.decisions.recorded();
   }
 
-  private open(info: WorkerInfo, isNew: boolean): WorkerLink {
+  private openLink(info: WorkerInfo, isNew: boolean): WorkerLink {
     const { ctx, port, starts, maxLeaseMs, claim } = this.options;
     const link = new WorkerLink(info, {
       ctx,
@@ -187,7 +189,7 @@
       starts,
       fence: this.fences.next(workerOf(info.id)),
       maxLeaseMs,
-      earlierLeaseEnd: this.leases.earlierEnd(info.id, isNew, maxLeaseMs),
+      earlierLeaseEnd: this.leases.earlierLeaseEnd(info.id, isNew, maxLeaseMs),
       horizon: () => this.leases.horizon,
       inboxAgeMs: () => this.inboxAgeMs(),
       registryAgeMs: () => ctx.clock() - this.fleet.knownAsOf,
@@ -195,83 +197,84 @@
       otherRuns: () => runsOfOthers(this.state, info.id),
       isNew,
       leadsSince: claim.wonAt,
-      lookWaitMs: () => this.supervisor.lookWaitMs(info),
+      pollWaitMs: () => this.supervisor.pollWaitMs(info),
       ticketFor: ({ step }) =>
         this.advice.ticketFor(step, info.id, ctx.clock()),
       events: {
         ended: (run, how, checkpoint) => {
-          this.runs.ended(run, how, checkpoint);
+          this.runs.recordEnd(run, how, checkpoint);
         },
-        givenUp: (worker, runs, reason, lostBy) => {
-          this.runs.givenUp(worker, runs, reason, lostBy);
+        abandoned: (worker, runs, reason, lostBy) => {
+          this.runs.recordAbandoned(worker, runs, reason, lostBy);
         },
         moved: run => {
-          this.runs.moved(run, info.id);
+          this.runs.recordMove(run, info.id);
         },
         replaced: by => {
-          this.fleet.replace(link.info, by);
+          this.fleet.supersede(link.info, by);
         },
         strayEnd: ended => {
-          this.runs.strayEnd(info.id, ended);
+          this.runs.recordStrayEnd(info.id, ended);
         },
         recorded: () => this.decisions.recorded(),
         reached: done => {
-          this.runs.reached(info.id, done);
+          this.runs.recordReached(info.id, done);
         },
         ticketRefused: ({ step }) => {
           this.advice.refuse(step, info.id);
         },
         fenced: () => {
-          // Its claim was recorded, so that nothing of this leader will be: the log may not tell it for seconds.
-          if (!this.ended) {
+          // The claim of another leader is in the journal, so nothing of this one will be written. The log
+          // may take seconds to report that.
+          if (!this.hasEnded) {
             ctx.log.info({ worker: info.id }, 'leader: a worker was fenced');
-            this.end();
+            this.resign();
           }
         },
-        began: run => {
-          this.runs.begun(run);
+        runStarted: run => {
+          this.runs.recordStarted(run);
         },
         started: from => {
-          this.supervisor.limitFillers(from);
+          this.supervisor.throttleFillers(from);
         },
         reported: from => {
-          this.supervisor.learnFrom(from.info);
-          this.supervisor.limitFillers(from);
+          this.supervisor.learnFromReport(from.info);
+          this.supervisor.throttleFillers(from);
         },
         silent: () => {
-          this.silenceUntold = true;
-          this.window.noteSilence(ctx.clock());
+          this.hasNewSilence = true;
+          this.startWindow.noteSilence(ctx.clock());
         },
-        changed: this.alarm.ring,
+        changed: this.wakeSignal.ring,
       },
     });
-    void keepRunning(ctx, 'looks', () => link.begin());
+    void keepRunning(ctx, 'looks', () => link.run());
     return link;
   }
 
   private async followInbox(): Promise<void> {
     const { replica } = this.options;
-    while (!this.ended) {
+    while (!this.hasEnded) {
       const before = replica.nextOffset('inbox');
       if (replica.lostTrack) {
-        this.end();
-      } else if (!(await replica.readToEnd('inbox', INBOX_WAIT_MS))) {
+        this.resign();
+      } else if (!(await replica.readToEnd('inbox', INBOX_READ_WAIT_MS))) {
         await pause(this.options.ctx, INBOX_RETRY_MS);
       } else if (replica.nextOffset('inbox') !== before) {
-        this.alarm.ring();
+        this.wakeSignal.ring();
       }
     }
   }
 
   /**
-   * A leader whose round failed leads no more: what it applied and what it recorded may differ. The next
-   * one, which may be this host, reads both from the log.
+   * A leader whose round has failed resigns, since its state and its journal may differ. The next leader,
+   * which may be this host, reads both from the log.
    */
   private async decideOrResign(): Promise<void> {
     try {
       await this.decide();
     } catch (err: unknown) {
-      this.end();
+      this.resign();
       throw err;
     }
   }
@@ -279,59 +282,59 @@
   private async decide(): Promise<void> {
     const { ctx } = this.options;
     let wroteAt = ctx.clock();
-    // At once, so that what it was told of leases is handed on however soon it is replaced.
-    let claimedAt = -Infinity;
-    let learntAt = ctx.clock();
+    // The first round writes a heartbeat, so that the leases learned from earlier leaders are handed over
+    // however soon this leader is replaced.
+    let heartbeatAt = -Infinity;
+    let learnedAt = ctx.clock();
     for (;;) {
-      await this.alarm.wait(PLAN_EVERY_MS);
-      if (this.ended) {
+      await this.wakeSignal.wait(PLAN_INTERVAL_MS);
+      if (this.hasEnded) {
         return;
       }
-      const beganAt = ctx.clock();
-      this.leases.giveUpLapsed();
+      const startedAt = ctx.clock();
+      this.leases.abandonExpired();
       this.supervisor.stopNeedless();
       this.plan();
-      restateDue(this.state, this.decisions, ctx, this.options.retentionMs);
+      restateDueJobs(this.state, this.decisions, ctx, this.options.retentionMs);
       const now = ctx.clock();
-      const restMs = now - beganAt;
-      const idle =
-        this.decisions.isEmpty && now - wroteAt >= HEARTBEAT_EVERY_MS;
-      const repeatMs = this.silenceUntold ? TELL_SILENCE_MS : CLAIM_REPEAT_MS;
-      if (idle || now - claimedAt >= repeatMs) {
+      const roundMs = now - startedAt;
+      const idle = this.decisions.isEmpty && now - wroteAt >= IDLE_HEARTBEAT_MS;
+      const dueMs = this.hasNewSilence ? SILENCE_REPORT_MS : CLAIM_REPEAT_MS;
+      if (idle || now - heartbeatAt >= dueMs) {
         this.recordHeartbeat();
-        claimedAt = now;
+        heartbeatAt = now;
       }
-      if (now - learntAt >= LEARNT_EVERY_MS) {
-        this.recordLearnt();
-        learntAt = now;
+      if (now - learnedAt >= LEARNED_RECORD_INTERVAL_MS) {
+        this.recordLearned();
+        learnedAt = now;
       }
-      const told = this.summary.cut();
+      const cut = this.summary.cut();
       if (!this.decisions.isEmpty) {
         if (!(await this.decisions.write())) {
-          this.end();
+          this.resign();
           return;
         }
         wroteAt = ctx.clock();
         if (wroteAt - now > CLAIM_REPEAT_MS) {
-          // The log was away: leases are extended only by what is written now.
-          this.alarm.ring();
+          // The log was unavailable: leases are extended only by what is written now.
+          this.wakeSignal.ring();
         }
       }
-      this.summary.tell(told);
-      if (restMs > LONG_ROUND_MS) {
-        await pause(ctx, restMs);
+      this.summary.tell(cut);
+      if (roundMs > LONG_ROUND_MS) {
+        await pause(ctx, roundMs);
       }
     }
   }
 
   private recordHeartbeat(): void {
-    this.silenceUntold = false;
-    this.decisions.record(heartbeatRecord(this.options, this.leases.tell()));
+    this.hasNewSilence = false;
+    this.decisions.record(heartbeatRecord(this.options, this.leases.report()));
   }
 
-  private recordLearnt(): void {
+  private recordLearned(): void {
     const { times, interference } = this;
-    this.decisions.record(learntRecord(times, interference));
+    this.decisions.record(learnedRecord(times, interference));
   }
 
   private plan(): void {
@@ -343,10 +346,10 @@
       this.startRun(decision);
     };
     planStarts(input, start, urgency => {
-      this.supervisor.moveOffLeaving(input, urgency);
+      this.supervisor.evacuateLeaving(input, urgency);
     });
     planCopies(input, start);
-    this.supervisor.moveSlowed(input);
+    this.supervisor.stopSlowedFillers(input);
     this.adviser.askIfNeeded(input);
   }
 
@@ -360,18 +363,18 @@
       advice: this.advice,
       time: { now: ctx.clock(), nowWall: ctx.wallClock() },
       leadsSince: this.options.claim.wonAt,
-      mostStarts: this.window.free(starts.mostStarts),
+      mostStarts: this.startWindow.available(starts.mostStarts),
       isLinkBusy: starts.isBusy,
-      moving: this.supervisor.moving(),
+      moving: this.supervisor.evacuatingTasks(),
     };
   }
 
-  private keepAccount(): Promise<void> {
-    return keepAccount({
+  private publishFleetAccount(): Promise<void> {
+    return publishFleetAccount({
       ctx: this.options.ctx,
       planInput: () => this.planInput(),
       registeredWorkers: () => this.fleet.registeredWorkers(),
-      ended: () => this.ended,
+      hasEnded: () => this.hasEnded,
     });
   }
 
@@ -393,20 +396,20 @@
     this.decisions.record(entry, written => {
       const run = opened();
       if (written && run !== undefined) {
-        this.order(run, decidedAt);
+        this.sendStart(run, decidedAt);
       }
     });
     const decided = opened();
     if (decided !== undefined) {
-      this.window.begin(decided);
+      this.startWindow.add(decided);
     }
   }
 
-  /** Orders a recorded run to begin. */
-  private order(run: Run, decidedAt: Instant): void {
+  /** Sends the start order for a recorded run. */
+  private sendStart(run: Run, decidedAt: Instant): void {
     const link = this.fleet.link(run.worker);
     if (link === undefined) {
-      this.runs.ended(run, 'void', '');
+      this.runs.recordEnd(run, 'void', '');
     } else {
       logRun(this.options, run, 'leader: a run is ordered', {
         resumes: run.task.checkpoint,
@@ -415,11 +418,11 @@
     }
   }
 
-  private end(): void {
-    if (this.ended) {
+  private resign(): void {
+    if (this.hasEnded) {
       return;
     }
-    this.ended = true;
+    this.hasEnded = true;
     this.runs.close();
     this.options.ctx.meters.accounted(EMPTY_ACCOUNT);
     this.decisions.close();
--- a/packages/daemon/src/job-host/leadership.ts
+++ b/packages/daemon/src/job-host/leadership.ts
@@ -1,4 +1,4 @@
-/** Follows the journal and claims the leadership when its leader has fallen silent. */
+/** Follows the journal, and claims the leadership when the leader has stopped writing. */
 import type { Instant, Millis, SpanBounds } from '@paddlewind/domain';
 import { encodeRecord, type JournalRecord } from '@paddlewind/domain/jobs';
 import type { JobLog, WriterStamp } from '@paddlewind/ports/jobs';
@@ -8,40 +8,43 @@
 import type { Replica } from './replica.js';
 import {
   APPEND_RETRY_MS,
-  CLAIM_SPREAD_MS,
+  CLAIM_JITTER_MS,
   FOLLOW_EVERY_MS,
   LEADER_CORES,
   LEADER_SILENCE_MS,
-  SMALL_HOST_DELAY_MS,
+  SMALL_HOST_CLAIM_DELAY_MS,
 } from './timing.js';
 
 /** A claim that the log has accepted. */
 export interface WonClaim {
-  /** Also the highest of its fences. */
+  /** Epoch of the leader; also its highest fence. */
   readonly epoch: number;
-  /** Lowest fence that no leader before may have used. */
+  /** Lowest fence that no earlier leader can have used. */
   readonly firstFence: number;
   readonly nonce: number;
   /** Stamp of the leader's first append. */
   readonly nextStamp: WriterStamp;
   /** Monotonic time at which the claim was sent. */
   readonly sentAt: Instant;
-  /** Monotonic time by which it was known to be won. */
+  /** Monotonic time at which the claim was known to have succeeded. */
   readonly wonAt: Instant;
-  /** Time between the newest heartbeat of the leader before and that. */
+  /** Time between the last heartbeat of the previous leader and `wonAt`. */
   readonly silence: SpanBounds;
 }
 
-/** Name of the writer that leaders take turns to be; epochs order them. */
+/** Name of the log writer that all leaders share; their epochs order them. */
 const LEADER_WRITER = 'leader';
-/** Largest nonce: a sequence number that stays exact. */
+/** Largest nonce, which is also a sequence number: an integer that stays exact. */
 const MAX_NONCE = 2 ** 31;
-/** Distance of a claim's epoch from the one before: that many starts of one worker can be told apart. */
+/**
+ * Difference between the epochs of consecutive claims: the number of incarnations of one worker that a leader
+ * can tell apart.
+ */
 const FENCES_PER_CLAIM = 64;
-/** How often a claim whose outcome is unknown is repeated. */
-const CLAIM_TRIES = 5;
+/** How often a claim with an unknown outcome is sent. */
+const MAX_CLAIM_ATTEMPTS = 5;
 
-/** What a host that may come to lead is given. */
+/** Dependencies and settings of a host that may lead. */
 export interface CandidateOptions {
   readonly ctx: HostContext;
   readonly jobLog: JobLog;
@@ -52,7 +55,7 @@
   readonly stopped: () => boolean;
 }
 
-/** Resolves with a claim once this host leads; undefined once `stopped` tells so. */
+/** Resolves with a claim once this host leads, or with undefined once `stopped` returns true. */
 export async function awaitLeadership({
   ctx,
   jobLog,
@@ -61,8 +64,8 @@
   cores,
   stopped,
 }: CandidateOptions): Promise<WonClaim | undefined> {
-  const claims = { floor: 0, delayMs: claimDelay(cores) };
-  const patience = LEADER_SILENCE_MS + ctx.random() * CLAIM_SPREAD_MS;
+  const claimState = { minEpoch: 0, delayMs: claimDelay(cores) };
+  const silenceTimeoutMs = LEADER_SILENCE_MS + ctx.random() * CLAIM_JITTER_MS;
   while (!stopped()) {
     if (await duty.observes()) {
       await pause(ctx, FOLLOW_EVERY_MS);
@@ -75,13 +78,13 @@
     const read = await replica.refresh('journal');
     const readTook = ctx.clock() - before;
     if (read && !replica.isComplete) {
-      // A follower needs the inbox only for jobs that the journal names; callers ask for all.
+      // A follower needs the inbox only for jobs that the journal names; reads for callers cover the rest.
       await replica.refresh('inbox');
     }
-    if (read && isLeaderless(ctx, replica, patience + 2 * readTook)) {
-      const won = await claim(ctx, jobLog, replica, claims);
-      if (won !== undefined) {
-        return won;
+    if (read && isLeaderless(ctx, replica, silenceTimeoutMs + 2 * readTook)) {
+      const wonClaim = await tryToClaim(ctx, jobLog, replica, claimState);
+      if (wonClaim !== undefined) {
+        return wonClaim;
       }
       continue;
     }
@@ -93,41 +96,41 @@
 function isLeaderless(
   ctx: HostContext,
   { state, journalHeardAt }: Replica,
-  patienceMs: number,
+  silenceTimeoutMs: number,
 ): boolean {
   const { epoch, host } = state.claim;
-  // A restarted process knows nothing of what it led before.
+  // A restarted process has lost the state of its earlier leadership.
   if (epoch === 0 || state.released || host === ctx.host) {
     return true;
   }
-  return ctx.clock() - journalHeardAt > patienceMs;
+  return ctx.clock() - journalHeardAt > silenceTimeoutMs;
 }
 
-interface Claims {
-  /** Epochs below it were refused, though no record that is still kept tells of them. */
-  floor: number;
-  /** How long this host leaves the claim to others. */
+interface ClaimState {
+  /** Lower epochs were refused, although no record in the retained log mentions a higher one. */
+  minEpoch: number;
+  /** How long this host waits before it claims, to let others go first. */
   readonly delayMs: Millis;
 }
 
-/** Large hosts lead before small ones, which lead where no other does. */
+/** Large hosts claim first; small ones lead only if no large host does. */
 function claimDelay(cores: number): Millis {
-  return cores < LEADER_CORES ? SMALL_HOST_DELAY_MS : 0;
+  return cores < LEADER_CORES ? SMALL_HOST_CLAIM_DELAY_MS : 0;
 }
 
-async function claim(
+async function tryToClaim(
   ctx: HostContext,
   jobLog: JobLog,
   replica: Replica,
-  claims: Claims,
+  claimState: ClaimState,
 ): Promise<WonClaim | undefined> {
   const before = replica.state.claim.epoch;
-  await pause(ctx, claims.delayMs + ctx.random() * CLAIM_SPREAD_MS);
+  await pause(ctx, claimState.delayMs + ctx.random() * CLAIM_JITTER_MS);
   const read = await replica.refresh('journal');
   if (!read || replica.state.claim.epoch !== before) {
     return undefined;
   }
-  const epoch = Math.max(before, claims.floor) + FENCES_PER_CLAIM;
+  const epoch = Math.max(before, claimState.minEpoch) + FENCES_PER_CLAIM;
   const nonce = Math.floor(ctx.random() * MAX_NONCE);
   const stamp = { writer: LEADER_WRITER, epoch, sequence: nonce };
   const record: JournalRecord = {
@@ -137,19 +140,22 @@
     nonce,
   };
   const sentAt = ctx.clock();
-  for (let tries = 0; tries < CLAIM_TRIES; tries += 1) {
+  for (let attempt = 0; attempt < MAX_CLAIM_ATTEMPTS; attempt += 1) {
     const result = await jobLog.append(
       'journal',
       [encodeRecord(record)],
       stamp,
     );
     if (result.kind === 'appended') {
-      return takeOver(ctx, replica, stamp, sentAt, result.nextOffset);
+      return completeTakeover(ctx, replica, stamp, sentAt, result.nextOffset);
     }
     if (result.kind !== 'unknown') {
-      ctx.log.info({ epoch, why: result.kind }, 'leadership: claim was lost');
+      ctx.log.info(
+        { epoch, why: result.kind },
+        'leadership: the claim was refused',
+      );
       if (result.kind !== 'refused') {
-        claims.floor = 2 * epoch;
+        claimState.minEpoch = 2 * epoch;
       }
       await pause(ctx, APPEND_RETRY_MS);
       return undefined;
@@ -159,10 +165,10 @@
 }
 
 /**
- * Reads the journal up to the claim, which nothing of an earlier leader can follow, and the inbox to
- * its end: what was cancelled must not be started.
+ * Reads the journal up to the claim, after which no earlier leader can write, and the inbox to its end, since
+ * cancelled jobs must not be started.
  */
-async function takeOver(
+async function completeTakeover(
   ctx: HostContext,
   replica: Replica,
   stamp: WriterStamp,
@@ -181,7 +187,10 @@
   }
   const { claim: newest } = replica.state;
   if (newest.epoch !== stamp.epoch || newest.nonce !== stamp.sequence) {
-    ctx.log.info({ epoch: stamp.epoch }, 'leadership: claim was overtaken');
+    ctx.log.info(
+      { epoch: stamp.epoch },
+      'leadership: the claim was superseded',
+    );
     return undefined;
   }
   ctx.log.info({ epoch: stamp.epoch }, 'leadership: this host leads');
@@ -197,7 +206,7 @@
   };
 }
 
-/** An epoch may have been claimed between the one that was known and this one; the journal tells of it. */
+/** Another epoch may have been claimed between the last known one and this one; the journal shows it. */
 function firstFenceOf(
   epoch: number,
   { state, knowsBeginning }: Replica,
--- a/packages/daemon/src/job-host/lease-ends.test.ts
+++ b/packages/daemon/src/job-host/lease-ends.test.ts
@@ -5,7 +5,10 @@
 import type { HandedLeases, JournalRecord } from '@paddlewind/domain/jobs';
 
 import { LeaseEnds } from './lease-ends.js';
-import { LONGEST_HELD_MS, LONGEST_HELD_UNTOLD_MS } from './timing.js';
+import {
+  LONGEST_HELD_MS,
+  DEFAULT_MAX_LEASE_AFTER_LAST_RECORD_MS,
+} from './timing.js';
 
 /** How long a leader says that its leases hold after each of its records. */
 const HELD_MS = Math.ceil(LONGEST_HELD_MS);
@@ -128,15 +131,23 @@
   assert.equal(ends.handedBy(8, 0, 0), undefined);
   ends.note(claim(7), 7, 1_000);
   assert.equal(ends.handedBy(8, 0, 1_000), undefined);
-  assert.equal(ends.endFor('w', 6), 1_000 + LONGEST_HELD_UNTOLD_MS);
-  assert.ok(ends.handedBy(8, 0, 1_000 + LONGEST_HELD_UNTOLD_MS));
+  assert.equal(
+    ends.endFor('w', 6),
+    1_000 + DEFAULT_MAX_LEASE_AFTER_LAST_RECORD_MS,
+  );
+  assert.ok(
+    ends.handedBy(8, 0, 1_000 + DEFAULT_MAX_LEASE_AFTER_LAST_RECORD_MS),
+  );
 });
 
 test('leases of a leader that says nothing of them hold the longest', () => {
   const ends = endsFromBeginning();
   ends.note(claim(1), 1, 100);
   noteLeader(ends, 2, 200, { epochs: [[1, 20_000]], workers: [] });
-  assert.equal(ends.endFor('w', 1), 100 + LONGEST_HELD_UNTOLD_MS);
+  assert.equal(
+    ends.endFor('w', 1),
+    100 + DEFAULT_MAX_LEASE_AFTER_LAST_RECORD_MS,
+  );
 });
 
 test('a leader that hands nothing on leaves what is known of earlier ones', () => {
--- a/packages/daemon/src/job-host/lease-ends.ts
+++ b/packages/daemon/src/job-host/lease-ends.ts
@@ -1,69 +1,79 @@
 /**
- * Until when leases that leaders have given may hold, by this host's own monotonic clock.
+ * Tracks until when leases granted by earlier leaders may hold, on this host's monotonic clock.
  *
- * Each leader hands on what it knows, as time that is left, so that a wait which has begun goes on
- * whoever leads next, and hosts that start anew need not begin it again. What is told is never too
- * early: a record is read after it was written.
+ * Each leader hands over what it knows as remaining times, so that a wait in progress continues under the
+ * next leader, and restarted hosts need not begin it again. The computed ends are never too early, since a
+ * record is read after it was written.
  */
 import type { Instant, Millis } from '@paddlewind/domain';
 import type { HandedLeases, JournalRecord } from '@paddlewind/domain/jobs';
 
-import { LONGEST_HELD_UNTOLD_MS } from './timing.js';
+import { DEFAULT_MAX_LEASE_AFTER_LAST_RECORD_MS } from './timing.js';
 
-/** The leader of the newest epoch that was read of. */
-interface Newest {
+/** The leader with the newest epoch in the records read so far. */
+interface NewestLeader {
   readonly epoch: number;
-  /** How long its leases may hold after its last record; the longest until it says so. */
-  heldMs: Millis;
-  /** Whether later records of it prolong nothing, since it has released the lead. */
+  /** How long its leases may hold after its last record; the maximum until it reports a value. */
+  maxLeaseMs: Millis;
+  /** Whether it has released the lead, so that its later records extend no lease. */
   released: boolean;
 }
 
-/** Ends of leases by leader, and of single workers by id: an order may extend the lease of a later incarnation. */
+/**
+ * Lease ends by leader epoch and by worker id. Workers are keyed by id and not by incarnation, since an order
+ * may extend the lease of a later incarnation.
+ */
 export class LeaseEnds {
-  private newest: Newest = { epoch: 0, heldMs: 0, released: false };
-  /** Times by which all leases of a leader have ended, by epoch. */
+  private newest: NewestLeader = { epoch: 0, maxLeaseMs: 0, released: false };
+  /** Times by which all leases of a leader have expired, by epoch. */
   private readonly epochs = new Map<number, Instant>();
-  /** The same for all epochs before the newest that are not among these. */
-  private othersEnd: Instant = Infinity;
-  /** Times by which the lease of a worker has ended that did not answer the newest leader; also past ones. */
+  /** The same for all earlier epochs that are not in `epochs`. */
+  private otherEpochsEnd: Instant = Infinity;
+  /**
+   * Times by which the leases of workers that did not answer the newest leader have expired; may be in the
+   * past.
+   */
   private readonly workers = new Map<string, Instant>();
 
   /** Notes that the journal is read from its beginning, so that no earlier leader is unknown. */
   noteBeginning(): void {
     if (this.newest.epoch === 0) {
-      this.othersEnd = -Infinity;
+      this.otherEpochsEnd = -Infinity;
     }
   }
 
-  /** Notes that records are gone which this host has not read: leaders may have written on, or come and gone. */
+  /**
+   * Notes that this host missed records that are no longer in the log: the known leader may have written
+   * more, and others may have led in between.
+   */
   noteGap(): void {
-    this.othersEnd = Infinity;
+    this.otherEpochsEnd = Infinity;
     this.epochs.set(this.newest.epoch, Infinity);
     this.workers.clear();
   }
 
-  /** Takes in a record that was read at `now`; `epoch` is that of its writer. */
+  /** Applies a record that was read at `now`; `epoch` is that of its writer. */
   note(record: JournalRecord, epoch: number, now: Instant): void {
     if (epoch < this.newest.epoch) {
-      // Read once more; later records have told what is left.
+      // A repeated read: later records have reported the remaining times already.
       return;
     }
     if (epoch > this.newest.epoch) {
-      this.noteLeader(epoch, now);
+      this.startEpoch(epoch, now);
     }
-    this.prolong(now);
+    this.extendNewest(now);
     switch (record.kind) {
       case 'heartbeat':
-        this.noteHanded(record.handed, now);
+        this.applyHandover(record.handed, now);
         return;
       case 'release':
-        this.noteRelease(record.heldMs, now);
+        this.applyRelease(record.heldMs, now);
         return;
       case 'reached':
         this.workers.delete(record.worker);
         return;
-      // What was known when a claim was sent may have changed until it was carried out.
+      // A claim reports nothing, since its writer's knowledge may have changed between sending and appending
+      // it.
       case 'claim':
       case 'restate':
       case 'learnt':
@@ -77,109 +87,122 @@
   }
 
   /**
-   * Returns the time by which every lease that leaders before the newest gave to a worker has ended;
-   * `reachedIn` is the epoch of the last leader that reached it, undefined where that is not known.
-   * Infinite where it is the newest.
+   * Returns the time by which every lease that leaders before the newest one granted to a worker has expired.
+   * `reachedIn` is the epoch of the last leader that reached the worker, or undefined if unknown. Returns
+   * infinity if that is the newest epoch.
    */
   endFor(worker: string, reachedIn: number | undefined): Instant {
     if (reachedIn === undefined) {
-      return this.lastEnd();
+      return this.latestEnd();
     }
     if (reachedIn >= this.newest.epoch) {
       return Infinity;
     }
-    const told = this.workers.get(worker) ?? Infinity;
-    return Math.min(told, this.epochs.get(reachedIn) ?? this.othersEnd);
+    const reported = this.workers.get(worker) ?? Infinity;
+    return Math.min(
+      reported,
+      this.epochs.get(reachedIn) ?? this.otherEpochsEnd,
+    );
   }
 
   /**
-   * Returns what the leader of `epoch`, whose own leases hold for `heldMs`, hands on at `now`; undefined
-   * while this host does not know of all leaders.
+   * Returns what the leader of `epoch`, whose own leases hold for `maxLeaseMs`, hands over at `now`, or
+   * undefined while this host may not know all leaders.
    */
   handedBy(
     epoch: number,
-    heldMs: Millis,
+    maxLeaseMs: Millis,
     now: Instant,
   ): HandedLeases | undefined {
-    if (this.othersEnd > now) {
+    if (this.otherEpochsEnd > now) {
       return undefined;
     }
     const earlier = this.earlierEnds(epoch).filter(([, end]) => end > now);
     return {
-      epochs: [...left(earlier, now), [epoch, heldMs]],
-      workers: left(this.workers, now),
+      epochs: [...remainingTimes(earlier, now), [epoch, maxLeaseMs]],
+      workers: remainingTimes(this.workers, now),
     };
   }
 
-  /** A leader claims once the ones before it can record nothing more, however little is known of them. */
-  private noteLeader(epoch: number, now: Instant): void {
-    this.newest = { epoch, heldMs: LONGEST_HELD_UNTOLD_MS, released: false };
-    const latest = now + LONGEST_HELD_UNTOLD_MS;
+  /**
+   * A new leader proves that earlier ones can write no more, which limits their leases even if little is
+   * known of them.
+   */
+  private startEpoch(epoch: number, now: Instant): void {
+    this.newest = {
+      epoch,
+      maxLeaseMs: DEFAULT_MAX_LEASE_AFTER_LAST_RECORD_MS,
+      released: false,
+    };
+    const latest = now + DEFAULT_MAX_LEASE_AFTER_LAST_RECORD_MS;
     for (const [known, end] of this.epochs) {
       this.epochs.set(known, Math.min(end, latest));
     }
-    this.othersEnd = Math.min(this.othersEnd, latest);
+    this.otherEpochsEnd = Math.min(this.otherEpochsEnd, latest);
   }
 
-  /** All that a leader writes shows that it may have given leases until then. */
-  private prolong(now: Instant): void {
-    const { epoch, heldMs, released } = this.newest;
+  /** Every record of a leader shows that it may have granted leases until then. */
+  private extendNewest(now: Instant): void {
+    const { epoch, maxLeaseMs, released } = this.newest;
     if (!released) {
-      this.epochs.set(epoch, now + heldMs);
+      this.epochs.set(epoch, now + maxLeaseMs);
     }
   }
 
-  /** Time by which the leases of all leaders before the newest have ended. */
-  private lastEnd(): Instant {
+  /** Time by which the leases of all leaders before the newest have expired. */
+  private latestEnd(): Instant {
     const ends = this.earlierEnds(this.newest.epoch).map(([, end]) => end);
-    return Math.max(this.othersEnd, ...ends);
+    return Math.max(this.otherEpochsEnd, ...ends);
   }
 
   private earlierEnds(epoch: number): [number, Instant][] {
     return [...this.epochs].filter(([known]) => known < epoch);
   }
 
-  private noteRelease(heldMs: Millis | undefined, now: Instant): void {
-    if (heldMs !== undefined && !this.newest.released) {
+  private applyRelease(maxLeaseMs: Millis | undefined, now: Instant): void {
+    if (maxLeaseMs !== undefined && !this.newest.released) {
       this.newest.released = true;
-      this.shorten(this.newest.epoch, now + heldMs);
+      this.limitEnd(this.newest.epoch, now + maxLeaseMs);
     }
   }
 
-  /** Takes in what a leader says: it has read all that earlier ones wrote. */
-  private noteHanded(handed: HandedLeases | undefined, now: Instant): void {
+  /** Applies a leader's handover; the leader had read all records of earlier leaders. */
+  private applyHandover(handed: HandedLeases | undefined, now: Instant): void {
     if (handed === undefined) {
-      // One that does not say which workers do not answer may have reached all.
+      // A leader that does not report which workers are unresponsive may have reached all of them.
       this.workers.clear();
       return;
     }
     const { epoch } = this.newest;
-    const told = new Map(handed.epochs);
+    const reported = new Map(handed.epochs);
     for (const [known] of this.earlierEnds(epoch)) {
-      if (!told.has(known)) {
+      if (!reported.has(known)) {
         this.epochs.delete(known);
       }
     }
-    for (const [known, leftMs] of told) {
+    for (const [known, leftMs] of reported) {
       if (known < epoch) {
-        this.shorten(known, now + leftMs);
+        this.limitEnd(known, now + leftMs);
       }
     }
-    // Of all others the writer knew that their leases had ended.
-    this.othersEnd = Math.min(this.othersEnd, now);
-    this.noteOwn(told.get(epoch), now);
-    this.noteWorkers(handed.workers, now);
+    // The writer knew that the leases of all other epochs had expired.
+    this.otherEpochsEnd = Math.min(this.otherEpochsEnd, now);
+    this.applyOwnLease(reported.get(epoch), now);
+    this.applyWorkers(handed.workers, now);
   }
 
-  /** A leader says how long its own leases hold from then on; less and less once it has released the lead. */
-  private noteOwn(heldMs: Millis | undefined, now: Instant): void {
-    if (heldMs !== undefined) {
-      this.newest.heldMs = heldMs;
-      this.shorten(this.newest.epoch, now + heldMs);
+  /**
+   * A leader reports how long its own leases hold from then on; the time shrinks after it has released the
+   * lead.
+   */
+  private applyOwnLease(maxLeaseMs: Millis | undefined, now: Instant): void {
+    if (maxLeaseMs !== undefined) {
+      this.newest.maxLeaseMs = maxLeaseMs;
+      this.limitEnd(this.newest.epoch, now + maxLeaseMs);
     }
   }
 
-  private noteWorkers(handed: HandedLeases['workers'], now: Instant): void {
+  private applyWorkers(handed: HandedLeases['workers'], now: Instant): void {
     const before = new Map(this.workers);
     this.workers.clear();
     for (const [worker, leftMs] of handed) {
@@ -188,14 +211,14 @@
     }
   }
 
-  private shorten(epoch: number, end: Instant): void {
+  private limitEnd(epoch: number, end: Instant): void {
     const known = this.epochs.get(epoch) ?? Infinity;
     this.epochs.set(epoch, Math.min(known, end));
   }
 }
 
-/** Time left until ends, never less than there is. */
-function left<K>(
+/** Returns the remaining times until `ends`, rounded up and never negative. */
+function remainingTimes<K>(
   ends: Iterable<readonly [K, Instant]>,
   now: Instant,
 ): [K, Millis][] {
--- a/packages/daemon/src/job-host/leaving-log.test.ts
+++ b/packages/daemon/src/job-host/leaving-log.test.ts
@@ -16,7 +16,7 @@
   const leaving = new LeavingLog(pino({ level: 'info' }, { write }));
   for (const reasons of rounds) {
     const runs = reasons.map(why => [{ worker: 'w' } as Run, why] as const);
-    leaving.tell(new Map(runs));
+    leaving.logChanges(new Map(runs));
   }
   return lines;
 }
--- a/packages/daemon/src/job-host/leaving-log.ts
+++ b/packages/daemon/src/job-host/leaving-log.ts
@@ -1,39 +1,39 @@
-/** Tells which lasting tasks are still on workers that are about to leave, and why. */
+/** Logs which long-running tasks remain on workers that are about to leave, and why. */
 import type { Run, StayReason } from '@paddlewind/domain/jobs';
 
 import type { HostContext } from './context.js';
 
-/** Numbers of lasting tasks on one worker by why they are still there. */
-type Counts = Partial<Record<StayReason, number>>;
+/** Numbers of long-running tasks on one worker, by the reason why they remain there. */
+type ReasonCounts = Partial<Record<StayReason, number>>;
 
-/** Writes a line for each worker whose numbers have changed: at most some lines for each task there. */
+/** Logs a line for each worker whose numbers have changed, which limits the lines to a few per task. */
 export class LeavingLog {
-  private told = new Map<string, string>();
+  private lastLogged = new Map<string, string>();
 
-  /** Creates a log that has told nothing. */
+  /** Creates a log without previous lines. */
   constructor(private readonly log: HostContext['log']) {}
 
-  /** Tells of the tasks that are still there after a round. */
-  tell(stay: ReadonlyMap<Run, StayReason>): void {
-    const told = new Map<string, string>();
+  /** Logs the tasks that remain after a planning round. */
+  logChanges(stay: ReadonlyMap<Run, StayReason>): void {
+    const logged = new Map<string, string>();
     for (const [worker, why] of countByWorker(stay)) {
       const text = JSON.stringify(why);
-      told.set(worker, text);
-      if (this.told.get(worker) !== text) {
+      logged.set(worker, text);
+      if (this.lastLogged.get(worker) !== text) {
         this.log.info(
           { worker, why },
           'leader: tasks stay on a worker that leaves',
         );
       }
     }
-    this.told = told;
+    this.lastLogged = logged;
   }
 }
 
 function countByWorker(
   stay: ReadonlyMap<Run, StayReason>,
-): Map<string, Counts> {
-  const found = new Map<string, Counts>();
+): Map<string, ReasonCounts> {
+  const found = new Map<string, ReasonCounts>();
   for (const [{ worker }, reason] of stay) {
     const counts = found.get(worker) ?? {};
     counts[reason] = (counts[reason] ?? 0) + 1;
--- a/packages/daemon/src/job-host/linked-runs.ts
+++ b/packages/daemon/src/job-host/linked-runs.ts
@@ -1,4 +1,4 @@
-/** The open runs at one incarnation of a worker, and what follows for them from its reports. */
+/** The open runs at one incarnation of a worker, and the effects of its reports on them. */
 import type { Instant } from '@paddlewind/domain';
 import {
   newProgress,
@@ -14,80 +14,85 @@
 import type { ActiveRun, EndedRun, LookResult } from '@paddlewind/ports/jobs';
 
 import type { HostContext } from './context.js';
-import { tellGivenUp } from './given-up-runs.js';
+import { logAbandonedRuns } from './given-up-runs.js';
 import type { WorkerGivenUp } from './meters.js';
-import { ReportTrail } from './report-trail.js';
+import { ReportChecks } from './report-trail.js';
 
 type Report = Extract<LookResult, { kind: 'seen' }>;
 
-/** What is told of runs. */
+/** Events of the runs at one link. */
 export interface LinkedRunEvents {
   /** A run has ended, which is to be recorded. */
   ended(run: Run, how: RunEnd, checkpoint: string): void;
-  /** Runs are given up with an incarnation of the worker, which was lost by `lostBy`; it is to be recorded. */
-  givenUp(
+  /**
+   * Runs are abandoned with an incarnation of the worker that was lost by `lostBy`, which is to be recorded.
+   */
+  abandoned(
     worker: string,
     runs: readonly Run[],
     reason: WorkerGivenUp,
     lostBy: Instant,
   ): void;
-  /** A run that was meant for an earlier incarnation is at this one, which is to be recorded. */
+  /** A run that was sent to an earlier incarnation runs at this one, which is to be recorded. */
   moved(run: Run): void;
-  /** The worker lists the end of a run that is not open here; told with each report that does. */
+  /** The worker lists the end of a run that is not open here; repeated for each such report. */
   strayEnd(ended: EndedRun): void;
-  /** A run is known to have begun. */
-  began(run: Run): void;
-  /** The worker has a run at work that is not open here; told with each report that lists it. */
+  /** A run is known to have started. */
+  runStarted(run: Run): void;
+  /** The worker lists an active run that is not open here; repeated for each such report. */
   strayRun(active: ActiveRun): void;
 }
 
-/** Where the runs at an incarnation are found. */
+/** Access to the runs at an incarnation. */
 export interface RunSource {
   readonly ctx: HostContext;
   readonly runs: () => WorkerRuns;
-  /** Open runs of the worker's other incarnations, which may have begun at this one. */
+  /** Open runs of the worker's other incarnations, which may have started at this one. */
   readonly otherRuns: () => readonly Run[];
-  /** Whether this leader knows the incarnation since its start. */
+  /** Whether this leader has known the incarnation since its start. */
   readonly isNew: boolean;
-  /** Monotonic time since which this leader decides. */
+  /** Monotonic time since which this leader has led. */
   readonly leadsSince: Instant;
 }
 
-/** What the runs of a link are given. */
+/** Dependencies and callbacks of the runs at one link. */
 export interface LinkedRunsOptions extends RunSource {
   readonly info: () => WorkerInfo;
   readonly events: LinkedRunEvents;
-  /** What the log tells of the contact to the worker. */
-  readonly contact: () => Record<string, unknown>;
-  /** Monotonic time by which the worker was lost, where it was. */
+  /** Log fields about the contact with the worker. */
+  readonly contactFields: () => Record<string, unknown>;
+  /** Monotonic time by which the worker was lost, if it was. */
   readonly lostBy: () => Instant;
 }
 
 /** The runs of one link. */
 export class LinkedRuns {
-  private readonly trail: ReportTrail;
+  private readonly checks: ReportChecks;
 
-  /** Creates the runs of a worker that has not reported. */
+  /** Creates the runs of a worker that has not reported yet. */
   constructor(private readonly options: LinkedRunsOptions) {
     const { ctx, info, isNew } = options;
-    this.trail = new ReportTrail(ctx, info().id, isNew);
+    this.checks = new ReportChecks(ctx, info().id, isNew);
   }
 
-  /** Those at this incarnation, by key. */
+  /** Runs at this incarnation, by key. */
   get open(): Map<string, Run> {
     return this.options.runs().runs;
   }
 
-  /** Those at this incarnation, and those at others that may have begun here. */
+  /** Runs at this incarnation, and runs at others that may have started here. */
   get all(): Run[] {
     return [...this.open.values(), ...this.options.otherRuns()];
   }
 
-  /** Takes in the report that answers a look sent at `sentAt`, the first one of this incarnation or a later. */
-  take(report: Report, sentAt: Instant, isFirst: boolean): void {
+  /**
+   * Applies the report that answers a poll sent at `sentAt`; `isFirst` if it is the first of this
+   * incarnation.
+   */
+  applyReport(report: Report, sentAt: Instant, isFirst: boolean): void {
     const { events } = this.options;
-    this.takeOverRuns(report);
-    const listed = this.takeActive(report);
+    this.adoptRuns(report);
+    const listed = this.applyActive(report);
     for (const ended of report.ended) {
       const key = runKey(taskName(ended.task), ended.run);
       listed.add(key);
@@ -98,37 +103,37 @@
         events.ended(run, ended.how, ended.checkpoint);
       }
     }
-    this.trail.note(report, listed, this.open);
+    this.checks.check(report, listed, this.open);
     for (const [key, run] of this.open) {
-      if (!listed.has(key) && neverBegan(run, sentAt, isFirst)) {
+      if (!listed.has(key) && neverStarted(run, sentAt, isFirst)) {
         events.ended(run, 'void', '');
       }
     }
   }
 
-  /** Gives up what was seen at this incarnation, which another one has replaced. */
-  giveUpListed(): void {
+  /** Abandons the runs that were listed by this incarnation, which was superseded. */
+  abandonListed(): void {
     if (startOf(this.options.info().id) === undefined) {
-      // The one that is there now may be this one.
+      // Without a start time in the id, the current incarnation may be this one.
       return;
     }
     const runs = [...this.open.values()];
-    this.giveUp(
+    this.abandon(
       runs.filter(({ progress }) => progress?.listed === true),
       'replaced',
     );
   }
 
-  /** Gives up all runs. */
-  giveUpAll(reason: WorkerGivenUp): void {
-    this.giveUp(this.all, reason);
+  /** Abandons all runs. */
+  abandonAll(reason: WorkerGivenUp): void {
+    this.abandon(this.all, reason);
   }
 
   /**
-   * Takes over the runs of other incarnations: those that are listed have begun here, and no other one is at
-   * work or can begin any more.
+   * Takes over the runs of other incarnations. Those that the report lists have started here; all others are
+   * neither running nor can they start any more.
    */
-  private takeOverRuns({ active, ended }: Report): void {
+  private adoptRuns({ active, ended }: Report): void {
     const runs = this.options.otherRuns();
     if (runs.length === 0) {
       return;
@@ -136,33 +141,33 @@
     const listed = new Set(
       [...active, ...ended].map(({ task, run }) => runKey(taskName(task), run)),
     );
-    const gone: Run[] = [];
+    const absent: Run[] = [];
     for (const run of runs) {
       if (listed.has(runKey(taskName(refOf(run.task)), run.number))) {
-        this.takeOver(run);
-      } else if (!this.isUnordered(run)) {
-        gone.push(run);
+        this.adopt(run);
+      } else if (!this.awaitsStartOrder(run)) {
+        absent.push(run);
       }
     }
-    this.giveUpOthers(gone);
+    this.abandonOthers(absent);
   }
 
-  private takeOver(run: Run): void {
+  private adopt(run: Run): void {
     this.options.events.moved(run);
     if (run.progress !== undefined) {
-      // A stop was meant for the incarnation before.
+      // A stop order was meant for the previous incarnation.
       run.progress.stopping = false;
       run.progress.stopConfirmedAt = Infinity;
     }
   }
 
-  /** Whether this leader has decided on a run and not ordered it yet: its order will find this link. */
-  private isUnordered({ progress, openedAt }: Run): boolean {
+  /** Whether this leader has decided on a run but not sent its start order, which will use this link. */
+  private awaitsStartOrder({ progress, openedAt }: Run): boolean {
     return progress === undefined && openedAt >= this.options.leadsSince;
   }
 
-  private giveUpOthers(runs: readonly Run[]): void {
-    // An earlier version of a leader did not tell which incarnation it meant: the run may never have begun.
+  private abandonOthers(runs: readonly Run[]): void {
+    // Earlier versions of the leader did not record the incarnation, so the run may never have started.
     const isVoid = ({ worker, progress }: Run): boolean =>
       startOf(worker) === undefined && progress === undefined;
     for (const run of runs.filter(isVoid)) {
@@ -170,15 +175,15 @@
     }
     const lost = runs.filter(run => !isVoid(run));
     const isOwn = ({ progress }: Run): boolean => progress !== undefined;
-    this.giveUp(lost.filter(isOwn), 'replaced');
-    this.giveUp(
+    this.abandon(lost.filter(isOwn), 'replaced');
+    this.abandon(
       lost.filter(run => !isOwn(run)),
       'unregistered',
     );
   }
 
-  /** Takes in what is at work; returns the keys of all runs that the report lists so. */
-  private takeActive(report: Report): Set<string> {
+  /** Applies the active runs of a report; returns their keys. */
+  private applyActive(report: Report): Set<string> {
     const listed = new Set<string>();
     for (const active of report.active) {
       const key = runKey(taskName(active.task), active.run);
@@ -191,20 +196,20 @@
         );
         this.options.events.strayRun(active);
       } else {
-        this.noteProgress(run, active);
+        this.updateProgress(run, active);
       }
     }
     return listed;
   }
 
-  private noteProgress(run: Run, seen: ActiveRun): void {
+  private updateProgress(run: Run, seen: ActiveRun): void {
     const now = this.options.ctx.clock();
     run.progress ??= newProgress(now);
     const { progress } = run;
     progress.listed = true;
     if (!progress.confirmed) {
       progress.confirmed = true;
-      this.options.events.began(run);
+      this.options.events.runStarted(run);
     }
     progress.seenAt = now;
     progress.checkpoint = seen.checkpoint;
@@ -215,18 +220,18 @@
     }
   }
 
-  private giveUp(runs: readonly Run[], reason: WorkerGivenUp): void {
-    const { ctx, events, contact, lostBy } = this.options;
+  private abandon(runs: readonly Run[], reason: WorkerGivenUp): void {
+    const { ctx, events, contactFields: contact, lostBy } = this.options;
     for (const worker of new Set(runs.map(run => run.worker))) {
       const lost = runs.filter(run => run.worker === worker);
-      tellGivenUp(ctx, worker, lost, reason, contact());
-      events.givenUp(worker, lost, reason, lostBy());
+      logAbandonedRuns(ctx, worker, lost, reason, contact());
+      events.abandoned(worker, lost, reason, lostBy());
     }
   }
 }
 
-/** Whether a run that a report does not list can be told never to have begun. */
-function neverBegan(run: Run, sentAt: Instant, isFirst: boolean): boolean {
+/** Whether a run that a report does not list has certainly never started. */
+function neverStarted(run: Run, sentAt: Instant, isFirst: boolean): boolean {
   const { progress } = run;
   if (progress === undefined) {
     // Recorded by an earlier leader, whose orders the worker refuses from now on.
--- a/packages/daemon/src/job-host/order-queue.ts
+++ b/packages/daemon/src/job-host/order-queue.ts
@@ -1,21 +1,21 @@
-/** Orders to one worker, sent one at a time: stops first, then the others in the order given. */
+/** Orders to one worker, sent one at a time: stops first, then the others in the order of arrival. */
 import type { Run } from '@paddlewind/domain/jobs';
 
-/** What an order does to its run. */
+/** Effect of an order on its run. */
 export type OrderKind = 'stop' | 'throttle' | 'start';
 
-/** An order that waits for its turn. */
+/** A queued order. */
 export interface Order {
   readonly kind: OrderKind;
   readonly run: Run;
-  /** Sends it, and resolves once its outcome is known. */
+  /** Sends the order, and resolves once its outcome is known. */
   readonly send: () => Promise<void>;
 }
 
 /**
- * Sends orders in turn. Stops go first: whoever waits for the end of a run would else wait for as long
- * as a slow worker takes to answer all starts before it. Limits don't: where shares change with each
- * report they would leave no turn to a start.
+ * Sends orders one at a time. Stops go first: otherwise a caller that waits for the end of a run would also
+ * wait for a slow worker to answer all earlier starts. Limits do not go first: shares that change with each
+ * report would leave no turn to a start.
  */
 export class OrderQueue {
   private readonly stops: Order[] = [];
@@ -23,7 +23,7 @@
   private sending = false;
   private closed = false;
 
-  /** Sends `order` when its turn comes. */
+  /** Queues `order` and sends it in turn. */
   add(order: Order): void {
     if (this.closed) {
       return;
@@ -34,13 +34,13 @@
     }
   }
 
-  /** Whether an order waits that was not sent yet. */
-  has(kind: OrderKind, run: Run): boolean {
+  /** Whether an order of this kind is queued for `run` and not sent yet; stops are not considered. */
+  isQueued(kind: OrderKind, run: Run): boolean {
     return this.others.some(order => order.kind === kind && order.run === run);
   }
 
-  /** Takes orders of a kind back that were not sent yet, all or those of one run; returns their runs. */
-  takeBack(kind: OrderKind, run?: Run): Run[] {
+  /** Removes unsent orders of a kind, either all or those of one run; returns their runs. */
+  withdraw(kind: OrderKind, run?: Run): Run[] {
     const taken = this.others.filter(
       order => order.kind === kind && (run === undefined || order.run === run),
     );
@@ -50,7 +50,7 @@
     return taken.map(order => order.run);
   }
 
-  /** Sends nothing more. */
+  /** Stops sending. */
   close(): void {
     this.closed = true;
     this.stops.length = 0;
--- a/packages/daemon/src/job-host/orders.fixture.test.ts
+++ b/packages/daemon/src/job-host/orders.fixture.test.ts
@@ -48,7 +48,7 @@
 };
 
 /** A job whose tasks run on one worker, and what was ordered there. */
-export class OrderedRuns {
+export class StubWorkerSite {
   readonly time = createVirtualTime();
   readonly state = emptyJobsState();
   readonly ctx: HostContext = testContext(this.time);
@@ -57,7 +57,7 @@
   /** Ends that were told, such as `0#1 void`. */
   readonly ended: string[] = [];
   /** Looks that were sent. */
-  readonly looks: LookOrder[] = [];
+  readonly polls: LookOrder[] = [];
   /** Ends that the worker lists until they are acknowledged. */
   readonly listed: EndedRun[] = [];
   /** What the worker's answers tell of its start. */
@@ -143,7 +143,7 @@
   }
 
   private async look(order: LookOrder): Promise<LookResult> {
-    this.looks.push(order);
+    this.polls.push(order);
     // A look takes a while, so that looks don't follow each other without end.
     await this.pause(Math.max(50, order.waitMs));
     const clock: Instant = this.time.clock();
@@ -166,8 +166,8 @@
 }
 
 /** A link that has reached the worker of `site`. */
-export async function linkTo(
-  site: OrderedRuns,
+export async function openLink(
+  site: StubWorkerSite,
   info = ORDERED_WORKER,
 ): Promise<WorkerLink> {
   const link = new WorkerLink(info, {
@@ -182,7 +182,7 @@
     otherRuns: () => [],
     isNew: false,
     leadsSince: 0,
-    lookWaitMs: () => 1_000,
+    pollWaitMs: () => 1_000,
     inboxAgeMs: () => 0,
     registryAgeMs: () => 0,
     ticketFor: () => undefined,
@@ -193,7 +193,7 @@
         site.replacedBy.push(by);
         link.supersede();
       },
-      givenUp: (_worker, runs) => {
+      abandoned: (_worker, runs) => {
         for (const run of runs) {
           site.end(run, 'lapsed');
         }
@@ -205,14 +205,14 @@
       },
       fenced: () => undefined,
       ticketRefused: () => undefined,
-      began: () => undefined,
+      runStarted: () => undefined,
       started: () => undefined,
       reported: () => undefined,
       silent: () => undefined,
       changed: () => undefined,
     },
   });
-  void link.begin();
+  void link.run();
   await site.time.advance(100);
   return link;
 }
--- a/packages/daemon/src/job-host/portion.ts
+++ b/packages/daemon/src/job-host/portion.ts
@@ -1,48 +1,48 @@
-/** How much of a stream a read asks for, so that the answer arrives in time over any link. */
+/** How many bytes a read of a stream requests, so that the answer arrives in time on any link. */
 import type { Millis } from '@paddlewind/domain';
 
-/** Bytes of a host's first read: 0.2 s on a link of 10 Mbit/s. */
-const FIRST_BYTES = 262_144;
-/** Fewest bytes: some hundred starts and ends, and more than any job of today. */
-const FEWEST_BYTES = 65_536;
-/** Most bytes: what the log brings at once. */
-const MOST_BYTES = 1_048_576;
-/** An answer that took longer makes the next read smaller: half of the time that a read has. */
-const SLOW_MS: Millis = 700;
-/** An answer that took less lets the next read be larger. */
-const FAST_MS: Millis = 250;
+/** Size of a host's first read: takes 0.2 s on a link of 10 Mbit/s. */
+const INITIAL_BYTES = 262_144;
+/** Minimum size: some hundred starts and ends, and more than any current job. */
+const MIN_BYTES = 65_536;
+/** Maximum size: the most that the log returns at once. */
+const MAX_BYTES = 1_048_576;
+/** A slower answer makes the next read smaller; half of the timeout of a read. */
+const SLOW_ANSWER_MS: Millis = 700;
+/** A faster answer allows a larger next read. */
+const FAST_ANSWER_MS: Millis = 250;
 
 /**
- * Follows how fast the link is. A read that does not arrive in time has brought nothing, and to ask
- * for the same again brings nothing either: on links of 10 Mbit/s hosts received 0.8 MB a second
- * without learning anything.
+ * Adapts the read size to the speed of the link. A read that times out returns nothing, and repeating it at
+ * the same size returns nothing either: on links of 10 Mbit/s hosts received 0.8 MB a second without any
+ * progress.
  */
 export class Portion {
-  private size = FIRST_BYTES;
+  private targetBytes = INITIAL_BYTES;
 
-  /** Bytes to ask for. */
+  /** Number of bytes to request. */
   get bytes(): number {
-    return this.size;
+    return this.targetBytes;
   }
 
-  /** Notes an answer that took `took` and brought `bytes` of records, where there were some. */
+  /** Records an answer that took `took` and returned `bytes` of records, possibly none. */
   noteAnswer(took: Millis, bytes: number): void {
     if (bytes === 0) {
-      // The next record may be larger than what was asked for.
-      this.resize(this.size * 2);
-    } else if (took > SLOW_MS) {
-      this.resize(this.size / 2);
-    } else if (took < FAST_MS && 2 * bytes > this.size) {
-      this.resize(this.size * 2);
+      // The next record may be larger than the requested size.
+      this.resize(this.targetBytes * 2);
+    } else if (took > SLOW_ANSWER_MS) {
+      this.resize(this.targetBytes / 2);
+    } else if (took < FAST_ANSWER_MS && 2 * bytes > this.targetBytes) {
+      this.resize(this.targetBytes * 2);
     }
   }
 
-  /** Notes a read without an answer. */
+  /** Records a read without an answer. */
   noteFailure(): void {
-    this.resize(this.size / 2);
+    this.resize(this.targetBytes / 2);
   }
 
   private resize(bytes: number): void {
-    this.size = Math.min(MOST_BYTES, Math.max(FEWEST_BYTES, bytes));
+    this.targetBytes = Math.min(MAX_BYTES, Math.max(MIN_BYTES, bytes));
   }
 }
--- a/packages/daemon/src/job-host/report-trail.ts
+++ b/packages/daemon/src/job-host/report-trail.ts
@@ -1,4 +1,4 @@
-/** Compares each report of a worker with the one before: what a worker should never leave out. */
+/** Compares consecutive reports of a worker, and logs runs and ends that are missing without a cause. */
 import type { Run } from '@paddlewind/domain/jobs';
 import type { LookResult } from '@paddlewind/ports/jobs';
 
@@ -6,14 +6,17 @@
 
 type Report = Extract<LookResult, { kind: 'seen' }>;
 
-/** The reports of one incarnation of a worker. */
-export class ReportTrail {
-  /** Highest position of an end that was listed; undefined before the first report. */
+/** Checks the reports of one incarnation of a worker. */
+export class ReportChecks {
+  /** Highest position of a listed end; undefined before the first report. */
   private lastPosition: number | undefined;
-  /** Runs that were listed as at work, and are open. */
-  private seen = new Set<string>();
+  /** Runs that the last report listed and that were open then. */
+  private lastListed = new Set<string>();
 
-  /** Creates the trail of a worker that has not reported; a new one has listed no end to anybody. */
+  /**
+   * Creates the checks of a worker that has not reported yet; a new incarnation has listed no ends to
+   * anybody.
+   */
   constructor(
     private readonly ctx: HostContext,
     private readonly worker: string,
@@ -22,14 +25,14 @@
     this.lastPosition = isNew ? 0 : undefined;
   }
 
-  /** Takes in a report; `listed` has the keys of all runs that it names, `open` the open runs there. */
-  note(
+  /** Checks a report; `listed` holds the keys of all runs in it, `open` the open runs at the worker. */
+  check(
     report: Report,
     listed: ReadonlySet<string>,
     open: ReadonlyMap<string, Run>,
   ): void {
-    this.notePositions(report);
-    for (const run of this.seen) {
+    this.checkPositions(report);
+    for (const run of this.lastListed) {
       if (open.has(run) && !listed.has(run)) {
         const { worker } = this;
         this.ctx.meters.runMissing();
@@ -39,11 +42,13 @@
         );
       }
     }
-    this.seen = new Set([...listed].filter(run => open.has(run)));
+    this.lastListed = new Set([...listed].filter(run => open.has(run)));
   }
 
-  /** Positions rise by one: what is left out was acknowledged before it was listed here. */
-  private notePositions({ ended }: Report): void {
+  /**
+   * Positions rise by one: a gap means that ends were acknowledged before they were listed to this leader.
+   */
+  private checkPositions({ ended }: Report): void {
     const first = ended.at(0)?.position;
     const expected = (this.lastPosition ?? Infinity) + 1;
     if (first !== undefined && first > expected) {
--- a/packages/daemon/src/job-host/restate-due.ts
+++ b/packages/daemon/src/job-host/restate-due.ts
@@ -1,13 +1,15 @@
-/** Restates jobs in time, so that the log needs to keep no older record of them. */
+/** Restates jobs in time, so that the log can drop older records of them. */
 import type { Millis } from '@paddlewind/domain';
 import { imageOf, type JobsState } from '@paddlewind/domain/jobs';
 
 import type { HostContext } from './context.js';
 import type { DecisionLog } from './decision-log.js';
-import { RESTATE_BATCH, RESTATE_SHARE } from './timing.js';
+import { MAX_RESTATED_JOBS, RESTATE_SHARE } from './timing.js';
 
-/** Decides to restate jobs whose records the log, which keeps them for `retentionMs`, may soon drop. */
-export function restateDue(
+/**
+ * Records the state of jobs whose records may soon be dropped by the log, which keeps them for `retentionMs`.
+ */
+export function restateDueJobs(
   state: JobsState,
   decisions: DecisionLog,
   { clock, wallClock }: HostContext,
@@ -18,13 +20,13 @@
   const nowWall = wallClock();
   let count = 0;
   for (const job of state.jobs.values()) {
-    // By both clocks: the time of day may jump, and this host may have learnt of the job late.
+    // Uses both clocks: the wall clock may jump, and this host may have learned of the job late.
     const ageMs = Math.max(now - job.learntAt, nowWall - job.acceptedAtWall);
     if (ageMs > dueMs && now - (job.restatedAt ?? -Infinity) > dueMs) {
       job.restatedAt = now;
       decisions.record({ kind: 'restate', image: imageOf(job, state) });
       count += 1;
-      if (count >= RESTATE_BATCH) {
+      if (count >= MAX_RESTATED_JOBS) {
         return;
       }
     }
--- a/packages/daemon/src/job-host/run-recorder.ts
+++ b/packages/daemon/src/job-host/run-recorder.ts
@@ -1,4 +1,4 @@
-/** What a leader records of runs at work: that their workers were reached, and that they began and ended. */
+/** Records what happens to runs: that their workers were reached, and that they started and ended. */
 import {
   findTask,
   isGivenUp,
@@ -24,13 +24,18 @@
 import type { HostContext } from './context.js';
 import type { DecisionLog } from './decision-log.js';
 import type { WorkerPresence } from './fleet.js';
-import { logGivenUp, logJobOver, logRun, logStrayEnd } from './leader-log.js';
+import {
+  logAbandonedTask,
+  logJobFinished,
+  logRun,
+  logStrayEnd,
+} from './leader-log.js';
 import { learnFromEnd } from './leader-records.js';
 import type { WonClaim } from './leadership.js';
 import type { WorkerGivenUp } from './meters.js';
 import type { StartWindow } from './start-window.js';
 
-/** What a recorder is given. */
+/** Dependencies and callbacks of a recorder. */
 export interface RunRecorderOptions {
   readonly ctx: HostContext;
   readonly claim: WonClaim;
@@ -38,52 +43,54 @@
   readonly decisions: DecisionLog;
   readonly times: RunTimes;
   readonly health: WorkerHealth;
-  readonly window: StartWindow;
+  readonly startWindow: StartWindow;
   /** A run is about to end. */
-  readonly noteEnd: (run: Run) => void;
-  /** What the registry says of a worker. */
+  readonly onRunEnding: (run: Run) => void;
+  /** State of a worker in the registry. */
   readonly presenceOf: (worker: string) => WorkerPresence;
-  /** Number of workers that are registered. */
+  /** Number of registered workers. */
   readonly fleetSize: () => number;
-  /** Something was recorded that planning should see. */
-  readonly changed: () => void;
+  /** Something was recorded that planning has to consider. */
+  readonly onChange: () => void;
 }
 
-/** A record of the journal by which a run ends. */
+/** A journal record that ends a run. */
 type EndRecord = Extract<JournalRecord, { kind: 'end' | 'lost' }>;
 
-/** What is told of the loss of a run that has ended otherwise. */
-const NOT_LOST: Partial<JudgedLoss> = {};
+/** Loss fields of a run that was not lost. */
+const NO_LOSS: Partial<JudgedLoss> = {};
 
-/** Records what becomes of runs, until it is closed. */
+/** Records events of runs until it is closed. */
 export class RunRecorder {
   private closed = false;
-  /** Workers that were given up with what ran there. */
-  private readonly givenUpWorkers = new Set<string>();
+  /** Workers that were abandoned together with their runs. */
+  private readonly abandonedWorkers = new Set<string>();
 
-  /** Creates a recorder for one leader. */
+  /** Creates the recorder of one leader. */
   constructor(private readonly options: RunRecorderOptions) {}
 
-  /** Records nothing more: another host leads. */
+  /** Stops recording, because another host leads. */
   close(): void {
     this.closed = true;
   }
 
-  /** Records the end of a run; does nothing for one that is not open. */
-  ended(run: Run, how: RunEnd, checkpoint: string): void {
+  /** Records the end of a run; does nothing if the run is not open. */
+  recordEnd(run: Run, how: RunEnd, checkpoint: string): void {
     const ref = { task: refOf(run.task), run: run.number };
-    this.end(run, how, { kind: 'end', ...ref, how, checkpoint });
+    this.endRun(run, how, { kind: 'end', ...ref, how, checkpoint });
   }
 
-  /** Records the ends of runs that are given up with their worker, and how far each may be the reason. */
-  givenUp(
+  /**
+   * Records the ends of runs that are abandoned with their worker, and how likely each run caused the loss.
+   */
+  recordAbandoned(
     worker: string,
     runs: readonly Run[],
     reason: WorkerGivenUp,
     lostBy: Instant,
   ): void {
     if (runs.length > 0) {
-      this.givenUpWorkers.add(worker);
+      this.abandonedWorkers.add(worker);
     }
     const { ctx, claim, state, fleetSize } = this.options;
     const judged = suspicionsOf(state, runs, {
@@ -94,12 +101,12 @@
       now: ctx.clock(),
     });
     for (const [run, loss] of judged) {
-      this.lost(run, loss);
+      this.recordLoss(run, loss);
     }
   }
 
-  /** Records that a run has begun at a later incarnation of its worker. */
-  moved(run: Run, worker: string): void {
+  /** Records that a run has started at a later incarnation of its worker. */
+  recordMove(run: Run, worker: string): void {
     if (this.closed) {
       return;
     }
@@ -117,15 +124,18 @@
     this.options.decisions.record({ kind: 'moved', ...ref, worker });
   }
 
-  /** A worker that goes without a word while nothing runs there shows that no task need be to blame. */
-  workerLeft(worker: string, announced: boolean): void {
-    const ranNothing = !this.givenUpWorkers.delete(worker);
+  /**
+   * A worker that disappears unannounced without any runs shows that workers can be lost without a task
+   * causing it.
+   */
+  noteWorkerRemoved(worker: string, announced: boolean): void {
+    const ranNothing = !this.abandonedWorkers.delete(worker);
     if (ranNothing && !announced) {
       noteWorkerLoss(this.options.state, worker);
     }
   }
 
-  /** A worker that had left before this leader took over may have announced that. */
+  /** A worker that was removed before this leader took over may have announced its departure. */
   private fateOf(worker: string, reason: WorkerGivenUp): WorkerFate {
     const presence = this.options.presenceOf(worker);
     if (presence === 'leaving') {
@@ -141,40 +151,41 @@
     }
   }
 
-  private lost(run: Run, loss: JudgedLoss): void {
+  private recordLoss(run: Run, loss: JudgedLoss): void {
     const { task } = run;
     const wasGivenUp = isGivenUp(task);
     const checkpoint = checkpointOf(run);
     const ref = { task: refOf(task), run: run.number };
-    this.end(run, 'lost', { kind: 'lost', ...ref, checkpoint, ...loss });
+    this.endRun(run, 'lost', { kind: 'lost', ...ref, checkpoint, ...loss });
     if (!wasGivenUp && isGivenUp(task)) {
       this.options.ctx.meters.taskGivenUp();
-      logGivenUp(this.options, task);
+      logAbandonedTask(this.options, task);
     }
   }
 
-  private end(run: Run, how: RunEnd | 'lost', record: EndRecord): void {
+  private endRun(run: Run, how: RunEnd | 'lost', record: EndRecord): void {
     const { task } = run;
     if (this.closed || !task.runs.includes(run)) {
       return;
     }
-    const { ctx, health, times, window } = this.options;
+    const { ctx, health, times, startWindow: window } = this.options;
     learnFromEnd(run, how, { health, times, now: ctx.clock() });
     ctx.meters.ended(how);
-    this.options.noteEnd(run);
+    this.options.onRunEnding(run);
     window.noteEnded(run);
     const expectedMs = Math.round(times.expect(task.step));
-    const { suspicion, age } = record.kind === 'lost' ? record : NOT_LOST;
+    const { suspicion, age } = record.kind === 'lost' ? record : NO_LOSS;
     const more = { how, expectedMs, suspicion, age };
     logRun(this.options, run, 'leader: a run has ended', more);
-    this.decideEnd(task, record);
+    this.recordTaskEnd(task, record);
   }
 
   /**
-   * A worker lists the end of a run that is not open. It may have done what was given up here, as when its
-   * lease ended before it was heard again: its callers asked for the work once.
+   * Handles a run that a worker lists as ended although it is not open here. The worker may have finished a
+   * run that was abandoned here because its lease expired before the worker answered again. A finished run
+   * counts, since callers asked for the work only once.
    */
-  strayEnd(worker: string, ended: EndedRun): void {
+  recordStrayEnd(worker: string, ended: EndedRun): void {
     const task = findTask(this.options.state, ended.task);
     if (this.closed || ended.how !== 'done' || !isWanted(task)) {
       return;
@@ -182,11 +193,11 @@
     const { run, how, checkpoint } = ended;
     logStrayEnd(this.options, task, { worker, run });
     const ref = refOf(task);
-    this.decideEnd(task, { kind: 'end', task: ref, run, how, checkpoint });
+    this.recordTaskEnd(task, { kind: 'end', task: ref, run, how, checkpoint });
   }
 
-  /** Records that a worker was reached; `done` follows once that is written. */
-  reached(worker: string, done: () => void): void {
+  /** Records that a worker was reached; `done` is called once the record is written. */
+  recordReached(worker: string, done: () => void): void {
     if (this.closed) {
       return;
     }
@@ -196,33 +207,35 @@
         done();
       }
     });
-    this.options.changed();
+    this.options.onChange();
   }
 
-  /** Records the first begin of a job. */
-  begun(run: Run): void {
-    const { decisions, window } = this.options;
-    window.noteBegun(run);
+  /** Records that the first run of a job has started. */
+  recordStarted(run: Run): void {
+    const { decisions, startWindow: window } = this.options;
+    window.noteStarted(run);
     const { job } = run.task.step.occurrence;
     if (!this.closed && !job.begun) {
       decisions.record({ kind: 'begun', job: job.spec.id });
     }
   }
 
-  /** Records an end, and tells of its job if that is over with it. */
-  private decideEnd(task: Task, record: EndRecord): void {
-    const { ctx, decisions, times, changed } = this.options;
+  /** Records the end of a run, and logs its job if that finishes it. */
+  private recordTaskEnd(task: Task, record: EndRecord): void {
+    const { ctx, decisions, times, onChange: changed } = this.options;
     const { occurrence } = task.step;
     const wasOver = isOver(occurrence.job);
     decisions.record(record);
     if (!wasOver && isOver(occurrence.job)) {
-      logJobOver(ctx, times, occurrence);
+      logJobFinished(ctx, times, occurrence);
     }
     changed();
   }
 }
 
-/** Newest checkpoint of a run that its worker will tell no more of; empty when there is none. */
+/**
+ * Returns the last checkpoint of a run whose worker will report no more, or an empty string if it has none.
+ */
 function checkpointOf({ progress }: Run): string {
   return progress?.checkpoint ?? '';
 }
--- a/packages/daemon/src/job-host/run-supervisor.test.ts
+++ b/packages/daemon/src/job-host/run-supervisor.test.ts
@@ -8,12 +8,16 @@
   WorkerHealth,
 } from '@paddlewind/domain/jobs';
 
-import { linkTo, ORDERED_WORKER, OrderedRuns } from './orders.fixture.test.js';
+import {
+  openLink,
+  ORDERED_WORKER,
+  StubWorkerSite,
+} from './orders.fixture.test.js';
 import { RunSupervisor } from './run-supervisor.js';
 import { jobOf } from './simulation.fixture.test.js';
 
 /** Opens a run of a serving task beside those of `site`. */
-function serve(site: OrderedRuns): void {
+function serve(site: StubWorkerSite): void {
   const id = '00000000000000c2';
   const step = { tasks: 1, after: [], lasting: true, tailTargetMs: 50 };
   const script = { runMs: 60_000, failures: 0 };
@@ -25,8 +29,8 @@
 }
 
 test('a limit that was not answered is ordered again with the next report', async () => {
-  const site = new OrderedRuns(1, { filler: true, image: 'f' });
-  const link = await linkTo(site);
+  const site = new StubWorkerSite(1, { filler: true, image: 'f' });
+  const link = await openLink(site);
   const supervisor = new RunSupervisor({
     ctx: site.ctx,
     state: site.state,
@@ -48,7 +52,7 @@
       kind === 'unknown'
         ? { kind, reason: 'timeout' }
         : { kind, clock: site.time.clock() };
-    supervisor.limitFillers(link);
+    supervisor.throttleFillers(link);
     await site.time.advance(100);
     limits.push(site.sent.filter(order => order.startsWith('throttle')).length);
   }
--- a/packages/daemon/src/job-host/run-supervisor.ts
+++ b/packages/daemon/src/job-host/run-supervisor.ts
@@ -1,4 +1,4 @@
-/** Watches what runs: stops what nobody needs, what stands still, and limits what disturbs. */
+/** Supervises open runs: stops needless and stalled ones, and throttles those that interfere with others. */
 import type { Instant, Millis } from '@paddlewind/domain';
 import {
   findPlace,
@@ -23,37 +23,37 @@
 import type { HostContext } from './context.js';
 import { LeavingLog } from './leaving-log.js';
 import type { StopReason } from './meters.js';
-import { LOOK_WAIT_MS, TIGHT_LOOK_WAIT_MS } from './timing.js';
+import { POLL_WAIT_MS, SHORT_POLL_WAIT_MS } from './timing.js';
 import type { WorkerLink } from './worker-link.js';
 
-/** What a supervisor is given. */
+/** Dependencies of a supervisor. */
 export interface SupervisorOptions {
   readonly ctx: HostContext;
   readonly state: JobsState;
   readonly interference: Interference;
   readonly health: WorkerHealth;
   readonly linkTo: (worker: string) => WorkerLink | undefined;
-  /** When a worker was first seen to be about to leave, undefined when it is not. */
+  /** Time at which a worker was first seen to be about to leave, or undefined if it is not leaving. */
   readonly leavingSince: (worker: string) => Instant | undefined;
 }
 
 /**
- * How long lasting tasks on a worker that leaves let tasks that end go first: these give places free by
- * themselves, and their callers wait. Workers say that they leave 2 to 5 s before they go, the leader
- * reads so up to 1.2 s later, and a stop takes up to 0.9 s.
+ * How long long-running tasks on a leaving worker give precedence to short tasks, which free their places by
+ * themselves and whose callers wait. Workers announce their departure 2 to 5 s ahead, the leader reads the
+ * announcement up to 1.2 s later, and a stop takes up to 0.9 s.
  */
-const PATIENT_MS: Millis = 1_000;
+const LEAVING_PATIENCE_MS: Millis = 1_000;
 
-/** A task over its target for this long is told of: half of what its users bear. */
-const TOLD_OVER_MS: Millis = 2_000;
+/** A task that exceeds its target for this long is logged: half of what its users tolerate. */
+const LOGGED_OVER_TARGET_MS: Millis = 2_000;
 
 function urgencyOf(leavingSince: Instant, now: Instant): Urgency {
-  return now - leavingSince > PATIENT_MS ? 'urgent' : 'patient';
+  return now - leavingSince > LEAVING_PATIENCE_MS ? 'urgent' : 'patient';
 }
 
-/** Acts on runs that are under way. */
+/** Acts on open runs. */
 export class RunSupervisor {
-  private readonly moved = new Set<Run>();
+  private readonly evacuatedRuns = new Set<Run>();
   private readonly leavingLogs: Readonly<Record<Urgency, LeavingLog>>;
 
   /** Creates a supervisor of the runs in `state`. */
@@ -65,7 +65,7 @@
     };
   }
 
-  /** Stops runs that nobody needs any more, and runs that stand still. */
+  /** Stops runs that nobody needs any more, and stalled runs. */
   stopNeedless(): void {
     const now = this.options.ctx.clock();
     for (const run of this.openRuns()) {
@@ -77,8 +77,8 @@
     }
   }
 
-  /** Stops fillers that are slowed here and would not be elsewhere. */
-  moveSlowed(input: PlanInput): void {
+  /** Stops fillers that are slowed here and would not be slowed elsewhere. */
+  stopSlowedFillers(input: PlanInput): void {
     for (const run of this.openRuns()) {
       const slowed = isSlowed(run, input.time.now);
       const better = slowed ? findPlace(input, run.task) : undefined;
@@ -92,15 +92,15 @@
     }
   }
 
-  /** Tasks that were stopped on a worker that leaves, and have not begun again. */
-  moving(): Set<Task> {
+  /** Returns the tasks that were stopped on a leaving worker and have not started again. */
+  evacuatingTasks(): Set<Task> {
     const tasks = new Set<Task>();
-    for (const run of this.moved) {
+    for (const run of this.evacuatedRuns) {
       const { task } = run;
       const [open] = task.runs;
       const over = isOver(task.step.occurrence.job);
       if (over || (open !== undefined && open !== run)) {
-        this.moved.delete(run);
+        this.evacuatedRuns.delete(run);
       } else {
         tasks.add(task);
       }
@@ -109,21 +109,23 @@
   }
 
   /**
-   * Stops lasting tasks on workers that leave, those of one urgency, where they have room elsewhere, and
-   * keeps that room in the rest of the round.
+   * Stops the long-running tasks of one urgency on leaving workers if there is room for them elsewhere, and
+   * reserves that room for the rest of the round.
    */
-  moveOffLeaving(input: PlanInput, urgency: Urgency): void {
+  evacuateLeaving(input: PlanInput, urgency: Urgency): void {
     const onLeaving = this.runsOnLeaving(urgency, input.time.now);
     const { stop, stay } = planEvacuation(input, onLeaving);
     for (const run of stop) {
-      this.moved.add(run);
+      this.evacuatedRuns.add(run);
       this.logRun(run, 'leader: a run moves off a worker that leaves', {});
       this.stop(run, 'leaving');
     }
-    this.leavingLogs[urgency].tell(stay);
+    this.leavingLogs[urgency].logChanges(stay);
   }
 
-  /** Runs on workers that leave: those of the one that was first seen to do so come first. */
+  /**
+   * Returns the runs on leaving workers; those of the worker that announced its departure first come first.
+   */
   private runsOnLeaving(urgency: Urgency, now: Instant): Run[] {
     const found: { since: Instant; runs: Iterable<Run> }[] = [];
     for (const [worker, { runs }] of this.options.state.workers) {
@@ -137,13 +139,13 @@
       .flatMap(({ runs }) => [...runs]);
   }
 
-  /** Learns from a worker's report how its fillers disturb the tasks that serve there. */
-  learnFrom({ id, capacity }: WorkerInfo): void {
+  /** Learns from a worker's report how its fillers affect the latency of its serving tasks. */
+  learnFromReport({ id, capacity }: WorkerInfo): void {
     const { ctx, state, interference } = this.options;
     const load = workerRuns(state, id);
     const over = interference.learn(load, capacity.cpuMilli, ctx.clock());
     for (const { run, overMs } of over) {
-      if (overMs >= TOLD_OVER_MS) {
+      if (overMs >= LOGGED_OVER_TARGET_MS) {
         const fillers = load.fillerCpuMilli;
         const more = { overMs: Math.round(overMs), fillers };
         this.logRun(run, 'leader: a task was over its target', more);
@@ -152,7 +154,7 @@
   }
 
   /** Notes that a run is about to end. */
-  noteEnd(run: Run): void {
+  noteRunEnding(run: Run): void {
     const { ctx, state, interference } = this.options;
     const info = this.options.linkTo(run.worker)?.info;
     if (info !== undefined) {
@@ -161,8 +163,8 @@
     }
   }
 
-  /** Keeps the fillers of a worker from disturbing the tasks that serve there. */
-  limitFillers(link: WorkerLink): void {
+  /** Throttles the fillers of a worker to protect its serving tasks. */
+  throttleFillers(link: WorkerLink): void {
     const { ctx, state, interference } = this.options;
     const load = workerRuns(state, link.info.id);
     if (load.servingCpuMilli === 0) {
@@ -178,12 +180,12 @@
   }
 
   /** How long a worker may wait for an end before it reports. */
-  lookWaitMs({ id, capacity }: WorkerInfo): number {
+  pollWaitMs({ id, capacity }: WorkerInfo): number {
     const { state, interference } = this.options;
     const load = workerRuns(state, id);
     return interference.isTight(load, capacity.cpuMilli)
-      ? TIGHT_LOOK_WAIT_MS
-      : LOOK_WAIT_MS;
+      ? SHORT_POLL_WAIT_MS
+      : POLL_WAIT_MS;
   }
 
   private stopStalled(run: Run, now: Instant): void {
--- a/packages/daemon/src/job-host/start-window.test.ts
+++ b/packages/daemon/src/job-host/start-window.test.ts
@@ -3,44 +3,44 @@
 
 import type { Run } from '@paddlewind/domain/jobs';
 
-import { OrderedRuns } from './orders.fixture.test.js';
+import { StubWorkerSite } from './orders.fixture.test.js';
 import { StartWindow } from './start-window.js';
 
 const MOST = 200;
 
 /** Begins all starts that a window has free. */
-function fill(window: StartWindow, site: OrderedRuns, from: number): Run[] {
-  const runs = Array.from({ length: window.free() }, (_, at) =>
+function fill(window: StartWindow, site: StubWorkerSite, from: number): Run[] {
+  const runs = Array.from({ length: window.available() }, (_, at) =>
     site.open(from + at),
   );
   runs.forEach(run => {
-    window.begin(run);
+    window.add(run);
   });
   return runs;
 }
 
 test('starts under way take the window up, and give it free once they are known', () => {
   const window = new StartWindow();
-  const runs = fill(window, new OrderedRuns(MOST), 0);
+  const runs = fill(window, new StubWorkerSite(MOST), 0);
   assert.equal(runs.length, MOST);
-  assert.equal(window.free(), 0);
+  assert.equal(window.available(), 0);
   runs.slice(0, 50).forEach(run => {
-    window.noteBegun(run);
+    window.noteStarted(run);
   });
   runs.slice(50, 60).forEach(run => {
     window.noteEnded(run);
   });
-  assert.equal(window.free(), 60);
+  assert.equal(window.available(), 60);
 });
 
 test('the window shrinks while workers cease to answer, and never to nothing', () => {
   const window = new StartWindow();
   for (let now = 0; now < 60_000; now += 600) {
-    const before = window.free();
+    const before = window.available();
     window.noteSilence(now);
-    assert.ok(window.free() < before || window.free() === 4);
+    assert.ok(window.available() < before || window.available() === 4);
   }
-  assert.equal(window.free(), 4);
+  assert.equal(window.available(), 4);
 });
 
 test('workers that are lost at the same moment shrink the window once', () => {
@@ -48,12 +48,12 @@
   for (let count = 0; count < 100; count += 1) {
     window.noteSilence(1_000 + count);
   }
-  assert.equal(window.free(), 140);
+  assert.equal(window.available(), 140);
 });
 
 test('the window grows again with starts that are confirmed', () => {
   const window = new StartWindow();
-  const site = new OrderedRuns(1_000);
+  const site = new StubWorkerSite(1_000);
   for (let now = 0; now < 60_000; now += 600) {
     window.noteSilence(now);
   }
@@ -62,8 +62,8 @@
     const runs = fill(window, site, opened);
     opened += runs.length;
     runs.forEach(run => {
-      window.noteBegun(run);
+      window.noteStarted(run);
     });
   }
-  assert.equal(window.free(), MOST);
+  assert.equal(window.available(), MOST);
 });
--- a/packages/daemon/src/job-host/start-window.ts
+++ b/packages/daemon/src/job-host/start-window.ts
@@ -1,55 +1,55 @@
-/** How many starts a leader has under way at a time. */
+/** Limits the number of starts that a leader has in flight. */
 import type { Instant, Millis } from '@paddlewind/domain';
 import type { Run } from '@paddlewind/domain/jobs';
 
-/** Most starts under way, also so that a round of planning stays short. */
-const MOST = 200;
-/** Fewest: with these a start is tried at any time. */
-const FEWEST = 4;
-/** What is left of the window when workers cease to answer. */
-const SHRINK = 0.7;
-/** Workers that cease to answer within this time show the same congestion: one timeout of an order. */
-const SAME_CAUSE_MS: Millis = 500;
+/** Maximum number of starts in flight, which also keeps planning rounds short. */
+const MAX_STARTS = 200;
+/** Minimum: some starts are attempted at any time. */
+const MIN_STARTS = 4;
+/** Factor by which the window shrinks when workers stop answering. */
+const SHRINK_FACTOR = 0.7;
+/** Workers that stop answering within this time indicate the same congestion: one order timeout. */
+const SHRINK_INTERVAL_MS: Millis = 500;
 
 /**
- * A window as that of a transport protocol. Where orders and reports take longer than their timeouts, as on
- * a link of 1.4 Mbit/s to 102 workers, each start that got no answer is stopped, recorded as ended, and
- * decided on anew: what is sent for nothing then takes the place of what would be answered. There it serves
- * 31 in 100 of what callers ask for in place of 17 (one simulated day).
+ * A congestion window, as in a transport protocol. If orders and reports exceed their timeouts, as on a link
+ * of 1.4 Mbit/s to 102 workers, each unanswered start is stopped, recorded as ended and decided again. This
+ * wasted traffic takes the place of calls that would be answered. On such a link the window raises the served
+ * share of what callers ask for from 17 to 31 in 100 (one simulated day).
  */
 export class StartWindow {
-  private size = MOST;
+  private size = MAX_STARTS;
   private shrunkAt: Instant = -Infinity;
-  private readonly underWay = new Set<Run>();
+  private readonly inFlight = new Set<Run>();
 
-  /** How many more starts may be decided on now, where `most` may be under way for other reasons. */
-  free(most = Infinity): number {
+  /** Returns how many more starts may be decided now; `most` is a further limit on starts in flight. */
+  available(most = Infinity): number {
     const size = Math.min(Math.floor(this.size), most);
-    return Math.max(0, size - this.underWay.size);
+    return Math.max(0, size - this.inFlight.size);
   }
 
-  /** A start was decided on. */
-  begin(run: Run): void {
-    this.underWay.add(run);
+  /** Adds a start that was decided. */
+  add(run: Run): void {
+    this.inFlight.add(run);
   }
 
-  /** A worker has confirmed a start. */
-  noteBegun(run: Run): void {
-    if (this.underWay.delete(run)) {
-      this.size = Math.min(MOST, this.size + 1);
+  /** Notes that a worker has confirmed a start. */
+  noteStarted(run: Run): void {
+    if (this.inFlight.delete(run)) {
+      this.size = Math.min(MAX_STARTS, this.size + 1);
     }
   }
 
-  /** A run has ended, whether it had begun or not. */
+  /** Notes that a run has ended, whether it had started or not. */
   noteEnded(run: Run): void {
-    this.underWay.delete(run);
+    this.inFlight.delete(run);
   }
 
-  /** A worker has ceased to answer. */
+  /** Notes that a worker has stopped answering. */
   noteSilence(now: Instant): void {
-    if (now - this.shrunkAt > SAME_CAUSE_MS) {
+    if (now - this.shrunkAt > SHRINK_INTERVAL_MS) {
       this.shrunkAt = now;
-      this.size = Math.max(FEWEST, this.size * SHRINK);
+      this.size = Math.max(MIN_STARTS, this.size * SHRINK_FACTOR);
     }
   }
 }
--- a/packages/daemon/src/job-host/timing.ts
+++ b/packages/daemon/src/job-host/timing.ts
@@ -1,139 +1,163 @@
-/** Spans of the job host, each with its reason; all in milliseconds. */
+/** Time constants of the job host, each with its reason. */
 import type { Millis } from '@paddlewind/domain';
 
-/** How often a follower reads the journal: a third of the silence after which it claims. */
+/** Interval at which a follower reads the journal: a third of the silence after which it claims. */
 export const FOLLOW_EVERY_MS: Millis = 300;
-/** How often a host that does not stand by reads the summary: contact is lost after two and a half of it. */
+/**
+ * Interval at which a host that is not a standby reads the summary; contact counts as lost after two and a
+ * half intervals.
+ */
 export const SUMMARY_READ_EVERY_MS: Millis = 500;
-/** Pause between writes of the summary: a tenth of what callers of the quickest jobs wait. */
+/** Interval between writes of the summary: a tenth of the time that callers of the fastest jobs wait. */
 export const SUMMARY_EVERY_MS: Millis = 40;
 /**
- * Silence of the summary after which a host that does not stand by begins to read the journal, to lead if
- * need be: those that stand by have taken over within 2 s.
+ * Silence of the summary after which a host that is not a standby reads the journal, to lead if necessary.
+ * Standbys take over within 2 s.
  */
 export const SUMMARY_SILENCE_MS: Millis = 3_000;
-/** Spread of what many hosts would else do at once: read the whole journal, offer to stand by. */
+/**
+ * Jitter of actions that many hosts would otherwise take at once: reading the whole journal, offering to be a
+ * standby.
+ */
 export const DUTY_SPREAD_MS: Millis = 2_000;
 /**
- * How often the leader writes a snapshot of the summary: a host that starts reads one and what follows it,
- * also when the log has been made to drop all older records. Some 25 KB each, which nobody else reads.
+ * Interval at which the leader writes a snapshot of the summary. A starting host reads one and the records
+ * after it, even if the log had to drop all older records. A snapshot has some 25 KB, which no other host
+ * reads.
  */
 export const SNAPSHOT_EVERY_MS: Millis = 5_000;
-/** How often a host that may stand by says so: a third of the time after which it is taken to be gone. */
+/** Interval at which a host offers to be a standby: a third of the time after which it counts as gone. */
 export const VOLUNTEER_EVERY_MS: Millis = 4_000;
-/** A leader with nothing to write writes a heartbeat this often, so that two may be lost. */
-export const HEARTBEAT_EVERY_MS: Millis = 300;
+/** Interval of heartbeats from an otherwise idle leader; two may be lost. */
+export const IDLE_HEARTBEAT_MS: Millis = 300;
 /**
- * A leader says who leads, and until when leases of the last ones hold, at least this often, also while it
- * writes other records: a host that starts anew may count leases for this much too long.
+ * Maximum interval at which a leader reports the leadership and the leases of earlier leaders, even while it
+ * writes other records. A restarted host may count leases for up to this much too long.
  */
 export const CLAIM_REPEAT_MS: Millis = 1_000;
-/** Share of the log's retention after which a job is restated, so that two tries may fail. */
+/** Fraction of the log's retention after which a job is restated, so that two attempts may fail. */
 export const RESTATE_SHARE = 1 / 3;
-/** Most jobs that one append restates: with some 4 KB each it stays far below its limit. */
-export const RESTATE_BATCH = 50;
-/** How often jobs that have long been over are forgotten. */
+/**
+ * Maximum number of jobs restated by one append: with some 4 KB each it stays far below the limit of an
+ * append.
+ */
+export const MAX_RESTATED_JOBS = 50;
+/** Interval at which old finished jobs are removed from memory. */
 export const FORGET_EVERY_MS: Millis = 10_000;
-/** Silence of the journal after which the leader is taken to be gone. */
+/** Silence of the journal after which the leader counts as gone. */
 export const LEADER_SILENCE_MS: Millis = 1_000;
-/** Spread of claims, so that followers rarely claim at the same moment. */
-export const CLAIM_SPREAD_MS: Millis = 200;
-/** Processors below which a host is small: to lead 350 workers takes 0.4 of a core, as simulated. */
+/** Jitter of claims, so that followers rarely claim at the same moment. */
+export const CLAIM_JITTER_MS: Millis = 200;
+/**
+ * Number of processors below which a host is small: leading 350 workers takes 0.4 of a core in simulation.
+ */
 export const LEADER_CORES = 0.5;
-/** How long small hosts leave a claim to larger ones: these spread theirs over 200 ms, and read every 300 ms. */
-export const SMALL_HOST_DELAY_MS: Millis = 600;
-/** Pause before an append that the log refused is sent again. */
+/**
+ * How long small hosts leave a claim to larger ones, which spread theirs over 200 ms and read every 300 ms.
+ */
+export const SMALL_HOST_CLAIM_DELAY_MS: Millis = 600;
+/** Delay before an append that the log refused is sent again. */
 export const APPEND_RETRY_MS: Millis = 100;
 /**
- * Time without an answer after which an append of the leader is sent once more, beside the one that is under
- * way: a sound log answers in some 10 ms, and one that was silent takes it this much later at the most.
+ * Time without an answer after which the leader sends an append again, in parallel with the first one. A
+ * healthy log answers in some 10 ms; after an outage of the log, the append is written at most this much
+ * later.
  */
-export const APPEND_AGAIN_MS: Millis = 450;
+export const APPEND_RESEND_AFTER_MS: Millis = 450;
 /**
- * Longest wait of the leader's read of the inbox: two reads, each with the 350 ms of a slow log, stay
- * below the age at which the inbox counts as stale.
+ * Maximum wait of the leader's read of the inbox: two reads, each with the 350 ms of a slow log, stay below
+ * the age at which the inbox counts as stale.
  */
-export const INBOX_WAIT_MS: Millis = 700;
-/** How often the leader reads the registry of workers. */
-export const REGISTRY_EVERY_MS: Millis = 400;
+export const INBOX_READ_WAIT_MS: Millis = 700;
+/** Interval at which the leader reads the registry of workers. */
+export const REGISTRY_READ_INTERVAL_MS: Millis = 400;
 /**
- * A leader that could not read the registry for this long sends no start: a worker may have begun to
- * leave, and nothing may begin there later than 2 s after it said so; an order takes up to 0.5 s.
+ * A leader that could not read the registry for this long sends no starts. A worker may have announced its
+ * departure, and nothing may start there more than 2 s after that; an order takes up to 0.5 s.
  */
 export const REGISTRY_STALE_MS: Millis = 1_500;
 /**
- * Longest wait of a start between its decision and its sending: by then its task is better off elsewhere,
- * and callers are told that the job waits.
+ * Maximum time between the decision on a start and its sending. After that the task is better placed
+ * elsewhere, and callers are told that the job waits.
  */
 export const START_WAIT_MS: Millis = 1_500;
-/** How long a worker that takes long to answer orders is given no further run. */
-export const SLOW_WORKER_MS: Millis = 2_000;
+/** How long a worker that is slow to answer orders is assigned no further run. */
+export const SLOW_WORKER_PAUSE_MS: Millis = 2_000;
 /**
- * How often the leader records what it has learnt, so that one that is killed leaves that much behind:
+ * Interval at which the leader records learned statistics, which limits what is lost if it is killed:
  * pressures change within seconds, and a record of some hundred pairs takes 5 KB.
  */
-export const LEARNT_EVERY_MS: Millis = 2_000;
-/** How often the leader accounts for its fleet: a line of the log and the gauges each time. */
-export const ACCOUNT_EVERY_MS: Millis = 1_000;
-/** How often the leader plans without an event, for what only time changes. */
-export const PLAN_EVERY_MS: Millis = 250;
+export const LEARNED_RECORD_INTERVAL_MS: Millis = 2_000;
+/** Interval at which the leader accounts for its fleet: one log line and an update of the gauges. */
+export const FLEET_ACCOUNT_INTERVAL_MS: Millis = 1_000;
+/** Interval at which the leader plans without an event, for changes that only depend on time. */
+export const PLAN_INTERVAL_MS: Millis = 250;
 /**
- * After a round that took longer the leader rests for as long as it took: looks, leases and answers keep
- * half of the processor. Rounds of 350 workers take some 3 ms, of 1,000 some 13 (simulated, 20 and 60 jobs a second).
+ * A planning round that takes longer is followed by a pause of the same length, so that polls, leases and
+ * answers keep half of the processor. Rounds take some 3 ms with 350 workers and some 13 ms with 1,000
+ * (simulated, 20 and 60 jobs a second).
  */
 export const LONG_ROUND_MS: Millis = 10;
 /** How long a worker may wait for an end before it reports. */
-export const LOOK_WAIT_MS: Millis = 1_000;
-/** The same for a worker whose fillers are close to disturbing a task that serves there. */
-export const TIGHT_LOOK_WAIT_MS: Millis = 350;
-/** Time for the answer to a look beyond its wait; a sound worker answers in a few milliseconds. */
-export const LOOK_SLACK_MS: Millis = 400;
-/** The same for a worker whose answers were seen to take longer: it is noticed this much later that it is lost. */
-export const MAX_LOOK_SLACK_MS: Millis = 1_500;
-/** Pause before a worker that did not answer is looked at again. */
-export const LOOK_RETRY_MS: Millis = 200;
-/** Pause between looks while recorded ends cannot be acknowledged. */
-export const UNRECORDED_LOOK_MS: Millis = 500;
-/** Lease given to workers: outlives a change of the leader (about 2 s) and two lost looks. */
+export const POLL_WAIT_MS: Millis = 1_000;
+/** The same for a worker whose fillers are close to disturbing a serving task. */
+export const SHORT_POLL_WAIT_MS: Millis = 350;
+/** Timeout of a poll beyond its wait; a healthy worker answers in a few milliseconds. */
+export const POLL_SLACK_MS: Millis = 400;
+/** The same for a worker whose answers have taken longer; its loss is noticed this much later. */
+export const MAX_POLL_SLACK_MS: Millis = 1_500;
+/** Delay before a worker that did not answer is polled again. */
+export const POLL_RETRY_DELAY_MS: Millis = 200;
+/** Delay between polls while recorded ends cannot be acknowledged. */
+export const UNRECORDED_ENDS_POLL_DELAY_MS: Millis = 500;
+/** Lease of workers: outlasts a change of the leader (about 2 s) and two lost polls. */
 export const TASK_LEASE_MS: Millis = 5_000;
 /**
- * Leases that a leader gives end at most this long after its last confirmed append was sent. Running tasks
- * outlive a log that is silent for 6 s, or refuses for 7 s (simulated); a task whose worker is lost with
- * its leader is away for some 8.5 s, and its users allow 9 s.
+ * Leases that a leader grants end at most this long after its last confirmed append was sent. Running tasks
+ * survive a log that is silent for 6 s, or refuses for 7 s (simulated). A task whose worker is lost together
+ * with the leader is unavailable for some 8.5 s, and its users tolerate 9 s.
  */
 export const LEASE_HORIZON_MS: Millis = 8_000;
-/** Shortest lease with which a start is sent: a new leader that takes over meanwhile extends it in time. */
+/** Minimum lease with which a start is sent: a new leader that takes over meanwhile extends it in time. */
 export const MIN_START_LEASE_MS: Millis = 2_000;
-/** Longest wait of a look while the lease can't be extended, or not in full, so that it is as soon as it can be. */
-export const SHORT_LEASE_LOOK_MS: Millis = 250;
-/** Time for an answer of the advice service beyond what it says it takes. */
+/**
+ * Maximum wait of a poll while the lease can't be extended, at least not fully, so that it is extended as
+ * soon as possible.
+ */
+export const SHORT_LEASE_POLL_WAIT_MS: Millis = 250;
+/** Timeout of the advice service beyond its own estimate. */
 export const ADVICE_SLACK_MS: Millis = 500;
-/** Pause before the advice service is asked again after it did not answer. */
+/** Delay before the advice service is asked again after it did not answer. */
 export const ADVICE_RETRY_MS: Millis = 200;
-/** Slowest clock of a worker, as a share of true time. */
-export const SLOWEST_CLOCK = 0.98;
-/** Margin on every computed end of a lease. */
+/** Slowest rate of a worker's clock relative to true time. */
+export const MIN_CLOCK_RATE = 0.98;
+/** Margin added to every computed end of a lease. */
 export const LEASE_MARGIN_MS: Millis = 100;
-/** How much later than at its leader's horizon a lease may end: the worker's clock may be slow. */
+/** How much later than its leader's horizon a lease may end, since the worker's clock may be slow. */
 export const HORIZON_SLACK_MS: Millis =
-  TASK_LEASE_MS / SLOWEST_CLOCK - TASK_LEASE_MS + LEASE_MARGIN_MS;
+  TASK_LEASE_MS / MIN_CLOCK_RATE - TASK_LEASE_MS + LEASE_MARGIN_MS;
 /** How long leases of a leader may hold after its last record. */
 export const LONGEST_HELD_MS: Millis = LEASE_HORIZON_MS + HORIZON_SLACK_MS;
-/** The same for a leader that does not say so: one that extended leases for 4 s, and by 5 s each time. */
-export const LONGEST_HELD_UNTOLD_MS: Millis =
+/**
+ * The same for a leader that does not report a value: one that extended leases for 4 s, and by 5 s each time.
+ */
+export const DEFAULT_MAX_LEASE_AFTER_LAST_RECORD_MS: Millis =
   4_000 + TASK_LEASE_MS + HORIZON_SLACK_MS;
-/** Most workers of which a leader tells the ends of leases: 3 KB; others wait for the ends of all it gave. */
-export const MAX_TOLD_WORKERS = 100;
-/** How soon a leader tells of a worker that has ceased to answer, at most this often. */
-export const TELL_SILENCE_MS: Millis = 100;
-/** Without contact to the log for this long, callers are sent to other hosts at once. */
+/**
+ * Maximum number of workers whose lease ends a leader reports: 3 KB. The runs of others wait until all leases
+ * of that leader have expired.
+ */
+export const MAX_REPORTED_WORKERS = 100;
+/** Minimum interval between reports of workers that have become unresponsive. */
+export const SILENCE_REPORT_MS: Millis = 100;
+/** Time without contact to the log after which callers are redirected to other hosts at once. */
 export const CONTACT_LOST_MS: Millis = 1_200;
-/** Pause before a stop that was not confirmed is ordered again. */
-export const STOP_RETRY_MS: Millis = 200;
-/** Pause before the inbox is read again while the log does not answer. */
+/** Delay before an unconfirmed stop is ordered again. */
+export const STOP_RETRY_DELAY_MS: Millis = 200;
+/** Delay before the inbox is read again while the log does not answer. */
 export const INBOX_RETRY_MS: Millis = 200;
 /**
- * A leader that could not read the inbox for this long plans and sends no start: jobs may have been
- * cancelled, and nothing of them may begin later than 3 s after that; an order takes up to 0.5 s.
+ * A leader that could not read the inbox for this long plans no runs and sends no starts. Jobs may have been
+ * cancelled, and none of their tasks may start more than 3 s after that; an order takes up to 0.5 s.
  */
 export const INBOX_STALE_MS: Millis = 2_500;
--- a/packages/daemon/src/job-host/worker-link.ts
+++ b/packages/daemon/src/job-host/worker-link.ts
@@ -20,22 +20,22 @@
 } from './linked-runs.js';
 import type { StartSender } from './relay/start-sender.js';
 import {
-  LOOK_RETRY_MS,
+  POLL_RETRY_DELAY_MS,
   MIN_START_LEASE_MS,
-  SHORT_LEASE_LOOK_MS,
-  SLOW_WORKER_MS,
+  SHORT_LEASE_POLL_WAIT_MS,
+  SLOW_WORKER_PAUSE_MS,
   TASK_LEASE_MS,
-  UNRECORDED_LOOK_MS,
+  UNRECORDED_ENDS_POLL_DELAY_MS,
 } from './timing.js';
 import { WorkerOrders } from './worker-orders.js';
 
-/** What a link tells the leader. */
+/** Events that a link reports to the leader. */
 export interface LinkEvents extends Omit<LinkedRunEvents, 'strayRun'> {
-  /** Another incarnation of the worker has answered, which has begun since. */
+  /** Another incarnation of the worker has answered, which has started since. */
   replaced(by: string): void;
-  /** Resolves with true once all ends that were told so far are recorded. */
+  /** Resolves with true once all ends reported so far are recorded. */
   recorded(): Promise<boolean>;
-  /** The worker was reached, which is to be recorded; `done` follows once it is. */
+  /** The worker was reached, which is to be recorded; `done` is called once it is. */
   reached(done: () => void): void;
   /** The worker has seen a higher fence. */
   fenced(): void;
@@ -45,37 +45,37 @@
   started(link: WorkerLink): void;
   /** The readings of all runs are up to date. */
   reported(link: WorkerLink): void;
-  /** The worker has ceased to answer. */
+  /** The worker has stopped answering. */
   silent(): void;
-  /** Something changed that planning should see. */
+  /** Something changed that planning has to consider. */
   changed(): void;
 }
 
-/** What a link is given. */
+/** Dependencies and callbacks of a link. */
 export interface LinkOptions extends RunSource {
   readonly port: WorkerPort;
   readonly starts: StartSender;
   readonly fence: number;
   readonly maxLeaseMs: Millis;
-  /** Monotonic time by which whatever the worker was given before has ended. */
+  /** Monotonic time by which all earlier leases of the worker have expired. */
   readonly earlierLeaseEnd: Instant;
-  /** Monotonic time by which all leases have to end that are given now. */
+  /** Monotonic time by which all leases granted now must end. */
   readonly horizon: () => Instant;
   /** How long the worker may wait for an end before it reports. */
-  readonly lookWaitMs: () => Millis;
-  /** Time since which this leader knows nothing of what callers asked for. */
+  readonly pollWaitMs: () => Millis;
+  /** Time since the leader's last successful read of the inbox: callers' later requests are unknown to it. */
   readonly inboxAgeMs: () => Millis;
-  /** Time since which this leader knows nothing of which workers are about to leave. */
+  /** Time since the leader's last successful read of the registry: later departures are unknown to it. */
   readonly registryAgeMs: () => Millis;
-  /** Returns the ticket of the advice service for a task here, where it needs one. */
+  /** Returns the advice service's ticket for a task at this worker, if the task needs one. */
   readonly ticketFor: (task: Task) => string | undefined;
   readonly events: LinkEvents;
 }
 
 type Report = Extract<LookResult, { kind: 'seen' }>;
 
-/** A look that was sent. */
-interface SentLook {
+/** A poll that was sent. */
+interface SentPoll {
   readonly at: Instant;
   readonly order: LookOrder;
 }
@@ -83,52 +83,53 @@
 /** The leader's link to one incarnation of a worker. */
 export class WorkerLink {
   private readonly lease: Lease;
-  private readonly alarm: Alarm;
+  private readonly wakeSignal: Alarm;
   private readonly slack = new AnswerSlack();
   private readonly runs: LinkedRuns;
   private readonly orders: WorkerOrders;
   /** Whether the worker has reported to this leader, so that its open runs are known. */
-  private verified = false;
+  private hasReported = false;
   /**
-   * Whether that is recorded, and since it was told last that the worker is silent: only then does this
-   * leader extend the lease.
+   * Whether a record says that the worker was reached, and it has not been reported unresponsive since. Only
+   * then does this leader extend the lease.
    */
-  private reached = false;
-  /** Number of times that the worker was told to be silent: an older record of its being reached is void. */
-  private silences = 0;
-  /** The value of `silences` for which it was last asked to record that the worker was reached. */
-  private recordsReached = -1;
-  private answering = true;
-  /** When it was first noticed that the worker does not answer; undefined while it does. */
+  private isReachRecorded = false;
+  /** How often the worker was reported unresponsive; each report voids older records that it was reached. */
+  private silenceReports = 0;
+  /** Value of `silenceReports` for which the last reach record was requested. */
+  private reachRequestedFor = -1;
+  private isAnswering = true;
+  /** Time at which the worker was first noticed not to answer; undefined while it answers. */
   private silentSince: Instant | undefined;
-  /** Whether an answer has told the start of this incarnation. */
-  private tellsStart = false;
-  /** When the worker first and last answered a look of this leader. */
-  private reachedAt: Instant = Infinity;
-  private answeredAt: Instant = Infinity;
-  /** Until when it is given no run, since it takes long to answer orders. */
-  private restsUntil: Instant = -Infinity;
+  /** Whether an answer has included the start time of this incarnation. */
+  private reportsStartTime = false;
+  /** Times of the worker's first and last answer to a poll of this leader. */
+  private firstAnsweredAt: Instant = Infinity;
+  private lastAnsweredAt: Instant = Infinity;
+  /** No runs are assigned before this time, because the worker was slow to answer orders. */
+  private pausedUntil: Instant = -Infinity;
   private closed = false;
   /**
-   * Whether the last look only asked who is there, and was answered. Positions and lease ends belong to one
-   * incarnation: they are sent over the connection over which it has answered, or right after such a look.
+   * Whether the last poll only identified the worker, and was answered. Positions and lease ends belong to
+   * one incarnation: they are sent only over the connection over which it has answered, or right after such a
+   * poll.
    */
-  private hasAsked = false;
+  private hasProbed = false;
   /** Position up to which all ends are recorded. */
   private recordedUpTo = 0;
-  /** Position up to which the worker was told so. */
+  /** Position up to which ends were acknowledged to the worker. */
   private acknowledgedUpTo = 0;
 
-  /** Creates a link; `begin` starts to look at the worker. */
+  /** Creates a link; polling starts with `run`. */
   constructor(
     public info: WorkerInfo,
     private readonly options: LinkOptions,
   ) {
-    this.alarm = new Alarm(options.ctx.schedule);
+    this.wakeSignal = new Alarm(options.ctx.schedule);
     this.runs = new LinkedRuns({
       ...options,
       info: () => this.info,
-      contact: () => this.contact(),
+      contactFields: () => this.contactFields(),
       lostBy: () => this.silentSince ?? options.ctx.clock(),
       events: {
         ...options.events,
@@ -145,14 +146,14 @@
       info: () => this.info,
       mayStart: () =>
         this.usable &&
-        this.reached &&
+        this.isReachRecorded &&
         !this.info.leaving &&
-        this.leaseLeftMs() >= MIN_START_LEASE_MS,
+        this.horizonLeftMs() >= MIN_START_LEASE_MS,
       extendLease: now => this.lease.extend(now, options.horizon()),
       events: {
         ...options.events,
         fenced: () => {
-          // A worker that was replaced refuses orders to the one before, whose fence is lower.
+          // A replaced worker refuses orders to its predecessor, whose fence is lower.
           if (!this.closed) {
             options.events.fenced();
           }
@@ -164,81 +165,86 @@
           this.setAnswering(false);
         },
         slow: () => {
-          this.restsUntil = options.ctx.clock() + SLOW_WORKER_MS;
+          this.pausedUntil = options.ctx.clock() + SLOW_WORKER_PAUSE_MS;
         },
         replaced: () => {
-          this.takeReplaced();
+          this.handleReplaced();
         },
-        stopConfirmed: this.alarm.ring,
+        stopConfirmed: this.wakeSignal.ring,
       },
     });
   }
 
-  /** Whether the worker may be given runs. */
+  /** Whether the worker may be assigned runs. */
   get usable(): boolean {
-    const rested = this.options.ctx.clock() >= this.restsUntil;
-    return this.verified && this.answering && rested && !this.closed;
+    const rested = this.options.ctx.clock() >= this.pausedUntil;
+    return this.hasReported && this.isAnswering && rested && !this.closed;
   }
 
-  /** Monotonic time by which the lease of a worker that does not answer has ended; undefined for one that does. */
-  get silentLeaseEnd(): Instant | undefined {
-    const answers = this.verified && this.answering;
+  /**
+   * Monotonic time by which the lease of an unresponsive worker has expired; undefined for one that answers.
+   */
+  get unresponsiveLeaseEnd(): Instant | undefined {
+    const answers = this.hasReported && this.isAnswering;
     return answers || this.closed ? undefined : this.lease.endsBy;
   }
 
-  /** Notes that other hosts are told when the worker's lease ends: it is extended only once they know better. */
-  noteSilenceTold(): void {
-    this.reached = false;
-    this.silences += 1;
+  /**
+   * Notes that the worker's lease end was reported to other hosts. The lease is extended again only once they
+   * have a newer record.
+   */
+  noteSilenceReported(): void {
+    this.isReachRecorded = false;
+    this.silenceReports += 1;
   }
 
-  /** Gives all runs up once the lease of a worker that does not answer has ended. */
-  giveUpIfLapsed(now: Instant): void {
-    const end = this.silentLeaseEnd;
+  /** Abandons all runs if the worker does not answer and its lease has expired. */
+  abandonIfExpired(now: Instant): void {
+    const end = this.unresponsiveLeaseEnd;
     if (end !== undefined && now > end && this.runs.all.length > 0) {
-      this.runs.giveUpAll('unanswered');
+      this.runs.abandonAll('unanswered');
     }
   }
 
-  /** Looks at the worker until the link is closed. */
-  async begin(): Promise<void> {
+  /** Polls the worker until the link is closed. */
+  async run(): Promise<void> {
     while (!this.closed) {
-      if (this.needsLook()) {
-        await this.look();
+      if (this.needsPoll()) {
+        await this.poll();
       } else {
-        await this.alarm.wait();
+        await this.wakeSignal.wait();
       }
     }
   }
 
   /**
-   * Ends the link, since another incarnation of the worker is there. What has been seen at this one is lost with
-   * it; a start that has not may be carried out at the next one, which tells.
+   * Closes the link because another incarnation has replaced this one. Runs that were seen at this one are
+   * lost with it; starts that were not seen may be carried out by the new incarnation, whose reports show it.
    */
   supersede(): void {
     if (this.closed) {
       return;
     }
-    this.orders.giveUpStarts();
-    this.runs.giveUpListed();
+    this.orders.abandonStarts();
+    this.runs.abandonListed();
     this.close();
   }
 
-  /** Ends all calls; the worker is told nothing. */
+  /** Ends all calls; nothing is sent to the worker. */
   close(): void {
     this.closed = true;
-    this.alarm.ring();
+    this.wakeSignal.ring();
     this.orders.close();
     this.options.port.forget(this.info);
   }
 
-  /** Orders a run that was decided on at `decidedAt` and is recorded to begin. */
+  /** Sends the start order of a recorded run that was decided on at `decidedAt`. */
   start(run: Run, decidedAt: Instant): void {
-    this.alarm.ring();
+    this.wakeSignal.ring();
     this.orders.start(run, decidedAt);
   }
 
-  /** Orders a run to stop, until the worker has confirmed it or the run has ended. */
+  /** Orders a run to stop until the worker has confirmed it or the run has ended. */
   stop(run: Run): void {
     this.orders.stop(run);
   }
@@ -248,130 +254,139 @@
     this.orders.throttle(run, percent);
   }
 
-  /** A worker that does not answer is looked at until it does, or has left the registry. */
-  private needsLook(): boolean {
+  /** A worker that does not answer is polled until it answers or has left the registry. */
+  private needsPoll(): boolean {
     return (
-      !this.verified ||
-      !this.answering ||
+      !this.hasReported ||
+      !this.isAnswering ||
       this.runs.open.size > 0 ||
       this.recordedUpTo > this.acknowledgedUpTo
     );
   }
 
-  private async look(): Promise<void> {
+  private async poll(): Promise<void> {
     const { ctx, port, fence } = this.options;
     const sentAt = ctx.clock();
-    const isSure = this.hasAsked || port.isConnected(this.info);
-    // A worker that does not answer may be out of reach: its lease has to end.
-    const left = this.leaseLeftMs();
-    const extend = isSure && this.reached && this.answering && left > 0;
+    const isSure = this.hasProbed || port.isConnected(this.info);
+    // An unresponsive worker may be unreachable: its lease must be allowed to expire.
+    const left = this.horizonLeftMs();
+    const extend =
+      isSure && this.isReachRecorded && this.isAnswering && left > 0;
     const order: LookOrder = {
       fence,
       acknowledged: isSure ? this.recordedUpTo : 0,
       leaseUntil: extend
         ? this.lease.extend(sentAt, this.options.horizon())
         : undefined,
-      waitMs: isSure ? this.lookWaitMs(left) : 0,
+      waitMs: isSure ? this.pollWaitMs(left) : 0,
       slackMs: this.slack.ms,
     };
     const sent = { at: sentAt, order };
-    // An answer that comes late tells of ends all the same, and that the worker is there.
+    // A late answer still reports ends, and shows that the worker is running.
     const res = await port.look(this.info, order, late => {
-      this.takeLook(late, sent).catch((err: unknown) => {
-        ctx.log.error({ err }, 'worker: a late answer was not taken in');
+      this.handlePollResult(late, sent).catch((err: unknown) => {
+        ctx.log.error({ err }, 'worker: a late answer could not be handled');
       });
     });
-    this.hasAsked = !isSure && res.kind === 'seen';
-    await this.takeLook(res, sent);
+    this.hasProbed = !isSure && res.kind === 'seen';
+    await this.handlePollResult(res, sent);
   }
 
-  /** Time by which leases that are given now may be ahead. */
-  private leaseLeftMs(): Millis {
+  /** How far ahead leases granted now may end. */
+  private horizonLeftMs(): Millis {
     return this.options.horizon() - this.options.ctx.clock();
   }
 
-  private lookWaitMs(leaseLeftMs: Millis): Millis {
-    if (!this.verified || this.runs.open.size === 0) {
+  private pollWaitMs(leaseLeftMs: Millis): Millis {
+    if (!this.hasReported || this.runs.open.size === 0) {
       return 0;
     }
-    const waitMs = this.options.lookWaitMs();
-    return leaseLeftMs < TASK_LEASE_MS || !this.reached
-      ? Math.min(waitMs, SHORT_LEASE_LOOK_MS)
+    const waitMs = this.options.pollWaitMs();
+    return leaseLeftMs < TASK_LEASE_MS || !this.isReachRecorded
+      ? Math.min(waitMs, SHORT_LEASE_POLL_WAIT_MS)
       : waitMs;
   }
 
-  private async takeLook(res: LookResult, sent: SentLook): Promise<void> {
+  private async handlePollResult(
+    res: LookResult,
+    sent: SentPoll,
+  ): Promise<void> {
     const { ctx, events } = this.options;
     if (this.closed) {
       return;
     }
     switch (res.kind) {
       case 'seen':
-        if (!this.isFromHere(res)) {
-          await this.takeOther(res);
+        if (!this.isFromThisIncarnation(res)) {
+          await this.handleOtherIncarnation(res);
           return;
         }
         this.setAnswering(true);
         this.lease.noteClock(res.clock, ctx.clock());
-        this.noteAnswer(sent);
-        await this.takeReport(res, sent.at);
+        this.recordAnswer(sent);
+        await this.applyReport(res, sent.at);
         return;
       case 'fenced':
         events.fenced();
-        await pause(this.options.ctx, LOOK_RETRY_MS);
+        await pause(this.options.ctx, POLL_RETRY_DELAY_MS);
         return;
       case 'replaced':
-        this.takeReplaced();
+        this.handleReplaced();
         return;
       case 'failed':
-        await this.takeFailure(res.reason);
+        await this.handlePollFailure(res.reason);
         return;
     }
   }
 
-  private async takeFailure(reason: string): Promise<void> {
+  private async handlePollFailure(reason: string): Promise<void> {
     const { ctx } = this.options;
     this.setAnswering(false, reason);
-    this.giveUpIfLapsed(ctx.clock());
-    await pause(ctx, LOOK_RETRY_MS);
+    this.abandonIfExpired(ctx.clock());
+    await pause(ctx, POLL_RETRY_DELAY_MS);
   }
 
-  /** A worker may tell its start in the registry alone; one that has told it in an answer does so in each. */
-  private isFromHere({ startedAt }: Report): boolean {
+  /**
+   * Some workers report their start time only in the registry; one that has included it in an answer always
+   * does.
+   */
+  private isFromThisIncarnation({ startedAt }: Report): boolean {
     if (startedAt === undefined) {
-      return !this.tellsStart;
+      return !this.reportsStartTime;
     }
     const { id } = this.info;
     const isFromHere = incarnationOf(workerOf(id), startedAt) === id;
-    this.tellsStart ||= isFromHere;
+    this.reportsStartTime ||= isFromHere;
     return isFromHere;
   }
 
   /**
-   * Takes a report of another incarnation: as this one was there before the look was sent, the other one has
-   * begun since, whatever its clock says.
+   * Handles a report of another incarnation. This one was running before the poll was sent, so the other one
+   * has started since, whatever its clock says.
    */
-  private async takeOther({ startedAt }: Report): Promise<void> {
+  private async handleOtherIncarnation({ startedAt }: Report): Promise<void> {
     if (startedAt === undefined) {
-      await this.takeFailure('the answer does not say when the worker started');
+      await this.handlePollFailure(
+        'the answer does not say when the worker started',
+      );
       return;
     }
     const by = incarnationOf(workerOf(this.info.id), startedAt);
     this.options.events.replaced(by);
   }
 
-  private noteAnswer({ at, order }: SentLook): void {
+  private recordAnswer({ at, order }: SentPoll): void {
     const { ctx, fence } = this.options;
-    this.answeredAt = ctx.clock();
-    this.slack.note(Math.max(0, this.answeredAt - at - order.waitMs));
+    this.lastAnsweredAt = ctx.clock();
+    this.slack.note(Math.max(0, this.lastAnsweredAt - at - order.waitMs));
     this.acknowledgedUpTo = Math.max(this.acknowledgedUpTo, order.acknowledged);
-    if (this.reachedAt === Infinity) {
-      this.reachedAt = this.answeredAt;
+    if (this.firstAnsweredAt === Infinity) {
+      this.firstAnsweredAt = this.lastAnsweredAt;
       const runs = this.runs.open.size;
       if (runs === 0) {
         return;
       }
-      const leaseLeftMs = Math.round(this.lease.endsBy - this.answeredAt);
+      const leaseLeftMs = Math.round(this.lease.endsBy - this.lastAnsweredAt);
       ctx.log.info(
         { worker: this.info.id, fence, runs, leaseLeftMs },
         'worker: reached for the first time',
@@ -379,83 +394,87 @@
     }
   }
 
-  private takeReplaced(): void {
+  private handleReplaced(): void {
     if (this.closed) {
       return;
     }
-    this.runs.giveUpAll('replaced');
+    this.runs.abandonAll('replaced');
     this.closed = true;
     this.options.events.changed();
   }
 
   private setAnswering(answering: boolean, reason?: string): void {
-    if (this.answering === answering || this.closed) {
+    if (this.isAnswering === answering || this.closed) {
       return;
     }
-    this.answering = answering;
+    this.isAnswering = answering;
     this.silentSince = answering ? undefined : this.options.ctx.clock();
     if (!answering) {
-      this.orders.giveUpStarts();
+      this.orders.abandonStarts();
       this.options.events.silent();
     }
     this.options.ctx.log.info(
-      { worker: this.info.id, answering, reason, ...this.contact() },
+      { worker: this.info.id, answering, reason, ...this.contactFields() },
       'worker: contact changed',
     );
     this.options.events.changed();
   }
 
-  private async takeReport(report: Report, sentAt: Instant): Promise<void> {
+  private async applyReport(report: Report, sentAt: Instant): Promise<void> {
     const { events } = this.options;
-    this.runs.take(report, sentAt, !this.verified);
-    if (!this.verified) {
-      this.verified = true;
+    this.runs.applyReport(report, sentAt, !this.hasReported);
+    if (!this.hasReported) {
+      this.hasReported = true;
       events.changed();
     }
     const reached = this.recordReached();
     events.reported(this);
     const last = report.ended.at(-1);
     if (last !== undefined) {
-      const recorded = this.awaitRecord(last.position);
+      const recorded = this.confirmRecorded(last.position);
       await Promise.race([
         recorded,
-        pause(this.options.ctx, UNRECORDED_LOOK_MS),
+        pause(this.options.ctx, UNRECORDED_ENDS_POLL_DELAY_MS),
       ]);
     }
-    await Promise.race([reached, pause(this.options.ctx, SHORT_LEASE_LOOK_MS)]);
+    await Promise.race([
+      reached,
+      pause(this.options.ctx, SHORT_LEASE_POLL_WAIT_MS),
+    ]);
   }
 
   /**
-   * Resolves once it is recorded that the worker was reached. The next look waits for that, since only then
-   * it extends the lease: one that was sent before would hold the extension up for as long as it waits for an end.
+   * Resolves once a record says that the worker was reached, and the next poll waits for that, because only
+   * then does it extend the lease. A poll sent earlier would delay the extension for as long as it waits for
+   * an end.
    */
   private recordReached(): Promise<void> | undefined {
-    const { silences } = this;
-    if (this.reached || this.recordsReached === silences) {
+    const { silenceReports } = this;
+    if (this.isReachRecorded || this.reachRequestedFor === silenceReports) {
       return undefined;
     }
-    this.recordsReached = silences;
+    this.reachRequestedFor = silenceReports;
     return new Promise(resolve => {
       this.options.events.reached(() => {
-        this.reached = silences === this.silences;
+        this.isReachRecorded = silenceReports === this.silenceReports;
         resolve();
       });
     });
   }
 
-  /** An end is acknowledged only once it is recorded, also where it was listed before. */
-  private async awaitRecord(position: number): Promise<void> {
+  /** An end is acknowledged only once it is recorded, even if it was listed before. */
+  private async confirmRecorded(position: number): Promise<void> {
     if (await this.options.events.recorded()) {
       this.recordedUpTo = Math.max(this.recordedUpTo, position);
     }
   }
 
-  /** What the log tells of the contact: how long ago the worker answered, and its lease is bounded by what. */
-  private contact(): Record<string, unknown> {
+  /** Log fields about the contact: when the worker answered, and what bounds its lease. */
+  private contactFields(): Record<string, unknown> {
     const now = this.options.ctx.clock();
     return {
-      answeredMsAgo: Math.round(now - this.answeredAt),
-      reachedMsAgo: Math.round(now - this.reachedAt),
+      answeredMsAgo: Math.round(now - this.lastAnsweredAt),
+      reachedMsAgo: Math.round(now - this.firstAnsweredAt),
       leaseLeftMs: Math.round(this.lease.endsBy - now),
       leaseOf: this.lease.isKnown ? 'this_leader' : 'earlier_leader',
     };
--- a/packages/daemon/src/job-host/worker-orders.test.ts
+++ b/packages/daemon/src/job-host/worker-orders.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { ORDERED_WORKER, OrderedRuns } from './orders.fixture.test.js';
+import { ORDERED_WORKER, StubWorkerSite } from './orders.fixture.test.js';
 import type { StartResult } from './relay/start-sender.js';
 import { START_WAIT_MS } from './timing.js';
 import { WorkerOrders } from './worker-orders.js';
@@ -14,7 +14,7 @@
 }
 
 /** Orders to the worker of `site`, and how often it was told to be slow. */
-function ordersTo(site: OrderedRuns): { orders: WorkerOrders; told: Told } {
+function ordersTo(site: StubWorkerSite): { orders: WorkerOrders; told: Told } {
   const told: Told = { slow: 0 };
   const orders = new WorkerOrders({
     ctx: site.ctx,
@@ -31,7 +31,7 @@
       ended: site.end,
       fenced: () => undefined,
       ticketRefused: () => undefined,
-      began: () => undefined,
+      runStarted: () => undefined,
       started: () => undefined,
       unanswered: () => undefined,
       slow: () => {
@@ -45,7 +45,7 @@
 }
 
 test('a start that waits is not sent once its job is cancelled', async () => {
-  const site = new OrderedRuns(2);
+  const site = new StubWorkerSite(2);
   const { orders } = ordersTo(site);
   site.answerMs = SLOW_MS;
   orders.start(site.open(0), site.time.clock());
@@ -58,7 +58,7 @@
 });
 
 test('a start that waits is not sent once its job has failed', async () => {
-  const site = new OrderedRuns(2);
+  const site = new StubWorkerSite(2);
   const { orders } = ordersTo(site);
   site.end(site.open(0), 'failed');
   site.end(site.open(0), 'failed');
@@ -74,7 +74,7 @@
 });
 
 test('a start that waits is not sent once a copy of its task is done', async () => {
-  const site = new OrderedRuns(2, { speculative: true });
+  const site = new StubWorkerSite(2, { speculative: true });
   const { orders } = ordersTo(site);
   const first = site.open(0);
   site.answerMs = SLOW_MS;
@@ -88,7 +88,7 @@
 });
 
 test('a stop takes back a start that waits', async () => {
-  const site = new OrderedRuns(2);
+  const site = new StubWorkerSite(2);
   const { orders } = ordersTo(site);
   const waiting = site.open(1);
   site.answerMs = SLOW_MS;
@@ -102,7 +102,7 @@
 });
 
 test('a stop takes back no start but that of its run', async () => {
-  const site = new OrderedRuns(3);
+  const site = new StubWorkerSite(3);
   const { orders } = ordersTo(site);
   const taken = site.open(1);
   site.answerMs = SLOW_MS;
@@ -116,7 +116,7 @@
 });
 
 test('a stop is sent for a start that was sent', async () => {
-  const site = new OrderedRuns(1);
+  const site = new StubWorkerSite(1);
   const { orders } = ordersTo(site);
   const run = site.open(0);
   site.answerMs = SLOW_MS;
@@ -129,7 +129,7 @@
 });
 
 test('a start that has waited for too long is not sent', async () => {
-  const site = new OrderedRuns(5);
+  const site = new StubWorkerSite(5);
   const { orders, told } = ordersTo(site);
   site.answerMs = SLOW_MS;
   for (let index = 0; index < 5; index += 1) {
@@ -143,7 +143,7 @@
 });
 
 test('a start that was late before its order was given tells nothing of the worker', async () => {
-  const site = new OrderedRuns(1);
+  const site = new StubWorkerSite(1);
   const { orders, told } = ordersTo(site);
   orders.start(site.open(0), site.time.clock() - START_WAIT_MS - 1);
   await site.time.advance(5_000);
@@ -153,7 +153,7 @@
 });
 
 test('of several limits that wait only the newest is sent', async () => {
-  const site = new OrderedRuns(2);
+  const site = new StubWorkerSite(2);
   const { orders } = ordersTo(site);
   const run = site.open(0);
   orders.start(run, site.time.clock());
@@ -170,7 +170,7 @@
 });
 
 test('a limit that was not answered is not taken to be in force', async () => {
-  const site = new OrderedRuns(1);
+  const site = new StubWorkerSite(1);
   const { orders } = ordersTo(site);
   const run = site.open(0);
   orders.start(run, site.time.clock());
@@ -183,7 +183,7 @@
 });
 
 test('a newer limit is sent though the one before was not answered', async () => {
-  const site = new OrderedRuns(1);
+  const site = new StubWorkerSite(1);
   const { orders } = ordersTo(site);
   const run = site.open(0);
   orders.start(run, site.time.clock());
@@ -201,7 +201,7 @@
 });
 
 test('limits that change all the time leave starts a turn', async () => {
-  const site = new OrderedRuns(3);
+  const site = new StubWorkerSite(3);
   const { orders } = ordersTo(site);
   const fillers = [site.open(0), site.open(1)];
   for (const run of fillers) {
@@ -222,8 +222,8 @@
 });
 
 /** Orders whose starts end as `result` tells. */
-function startedAs(result: StartResult): OrderedRuns {
-  const site = new OrderedRuns(1);
+function startedAs(result: StartResult): StubWorkerSite {
+  const site = new StubWorkerSite(1);
   site.starts.send = () => {
     site.sent.push('start');
     return Promise.resolve(result);
--- a/packages/daemon/src/job-host/worker-orders.ts
+++ b/packages/daemon/src/job-host/worker-orders.ts
@@ -1,4 +1,4 @@
-/** The leader's orders to one worker: when they are still sent, and what follows from the answers. */
+/** The leader's orders to one worker: whether they are still sent, and how their answers are handled. */
 import type { Instant, Millis } from '@paddlewind/domain';
 import {
   newProgress,
@@ -20,10 +20,10 @@
   INBOX_STALE_MS,
   REGISTRY_STALE_MS,
   START_WAIT_MS,
-  STOP_RETRY_MS,
+  STOP_RETRY_DELAY_MS,
 } from './timing.js';
 
-/** What orders tell the link of their worker. */
+/** Events that orders report to the link of their worker. */
 export interface OrderEvents {
   /** A run has ended, which is to be recorded. */
   ended(run: Run, how: RunEnd, checkpoint: string): void;
@@ -31,13 +31,13 @@
   fenced(): void;
   /** The worker has refused the ticket for a task. */
   ticketRefused(task: Task): void;
-  /** A run is known to have begun. */
-  began(run: Run): void;
+  /** A run is known to have started. */
+  runStarted(run: Run): void;
   /** The worker has confirmed a start. */
   started(): void;
   /** The worker did not answer. */
   unanswered(): void;
-  /** The worker takes long to answer orders: starts wait for their turn for too long. */
+  /** The worker is slow to answer orders: starts wait too long in the queue. */
   slow(): void;
   /** A worker with another id answered. */
   replaced(): void;
@@ -45,41 +45,41 @@
   stopConfirmed(): void;
 }
 
-/** What orders are given. */
+/** Dependencies and callbacks of the orders to a worker. */
 export interface OrderOptions {
   readonly ctx: HostContext;
   readonly port: WorkerPort;
   readonly starts: StartSender;
   readonly fence: number;
   readonly info: () => WorkerInfo;
-  /** Whether the worker may be given a run, and this leader may extend its lease. */
+  /** Whether the worker may be assigned a run, and this leader may extend its lease. */
   readonly mayStart: () => boolean;
-  /** Returns the new end of the worker's lease, on its clock. */
+  /** Returns the new lease end on the worker's clock. */
   readonly extendLease: (now: Instant) => Instant;
-  /** Time since which this leader knows nothing of what callers asked for. */
+  /** Time since the leader's last successful read of the inbox: callers' later requests are unknown to it. */
   readonly inboxAgeMs: () => Millis;
-  /** Time since which this leader knows nothing of which workers are about to leave. */
+  /** Time since the leader's last successful read of the registry: later departures are unknown to it. */
   readonly registryAgeMs: () => Millis;
-  /** Returns the ticket of the advice service for a task here, where it needs one. */
+  /** Returns the advice service's ticket for a task at this worker, if the task needs one. */
   readonly ticketFor: (task: Task) => string | undefined;
   readonly events: OrderEvents;
 }
 
-/** Orders to one worker. */
+/** Sends orders to one worker. */
 export class WorkerOrders {
   private readonly queue = new OrderQueue();
   private closed = false;
 
-  /** Creates the orders to a worker; none is sent before the first is given. */
+  /** Creates the orders to a worker, initially none. */
   constructor(private readonly options: OrderOptions) {}
 
-  /** Sends nothing more. */
+  /** Stops sending. */
   close(): void {
     this.closed = true;
     this.queue.close();
   }
 
-  /** Orders a run that was decided on at `decidedAt` and is recorded to begin. */
+  /** Sends the start order of a recorded run that was decided on at `decidedAt`. */
   start(run: Run, decidedAt: Instant): void {
     run.progress = newProgress(this.options.ctx.clock());
     this.queue.add({
@@ -95,9 +95,9 @@
     if (!task.runs.includes(run)) {
       return;
     }
-    const reason = this.whyNotStart(run, decidedAt);
+    const reason = this.startObstacle(run, decidedAt);
     if (reason !== undefined) {
-      this.giveUpStart(run, reason);
+      this.abandonStart(run, reason);
       return;
     }
     const now = ctx.clock();
@@ -113,24 +113,27 @@
       ticket: this.options.ticketFor(task),
     };
     const whyNot = (): StartGivenUp | undefined =>
-      this.whyNotStart(run, decidedAt);
+      this.startObstacle(run, decidedAt);
     const isWanted = (): boolean => whyNot() === undefined;
-    const sendBy = this.sendBy(decidedAt);
+    const sendBy = this.startDeadline(decidedAt);
     const res = await starts.send(info(), order, { isWanted, sendBy });
     if (res.kind === 'not_wanted') {
-      this.giveUpUnsent(run, whyNot() ?? 'late');
+      this.abandonUnsent(run, whyNot() ?? 'late');
     } else {
-      this.takeStart(run, res);
+      this.handleStartResult(run, res);
     }
   }
 
   /**
-   * Orders wait here behind others, for seconds where the worker or this host is slow. What was true
-   * when a start was decided on may have changed since then: it is checked again when it is sent, since
-   * a task that begins after its job's cancellation or its own end, or at a worker whose runs are being
-   * given up, can't be taken back.
+   * Returns why a start may not be sent, or undefined if it may. Orders can wait in the queue for seconds if
+   * the worker or this host is slow, so the conditions of the decision are checked again before sending. A
+   * task that starts after its job was cancelled, after it has ended, or at a worker whose runs are being
+   * abandoned can't be undone.
    */
-  private whyNotStart(run: Run, decidedAt: Instant): StartGivenUp | undefined {
+  private startObstacle(
+    run: Run,
+    decidedAt: Instant,
+  ): StartGivenUp | undefined {
     const needless = whyNeedless(run);
     if (needless !== undefined) {
       return needless === 'over' ? 'over' : 'needless';
@@ -145,8 +148,8 @@
     return mayStart() ? undefined : 'worker';
   }
 
-  /** Until when a start that may be sent now stays so by what this leader knows. */
-  private sendBy(decidedAt: Instant): Instant {
+  /** Returns the time until which a start that may be sent now remains valid, by what this leader knows. */
+  private startDeadline(decidedAt: Instant): Instant {
     const { ctx, inboxAgeMs, registryAgeMs } = this.options;
     const now = ctx.clock();
     return Math.min(
@@ -156,18 +159,18 @@
     );
   }
 
-  /** Gives up a start that waited for its worker. */
-  private giveUpStart(run: Run, reason: StartGivenUp): void {
+  /** Abandons a start that waited in the queue. */
+  private abandonStart(run: Run, reason: StartGivenUp): void {
     const { ctx, events } = this.options;
     const waitedMs = ctx.clock() - (run.progress?.since ?? ctx.clock());
     if (reason === 'late' && 2 * waitedMs > START_WAIT_MS) {
       events.slow();
     }
-    this.giveUpUnsent(run, reason);
+    this.abandonUnsent(run, reason);
   }
 
-  /** Ends a run whose order was never sent, so that the task may run elsewhere. */
-  private giveUpUnsent(run: Run, reason: StartGivenUp): void {
+  /** Ends a run whose start order was never sent, so that the task may run elsewhere. */
+  private abandonUnsent(run: Run, reason: StartGivenUp): void {
     const { ctx, events } = this.options;
     ctx.meters.startGivenUp(reason);
     ctx.log.info(
@@ -177,19 +180,19 @@
     events.ended(run, 'void', '');
   }
 
-  /** Gives up all starts that wait, so that their tasks may run elsewhere. */
-  giveUpStarts(): void {
-    for (const run of this.queue.takeBack('start')) {
-      this.giveUpStart(run, 'worker');
+  /** Abandons all queued starts, so that their tasks may run elsewhere. */
+  abandonStarts(): void {
+    for (const run of this.queue.withdraw('start')) {
+      this.abandonStart(run, 'worker');
     }
   }
 
-  /** Orders a run to stop, until the worker has confirmed it or the run has ended. */
+  /** Orders a run to stop until the worker has confirmed it or the run has ended. */
   stop(run: Run): void {
     const { ctx } = this.options;
-    this.queue.takeBack('throttle', run);
-    if (this.queue.takeBack('start', run).length > 0) {
-      this.giveUpStart(run, 'needless');
+    this.queue.withdraw('throttle', run);
+    if (this.queue.withdraw('start', run).length > 0) {
+      this.abandonStart(run, 'needless');
       return;
     }
     run.progress ??= newProgress(ctx.clock());
@@ -203,10 +206,10 @@
       return;
     }
     const ref = { task: refOf(run.task), run: run.number, fence };
-    this.takeStop(run, await port.stop(info(), ref));
+    this.handleStopResult(run, await port.stop(info(), ref));
   }
 
-  /** Orders a run to stop that nobody needs; one that goes on is ordered so with each report that lists it. */
+  /** Orders a run that nobody needs to stop; repeated with each report that still lists it. */
   async stopStray({
     task,
     run,
@@ -218,13 +221,13 @@
     }
   }
 
-  /** Limits a run to `percent` of its speed; of several limits that wait only the last one is sent. */
+  /** Limits a run to `percent` of its speed; only the newest of several queued limits is sent. */
   throttle(run: Run, percent: number): void {
     if (run.progress !== undefined) {
       run.progress.allowed = percent;
       run.progress.allowedSince = this.options.ctx.clock();
     }
-    if (!this.queue.has('throttle', run)) {
+    if (!this.queue.isQueued('throttle', run)) {
       this.queue.add({
         kind: 'throttle',
         run,
@@ -242,25 +245,25 @@
     }
     const order = { task: refOf(task), run: number, fence, percent };
     const res = await port.throttle(info(), order);
-    this.noteOrder(run, 'throttle', res);
+    this.logUnlessAccepted(run, 'throttle', res);
     if (res.kind !== 'accepted' && progress?.allowed === percent) {
-      // Whether it holds is not known, so that it is ordered again with the next report.
+      // It is unknown whether the limit is in effect, so it is ordered again with the next report.
       progress.allowed = undefined;
     }
   }
 
-  private takeStart(
+  private handleStartResult(
     run: Run,
     res: Exclude<StartResult, { kind: 'not_wanted' }>,
   ): void {
     const { events } = this.options;
-    this.noteOrder(run, 'start', res);
+    this.logUnlessAccepted(run, 'start', res);
     switch (res.kind) {
       case 'accepted':
         if (run.progress !== undefined) {
           run.progress.confirmed = true;
         }
-        events.began(run);
+        events.runStarted(run);
         events.started();
         return;
       case 'rejected':
@@ -278,12 +281,12 @@
         events.ended(run, 'void', '');
         return;
       case 'replaced':
-        // The worker that was meant was gone by then: this run is not the reason.
+        // The addressed worker no longer existed, so this run did not cause its loss.
         events.ended(run, 'void', '');
         events.replaced();
         return;
       case 'unknown':
-        // The run may begin at any time until the worker has confirmed the stop.
+        // The run may start at any time until the worker has confirmed the stop.
         events.unanswered();
         this.stop(run);
         return;
@@ -293,9 +296,9 @@
     }
   }
 
-  private takeStop(run: Run, res: OrderResult): void {
+  private handleStopResult(run: Run, res: OrderResult): void {
     const { ctx, events } = this.options;
-    this.noteOrder(run, 'stop', res);
+    this.logUnlessAccepted(run, 'stop', res);
     if (res.kind === 'accepted' && run.progress !== undefined) {
       run.progress.stopConfirmedAt = ctx.clock();
       events.stopConfirmed();
@@ -305,14 +308,14 @@
       events.fenced();
       return;
     }
-    ctx.schedule(STOP_RETRY_MS, () => {
+    ctx.schedule(STOP_RETRY_DELAY_MS, () => {
       if (!this.closed && run.task.runs.includes(run)) {
         this.stop(run);
       }
     });
   }
 
-  private noteOrder(run: Run, order: string, res: StartResult): void {
+  private logUnlessAccepted(run: Run, order: string, res: StartResult): void {
     if (res.kind === 'accepted') {
       return;
     }
