--- a/packages/daemon/src/job-host/given-up-runs.ts
+++ b/packages/daemon/src/job-host/abandoned-runs.ts
@@ -2,7 +2,7 @@
 import { refOf, taskName, type Run } from '@paddlewind/domain/jobs';
 
 import type { HostContext } from './context.js';
-import type { WorkerGivenUp } from './meters.js';
+import type { AbandonedWorkerReason } from './meters.js';
 
 /**
  * Maximum number of runs named in the log line. A worker is mostly brought down by the runs that started
@@ -15,7 +15,7 @@
   ctx: HostContext,
   worker: string,
   runs: readonly Run[],
-  reason: WorkerGivenUp,
+  reason: AbandonedWorkerReason,
   contact: Readonly<Record<string, unknown>> = {},
 ): void {
   if (runs.length === 0) {
--- a/packages/daemon/src/job-host/portion.ts
+++ b/packages/daemon/src/job-host/adaptive-read-size.ts
@@ -17,7 +17,7 @@
  * the same size returns nothing either: on links of 10 Mbit/s hosts received 0.8 MB a second without any
  * progress.
  */
-export class Portion {
+export class AdaptiveReadSize {
   private targetBytes = INITIAL_BYTES;
 
   /** Number of bytes to request. */
--- a/packages/daemon/src/job-host/answer-slack.ts
+++ b/packages/daemon/src/job-host/adaptive-timeout.ts
@@ -23,7 +23,7 @@
  * Adapts the timeout of calls to observed response times. On a link that is too slow for all workers of a
  * leader, a worker that answers late must not count as unresponsive.
  */
-export class AnswerSlack {
+export class AdaptiveTimeout {
   private slowestMs: Millis = 0;
 
   /** Creates a timeout that starts at its minimum. */
@@ -37,7 +37,7 @@
   }
 
   /** Records the response time of an answer, without the time the worker waited by itself. */
-  note(tookMs: Millis): void {
+  record(tookMs: Millis): void {
     this.slowestMs = Math.max(tookMs, DECAY_FACTOR * this.slowestMs);
   }
 }
--- a/packages/daemon/src/job-host/adviser.ts
+++ b/packages/daemon/src/job-host/adviser.ts
@@ -1,11 +1,11 @@
 /** Requests advice for waiting steps from the advice service, one request at a time. */
 import {
-  candidates,
-  hasRoom,
+  orderedCandidates,
+  hasCapacity,
   workerRuns,
-  type Advice,
+  type AdviceTickets,
   type PlanInput,
-  type Question,
+  type AdviceRequest,
 } from '@paddlewind/domain/jobs';
 import type { AdvicePort } from '@paddlewind/ports/jobs';
 
@@ -20,7 +20,7 @@
   constructor(
     private readonly ctx: HostContext,
     private readonly port: AdvicePort,
-    private readonly advice: Advice,
+    private readonly advice: AdviceTickets,
     private readonly onAnswer: () => void,
   ) {}
 
@@ -36,20 +36,20 @@
     }
   }
 
-  private nextQuestion(input: PlanInput): Question | undefined {
+  private nextQuestion(input: PlanInput): AdviceRequest | undefined {
     const { state, workers, times, time } = input;
     const jobsWithAdvice = [...state.open].filter(
       ({ spec }) => spec.terms.advice !== undefined,
     );
-    for (const { step } of candidates(jobsWithAdvice, times, time)) {
+    for (const { step } of orderedCandidates(jobsWithAdvice, times, time)) {
       const { terms } = step.occurrence.job.spec;
       const fitting = workers
         .filter(({ info }) => info.service === terms.service)
         .filter(({ info }) =>
-          hasRoom(info, workerRuns(state, info.id), step.spec),
+          hasCapacity(info, workerRuns(state, info.id), step.spec),
         )
         .map(({ info }) => info.id);
-      const question = this.advice.questionFor(step, fitting, time.now);
+      const question = this.advice.requestFor(step, fitting, time.now);
       if (question !== undefined) {
         return question;
       }
@@ -57,7 +57,7 @@
     return undefined;
   }
 
-  private async ask(question: Question): Promise<void> {
+  private async ask(question: AdviceRequest): Promise<void> {
     const { ctx } = this;
     const { step, workers } = question;
     const { occurrence, number } = step;
@@ -72,7 +72,11 @@
       expectedMs + ADVICE_SLACK_MS,
     );
     if (answer.kind === 'advised') {
-      this.advice.take(question, answer.tickets, sentAt + answer.validityMs);
+      this.advice.recordAnswer(
+        question,
+        answer.tickets,
+        sentAt + answer.validityMs,
+      );
       ctx.log.info(
         { ...ref, asked: workers.length, allowed: answer.tickets.size },
         'advice: answered',
--- a/packages/daemon/src/job-host/answers-from-replica.test.ts
+++ b/packages/daemon/src/job-host/answers-from-replica.test.ts
@@ -58,7 +58,7 @@
   ['h1', 'h2', 'h3'].forEach(name => site.startHost(name));
   await site.time.advance(2_500);
   const name = follower(site);
-  site.log.modes.set(name, 'unreadable');
+  site.log.hostModes.set(name, 'unreadable');
   for (const id of JOBS) {
     void site.submit(id, [{ tasks: 2, after: [] }], QUICK);
   }
@@ -71,7 +71,7 @@
   ['h1', 'h2', 'h3'].forEach(name => site.startHost(name));
   await site.time.advance(2_500);
   const name = follower(site);
-  site.log.modes.set(name, 'silent');
+  site.log.hostModes.set(name, 'silent');
   for (const id of JOBS) {
     void site.submit(id, [{ tasks: 2, after: [] }], QUICK);
   }
@@ -87,11 +87,11 @@
   const service = site.hosts.get(name)?.host.service;
   assert.ok(service);
   void service.queueLength('checks');
-  site.log.modes.set(name, 'refusing');
+  site.log.hostModes.set(name, 'refusing');
   await site.time.advance(2_400);
   void service.queueLength('checks');
   await site.time.advance(100);
-  site.log.modes.delete(name);
+  site.log.hostModes.delete(name);
   while (site.leader() === name) {
     await site.time.advance(10);
   }
@@ -121,7 +121,7 @@
   site.addWorker('w1');
   ['h1', 'h2'].forEach(name => site.startHost(name));
   await site.time.advance(2_500);
-  site.fleet.slowness.set('w1', 450);
+  site.fleet.orderDelays.set('w1', 450);
   const size = { cpuMilli: 200, memoryMiB: 10, accelerators: 0 };
   const ids = Array.from({ length: 20 }, (_, at) =>
     (at + 1).toString(16).padStart(16, '0'),
@@ -187,7 +187,7 @@
   const name = follower(site);
   site.kill(name);
   // A mebibyte takes 1.7 s.
-  site.log.links.set(name, 600);
+  site.log.linkRates.set(name, 600);
   site.startHost(name);
   await site.time.advance(12_000);
   const asked = site.hosts.get(name)?.host.service.queueLength('checks');
@@ -206,13 +206,13 @@
   const service = site.hosts.get(name)?.host.service;
   void service?.status(id);
   await site.time.advance(500);
-  site.log.modes.set(name, 'silent');
+  site.log.hostModes.set(name, 'silent');
   // The job ends while the host hears nothing, and the records of that are dropped.
   site.addWorker('w1');
   await site.time.advance(4_000);
   site.log.trimTo(site.log.recordsOf('journal').length);
   await site.time.advance(12_000);
-  site.log.modes.delete(name);
+  site.log.hostModes.delete(name);
   await site.time.advance(6_000);
   const asked = service?.status(id);
   await site.time.advance(1_500);
--- a/packages/daemon/src/job-host/append-again.ts
+++ b/packages/daemon/src/job-host/append-hedged.ts
@@ -9,7 +9,7 @@
 const MAX_UNDER_WAY = 4;
 
 /** An append is sent again once it takes this many times as long as the last one: the log may be slow. */
-export const SLOW_FACTOR = 2;
+export const SLOW_APPEND_FACTOR = 2;
 
 /** How a stamped append is sent again. */
 export interface AppendAgainOptions {
@@ -26,7 +26,7 @@
  * A try that a silent log has swallowed ends only with its timeout of 1.5 s; a new one is answered as soon
  * as the log is back, which is 0.45 s later at the most.
  */
-export async function appendAgain(
+export async function appendHedged(
   ctx: HostContext,
   append: () => Promise<AppendResult>,
   { everyMs, stopped }: AppendAgainOptions,
--- a/packages/daemon/src/job-host/http-front.ts
+++ b/packages/daemon/src/job-host/caller-server.ts
@@ -30,7 +30,7 @@
 export type Handler = (req: CallerRequest) => Promise<CallerAnswer>;
 
 /** A listening server. */
-export interface HttpFront {
+export interface CallerServer {
   readonly port: number;
   /** Answers what is under way, closes idle connections and stops; resolves when all are closed. */
   close(): Promise<void>;
@@ -53,9 +53,9 @@
 const IDLE_MS = 60_000;
 
 /** Begins to listen. */
-export async function startHttpFront(
+export async function startCallerServer(
   options: HttpFrontOptions,
-): Promise<HttpFront> {
+): Promise<CallerServer> {
   let closing = false;
   const server = createServer((req, res) => {
     void serve(req, res);
--- a/packages/daemon/src/job-host/decision-log.ts
+++ b/packages/daemon/src/job-host/decision-log.ts
@@ -40,7 +40,7 @@
   ) {
     this.writer = new JournalWriter(ctx, jobLog, claim);
     this.state = replica.state;
-    replica.becomeWriter();
+    replica.startLeading();
   }
 
   /** Monotonic time at which the last confirmed append was sent. */
@@ -89,7 +89,7 @@
     const written = result.kind === 'written';
     // After this host has lost the lead, its replica is rebuilt from the log.
     if (written && !this.closed) {
-      this.replica.wroteJournal(result.nextOffset);
+      this.replica.noteJournalWritten(result.nextOffset);
     }
     settle(batch, written);
     return written;
--- a/packages/daemon/src/job-host/fleet.ts
+++ b/packages/daemon/src/job-host/fleet.ts
@@ -1,9 +1,9 @@
 /** The leader's links to all registered workers. */
 import type { Instant } from '@paddlewind/domain';
 import {
-  openRunsAt,
-  startOf,
-  workerOf,
+  countOpenRunsAt,
+  startTimeOf,
+  workerIdOf,
   type JobsState,
   type PlanWorker,
   type WorkerHealth,
@@ -81,12 +81,14 @@
 
   /** Returns the link to the current incarnation of the worker to which `worker` belongs. */
   linkToCurrent(worker: string): WorkerLink | undefined {
-    return this.links.get(this.currentIncarnations.get(workerOf(worker)) ?? '');
+    return this.links.get(
+      this.currentIncarnations.get(workerIdOf(worker)) ?? '',
+    );
   }
 
   /** Replaces the link to `before` after the incarnation `by` of the same worker has answered. */
   supersede(before: WorkerInfo, by: string): void {
-    const worker = workerOf(by);
+    const worker = workerIdOf(by);
     if (!this.closed && this.currentIncarnations.get(worker) === before.id) {
       this.supersededIncarnations.get(worker)?.delete(by);
       this.openLink({ ...before, id: by, leaving: false });
@@ -110,7 +112,7 @@
     if (this.leavingSinceById.has(incarnation)) {
       return 'leaving';
     }
-    const worker = workerOf(incarnation);
+    const worker = workerIdOf(incarnation);
     const isThere =
       this.listedWorkers.has(worker) &&
       this.currentIncarnations.get(worker) === incarnation;
@@ -150,7 +152,7 @@
     if (this.closed) {
       return;
     }
-    this.listedWorkers = new Set(workers.map(({ id }) => workerOf(id)));
+    this.listedWorkers = new Set(workers.map(({ id }) => workerIdOf(id)));
     this.registeredIncarnations = new Set();
     for (const info of workers) {
       this.applyEntry(info);
@@ -169,7 +171,7 @@
       return;
     }
     const { id } = current.info;
-    if (info.id === id || startOf(info.id) === undefined) {
+    if (info.id === id || startTimeOf(info.id) === undefined) {
       current.info = { ...info, id };
       this.noteLeaving(current.info, true);
       this.registeredIncarnations.add(id);
@@ -178,15 +180,16 @@
 
   /** Whether a registry entry names a newer incarnation than the known one; entries may be outdated. */
   private isNewer(entryId: string, currentId: string): boolean {
-    const entryStart = startOf(entryId) ?? -Infinity;
-    const currentStart = startOf(currentId) ?? -Infinity;
+    const entryStart = startTimeOf(entryId) ?? -Infinity;
+    const currentStart = startTimeOf(currentId) ?? -Infinity;
     const isReplaced =
-      this.supersededIncarnations.get(workerOf(entryId))?.has(entryId) === true;
+      this.supersededIncarnations.get(workerIdOf(entryId))?.has(entryId) ===
+      true;
     return entryStart > currentStart && !isReplaced;
   }
 
   private openLink(info: WorkerInfo): void {
-    const worker = workerOf(info.id);
+    const worker = workerIdOf(info.id);
     const before = this.linkToCurrent(info.id);
     if (before !== undefined) {
       this.closeSuperseded(before, info.id);
@@ -197,7 +200,7 @@
 
   private closeSuperseded(link: WorkerLink, by: string): void {
     const { id } = link.info;
-    const worker = workerOf(id);
+    const worker = workerIdOf(id);
     const runs = this.options.state.workers.get(id)?.runs.size ?? 0;
     this.options.ctx.meters.workerRestarted();
     this.options.ctx.log.warn(
@@ -240,8 +243,11 @@
   private removeUnlisted(): void {
     const { ctx, state } = this.options;
     for (const [id, link] of this.links) {
-      const worker = workerOf(id);
-      if (!this.listedWorkers.has(worker) && openRunsAt(state, worker) === 0) {
+      const worker = workerIdOf(id);
+      if (
+        !this.listedWorkers.has(worker) &&
+        countOpenRunsAt(state, worker) === 0
+      ) {
         ctx.log.info({ worker: id }, 'fleet: worker was removed');
         link.close();
         this.links.delete(id);
--- a/packages/daemon/src/job-host/group-append.ts
+++ b/packages/daemon/src/job-host/group-append.ts
@@ -2,8 +2,8 @@
 import type { Millis } from '@paddlewind/domain';
 import type { AppendResult, JobLog } from '@paddlewind/ports/jobs';
 
-import { SLOW_FACTOR } from './append-again.js';
-import { appendTwice, SECOND_TRY_MS } from './append-twice.js';
+import { SLOW_APPEND_FACTOR } from './append-hedged.js';
+import { appendTwice, SECOND_TRY_MS } from './append-hedged-once.js';
 import { within } from './caller-view.js';
 import type { HostContext } from './context.js';
 
@@ -66,7 +66,10 @@
     const { ctx, jobLog } = this;
     const sentAt = ctx.clock();
     // While the log is slow, a second append of each would take twice the time that it has.
-    const secondTryMs = Math.max(SECOND_TRY_MS, SLOW_FACTOR * this.answerMs);
+    const secondTryMs = Math.max(
+      SECOND_TRY_MS,
+      SLOW_APPEND_FACTOR * this.answerMs,
+    );
     const result = await appendTwice(ctx, jobLog, records, { secondTryMs });
     if (result.kind === 'appended') {
       this.answerMs = ctx.clock() - sentAt;
--- a/packages/daemon/src/job-host/duty.ts
+++ b/packages/daemon/src/job-host/host-role.ts
@@ -6,18 +6,18 @@
  * spent.
  */
 import type { Instant, Millis } from '@paddlewind/domain';
-import { encodeRecord, STANDBYS } from '@paddlewind/domain/jobs';
+import { encodeRecord, MAX_STANDBYS } from '@paddlewind/domain/jobs';
 
 import type { HostContext } from './context.js';
 import type { Replica } from './replica.js';
 import type { SummaryFollower } from './summary-follower.js';
 import {
-  DUTY_SPREAD_MS,
-  LEADER_CORES,
-  LEADER_SILENCE_MS,
-  SUMMARY_READ_EVERY_MS,
-  SUMMARY_SILENCE_MS,
-  VOLUNTEER_EVERY_MS,
+  ROLE_CHANGE_JITTER_MS,
+  MIN_LEADER_CORES,
+  LEADER_SILENCE_TIMEOUT_MS,
+  SUMMARY_READ_INTERVAL_MS,
+  SUMMARY_SILENCE_TIMEOUT_MS,
+  STANDBY_OFFER_INTERVAL_MS,
 } from './timing.js';
 
 /** What a host's duty depends on. */
@@ -34,7 +34,7 @@
 }
 
 /** The duty of one host. */
-export class Duty {
+export class HostRole {
   private observing = false;
   /** Whether the summary was asked for a leader since the process started. */
   private hasAsked = false;
@@ -47,7 +47,7 @@
   /** Creates the duty of a host that has read nothing. */
   constructor(private readonly options: DutyOptions) {
     const { ctx } = options;
-    this.patience = SUMMARY_SILENCE_MS + this.delay();
+    this.patience = SUMMARY_SILENCE_TIMEOUT_MS + this.delay();
     this.offersAt = ctx.clock() + this.delay();
   }
 
@@ -57,7 +57,7 @@
   }
 
   /** Takes one turn; resolves with whether this host leaves the journal unread. */
-  async observes(): Promise<boolean> {
+  async followsSummary(): Promise<boolean> {
     if (this.observing) {
       await this.observe();
     } else if (this.isDismissed()) {
@@ -71,7 +71,7 @@
 
   private async observe(): Promise<void> {
     const { ctx, summary } = this.options;
-    if (ctx.clock() - this.readAt >= SUMMARY_READ_EVERY_MS) {
+    if (ctx.clock() - this.readAt >= SUMMARY_READ_INTERVAL_MS) {
       this.readAt = ctx.clock();
       await summary.refresh();
     }
@@ -124,7 +124,7 @@
     return (
       replica.isComplete &&
       replica.state.claim.epoch > 0 &&
-      ctx.clock() - replica.journalHeardAt < LEADER_SILENCE_MS
+      ctx.clock() - replica.journalReceivedAt < LEADER_SILENCE_TIMEOUT_MS
     );
   }
 
@@ -135,7 +135,7 @@
     if (!this.observing) {
       return this.isLed() && now >= this.offersAt;
     }
-    const isVacant = (summary.leads?.standbys.length ?? 0) < STANDBYS;
+    const isVacant = (summary.leads?.standbys.length ?? 0) < MAX_STANDBYS;
     if (isVacant && !this.sawVacancy) {
       this.offersAt = now + this.delay();
     }
@@ -145,7 +145,7 @@
 
   private offer(): void {
     const { ctx, cores, peerAddress } = this.options;
-    this.offersAt = ctx.clock() + VOLUNTEER_EVERY_MS;
+    this.offersAt = ctx.clock() + STANDBY_OFFER_INTERVAL_MS;
     const record = encodeRecord({
       kind: 'volunteer',
       host: ctx.host,
@@ -158,7 +158,7 @@
   /** Large hosts come first. */
   private delay(): Millis {
     const { ctx, cores } = this.options;
-    const first = cores < LEADER_CORES ? DUTY_SPREAD_MS : 0;
-    return first + ctx.random() * DUTY_SPREAD_MS;
+    const first = cores < MIN_LEADER_CORES ? ROLE_CHANGE_JITTER_MS : 0;
+    return first + ctx.random() * ROLE_CHANGE_JITTER_MS;
   }
 }
--- a/packages/daemon/src/job-host/inbox-sender.ts
+++ b/packages/daemon/src/job-host/inbox-sender.ts
@@ -2,10 +2,10 @@
 import type { Instant, Millis } from '@paddlewind/domain';
 import type { AppendResult, JobLog } from '@paddlewind/ports/jobs';
 
-import { appendTwice } from './append-twice.js';
+import { appendTwice } from './append-hedged-once.js';
 import type { CallerView } from './caller-view.js';
 import { pause, type HostContext } from './context.js';
-import { CONTACT_LOST_MS, INBOX_RETRY_MS } from './timing.js';
+import { LOG_CONTACT_TIMEOUT_MS, INBOX_RETRY_DELAY_MS } from './timing.js';
 
 /** How long appends go straight to the log after the leader did not take one. */
 const LEADER_REST_MS: Millis = 2_000;
@@ -37,7 +37,7 @@
   /** Appends records; whoever reads the inbox takes the same job in once, however often it is there. */
   async append(records: readonly Uint8Array[]): Promise<AppendResult> {
     const { ctx, jobLog, view } = this.options;
-    const lost = ctx.clock() - view().contactAt > CONTACT_LOST_MS;
+    const lost = ctx.clock() - view().contactAt > LOG_CONTACT_TIMEOUT_MS;
     if (lost || this.inDoubt) {
       const reason = 'the log does not answer this host';
       return { kind: 'refused', reason };
@@ -86,7 +86,7 @@
     const since = ctx.clock();
     while (view().inboxKnownAsOf <= since) {
       if (!(await view().readInbox())) {
-        await pause(ctx, INBOX_RETRY_MS);
+        await pause(ctx, INBOX_RETRY_DELAY_MS);
       }
     }
     this.inDoubt = false;
--- a/packages/daemon/src/job-host/job-service.test.ts
+++ b/packages/daemon/src/job-host/job-service.test.ts
@@ -142,7 +142,7 @@
 test('one answer that was lost makes no later caller wait or come back', async () => {
   const site = new Following();
   await site.follow();
-  site.log.loseNext = 1;
+  site.log.unansweredAppends = 1;
   await submitted(site, '0000000000000001', 1_000);
   assert.equal(await submitted(site, '0000000000000002', 50), 'recorded');
 });
--- a/packages/daemon/src/job-host/journal-writer.ts
+++ b/packages/daemon/src/job-host/journal-writer.ts
@@ -3,10 +3,10 @@
 import { encodeRecord, type JournalRecord } from '@paddlewind/domain/jobs';
 import type { AppendResult, JobLog, WriterStamp } from '@paddlewind/ports/jobs';
 
-import { appendAgain, SLOW_FACTOR } from './append-again.js';
+import { appendHedged, SLOW_APPEND_FACTOR } from './append-hedged.js';
 import { pause, type HostContext } from './context.js';
 import type { WonClaim } from './leadership.js';
-import { APPEND_RESEND_AFTER_MS, APPEND_RETRY_MS } from './timing.js';
+import { APPEND_RESEND_AFTER_MS, APPEND_RETRY_DELAY_MS } from './timing.js';
 
 /** Outcome of writing a batch. */
 export type WriteResult =
@@ -84,12 +84,12 @@
     const sentAt = ctx.clock();
     const everyMs = Math.max(
       APPEND_RESEND_AFTER_MS,
-      SLOW_FACTOR * this.lastAppendMs,
+      SLOW_APPEND_FACTOR * this.lastAppendMs,
     );
     const append = (): Promise<AppendResult> =>
       jobLog.append('journal', encoded, stamp);
     const stopped = (): boolean => this.closed;
-    const result = await appendAgain(ctx, append, { everyMs, stopped });
+    const result = await appendHedged(ctx, append, { everyMs, stopped });
     if (result.kind === 'appended') {
       // The duration of an outage says nothing about the speed of the log after it.
       this.lastAppendMs = Math.min(
@@ -106,6 +106,6 @@
     reason,
   }: Extract<AppendResult, { kind: 'refused' | 'unknown' }>): Promise<void> {
     this.ctx.log.warn({ why: kind, reason }, 'journal: an append is repeated');
-    await pause(this.ctx, APPEND_RETRY_MS);
+    await pause(this.ctx, APPEND_RETRY_DELAY_MS);
   }
 }
--- a/packages/daemon/src/job-host/late-claim-twice.test.ts
+++ b/packages/daemon/src/job-host/late-claim-twice.test.ts
@@ -10,10 +10,10 @@
 import { decodeJournal } from '@paddlewind/domain/jobs';
 
 import {
-  LASTING_JOB,
-  LASTING_TASKS,
-  siteWithLastingJob,
-} from './lasting-site.fixture.test.js';
+  LONG_RUNNING_JOB,
+  LONG_RUNNING_TASKS,
+  deploymentWithLongRunningJob,
+} from './long-running-deployment.fixture.test.js';
 import type { Simulation } from './simulation.fixture.test.js';
 
 const HOSTS = ['h1', 'h2', 'h3'];
@@ -34,7 +34,7 @@
     for (const [silent, lead] of SILENCES.flatMap(s =>
       LEADS.map(l => [s, l] as const),
     )) {
-      const site = await siteWithLastingJob(seed, HOSTS);
+      const site = await deploymentWithLongRunningJob(seed, HOSTS);
       const name = site.leader();
       for (const host of HOSTS) {
         site.fleet.cuts.add(`${host}>w1`);
@@ -47,10 +47,13 @@
       });
       await site.time.until(() => claims(site) > 1, 5_000);
       // It does not learn of the claim, and goes on until its own leases end.
-      site.log.modes.set(name, 'silent');
+      site.log.hostModes.set(name, 'silent');
       site.log.appendMs = 0;
       await site.time.advance(CALM_MS);
-      assert.equal(site.history.runningOf(LASTING_JOB), LASTING_TASKS);
+      assert.equal(
+        site.history.runningOf(LONG_RUNNING_JOB),
+        LONG_RUNNING_TASKS,
+      );
       const found = site.history.check();
       if (found.length > 0) {
         broken.push({ silent, lead, found: found[0] });
--- a/packages/daemon/src/job-host/leader-leases.ts
+++ b/packages/daemon/src/job-host/leader-leases.ts
@@ -1,8 +1,8 @@
 /** Leases of a leader: how long they last, what other hosts are told about them, and which have expired. */
 import type { Instant, Millis } from '@paddlewind/domain';
 import {
-  workerOf,
-  type HandedLeases,
+  workerIdOf,
+  type LeaseHandover,
   type JobsState,
   type JournalRecord,
   type Run,
@@ -10,7 +10,7 @@
 
 import type { HostContext } from './context.js';
 import type { Fleet } from './fleet.js';
-import { logAbandonedRuns } from './given-up-runs.js';
+import { logAbandonedRuns } from './abandoned-runs.js';
 import type { WonClaim } from './leadership.js';
 import { latestLeaseEnd } from './lease.js';
 import type { Replica } from './replica.js';
@@ -66,7 +66,7 @@
    * Returns the lease state to write to the journal for other hosts, or undefined if this host may not know
    * all leaders.
    */
-  report(): HandedLeases | undefined {
+  report(): LeaseHandover | undefined {
     const { replica, claim, ctx, fleet } = this.options;
     const now = ctx.clock();
     const handed = replica.handedLeases(
@@ -80,7 +80,7 @@
     const workers = new Map<string, Millis>();
     for (const { worker, leaseEnd } of reported) {
       fleet.linkToCurrent(worker)?.noteSilenceReported();
-      workers.set(workerOf(worker), Math.max(0, Math.ceil(leaseEnd - now)));
+      workers.set(workerIdOf(worker), Math.max(0, Math.ceil(leaseEnd - now)));
     }
     return { ...handed, workers: [...workers] };
   }
--- a/packages/daemon/src/job-host/leader-log.ts
+++ b/packages/daemon/src/job-host/leader-log.ts
@@ -1,11 +1,11 @@
 /** Log lines of a leader about runs and jobs. */
 import {
-  lostUnder,
+  workersLostUnder,
   objectiveOf,
   refOf,
   statusOf,
   taskName,
-  workOf,
+  expectedWorkOf,
   type Occurrence,
   type Run,
   type RunTimes,
@@ -39,7 +39,7 @@
 
 /** Logs that a task is abandoned, and which workers were lost while running it. */
 export function logAbandonedTask({ ctx, claim }: LogSource, task: Task): void {
-  const workers = lostUnder(task);
+  const workers = workersLostUnder(task);
   const name = taskName(refOf(task));
   const { epoch } = claim;
   ctx.log.warn(
@@ -82,7 +82,7 @@
       objectiveMs: Math.round(objectiveOf(occurrence, times)),
       tasks: tasks.length,
       runs: tasks.reduce((sum, { lastRun }) => sum + lastRun, 0),
-      coreMs: Math.round(workOf(occurrence, times)),
+      coreMs: Math.round(expectedWorkOf(occurrence, times)),
     },
     'leader: a job is over',
   );
--- a/packages/daemon/src/job-host/leader.ts
+++ b/packages/daemon/src/job-host/leader.ts
@@ -1,16 +1,16 @@
 /** The leader's loop: handles ends of runs, plans starts, records both, then acts. */
 import type { Instant, Millis } from '@paddlewind/domain';
 import {
-  Advice,
+  AdviceTickets,
   createRunTimes,
   EMPTY_ACCOUNT,
   Interference,
-  planCopies,
+  planSpeculativeCopies,
   planStarts,
   refOf,
-  runsOfOthers,
+  runsOfOtherIncarnations,
   WorkerHealth,
-  workerOf,
+  workerIdOf,
   workerRuns,
   type ApplyStart,
   type JobsState,
@@ -23,7 +23,7 @@
 } from '@paddlewind/domain/jobs';
 
 import { Adviser } from './adviser.js';
-import { Alarm } from './alarm.js';
+import { WakeSignal } from './wake-signal.js';
 import { pause } from './context.js';
 import { DecisionLog } from './decision-log.js';
 import { Fences } from './fences.js';
@@ -40,9 +40,9 @@
 import { StartWindow } from './start-window.js';
 import { SummaryWriter } from './summary-writer.js';
 import {
-  CLAIM_REPEAT_MS,
+  CLAIM_INTERVAL_MS,
   IDLE_HEARTBEAT_MS,
-  INBOX_RETRY_MS,
+  INBOX_RETRY_DELAY_MS,
   INBOX_STALE_MS,
   INBOX_READ_WAIT_MS,
   LEARNED_RECORD_INTERVAL_MS,
@@ -68,10 +68,10 @@
   private readonly interference: Interference;
   private readonly startWindow = new StartWindow();
   private readonly health = new WorkerHealth();
-  private readonly advice = new Advice();
+  private readonly advice = new AdviceTickets();
   private readonly adviser: Adviser;
   private readonly supervisor: RunSupervisor;
-  private readonly wakeSignal: Alarm;
+  private readonly wakeSignal: WakeSignal;
   /**
    * Whether a worker has become unresponsive since unresponsive workers were last reported to other hosts.
    */
@@ -86,12 +86,12 @@
     const earlier = this.state.learnt;
     this.times = createRunTimes(earlier?.learnt.runTimes);
     this.interference = new Interference(earlier);
-    this.wakeSignal = new Alarm(ctx.schedule);
+    this.wakeSignal = new WakeSignal(ctx.schedule);
     this.adviser = new Adviser(
       ctx,
       options.advicePort,
       this.advice,
-      this.wakeSignal.ring,
+      this.wakeSignal.notify,
     );
     this.supervisor = new RunSupervisor({
       ctx,
@@ -115,7 +115,7 @@
       },
       presenceOf: worker => this.fleet.presenceOf(worker),
       fleetSize: () => this.fleet.registeredWorkers().length,
-      onChange: this.wakeSignal.ring,
+      onChange: this.wakeSignal.notify,
     });
     this.summary = new SummaryWriter({
       ctx,
@@ -136,7 +136,7 @@
       onRemoved: (worker, announced) => {
         this.runs.noteWorkerRemoved(worker, announced);
       },
-      changed: this.wakeSignal.ring,
+      changed: this.wakeSignal.notify,
     });
     this.fences = new Fences(claim.firstFence, claim.epoch, worker => {
       ctx.log.warn({ worker }, 'leader: its fences are used up');
@@ -173,7 +173,7 @@
   release(): void {
     this.recordLearned();
     this.decisions.record(this.leases.release());
-    this.wakeSignal.ring();
+    this.wakeSignal.notify();
   }
 
   /** Resolves with true once all decisions so far are written, with false if they never will be. */
@@ -187,14 +187,14 @@
       ctx,
       port,
       starts,
-      fence: this.fences.next(workerOf(info.id)),
+      fence: this.fences.next(workerIdOf(info.id)),
       maxLeaseMs,
       earlierLeaseEnd: this.leases.earlierLeaseEnd(info.id, isNew, maxLeaseMs),
       horizon: () => this.leases.horizon,
       inboxAgeMs: () => this.inboxAgeMs(),
       registryAgeMs: () => ctx.clock() - this.fleet.knownAsOf,
       runs: () => workerRuns(this.state, info.id),
-      otherRuns: () => runsOfOthers(this.state, info.id),
+      otherRuns: () => runsOfOtherIncarnations(this.state, info.id),
       isNew,
       leadsSince: claim.wonAt,
       pollWaitMs: () => this.supervisor.pollWaitMs(info),
@@ -221,7 +221,7 @@
           this.runs.recordReached(info.id, done);
         },
         ticketRefused: ({ step }) => {
-          this.advice.refuse(step, info.id);
+          this.advice.discardTicket(step, info.id);
         },
         fenced: () => {
           // The claim of another leader is in the journal, so nothing of this one will be written. The log
@@ -245,7 +245,7 @@
           this.hasNewSilence = true;
           this.startWindow.noteSilence(ctx.clock());
         },
-        changed: this.wakeSignal.ring,
+        changed: this.wakeSignal.notify,
       },
     });
     void keepRunning(ctx, 'looks', () => link.run());
@@ -256,12 +256,12 @@
     const { replica } = this.options;
     while (!this.hasEnded) {
       const before = replica.nextOffset('inbox');
-      if (replica.lostTrack) {
+      if (replica.hasGap) {
         this.resign();
       } else if (!(await replica.readToEnd('inbox', INBOX_READ_WAIT_MS))) {
-        await pause(this.options.ctx, INBOX_RETRY_MS);
+        await pause(this.options.ctx, INBOX_RETRY_DELAY_MS);
       } else if (replica.nextOffset('inbox') !== before) {
-        this.wakeSignal.ring();
+        this.wakeSignal.notify();
       }
     }
   }
@@ -299,7 +299,7 @@
       const now = ctx.clock();
       const roundMs = now - startedAt;
       const idle = this.decisions.isEmpty && now - wroteAt >= IDLE_HEARTBEAT_MS;
-      const dueMs = this.hasNewSilence ? SILENCE_REPORT_MS : CLAIM_REPEAT_MS;
+      const dueMs = this.hasNewSilence ? SILENCE_REPORT_MS : CLAIM_INTERVAL_MS;
       if (idle || now - heartbeatAt >= dueMs) {
         this.recordHeartbeat();
         heartbeatAt = now;
@@ -315,12 +315,12 @@
           return;
         }
         wroteAt = ctx.clock();
-        if (wroteAt - now > CLAIM_REPEAT_MS) {
+        if (wroteAt - now > CLAIM_INTERVAL_MS) {
           // The log was unavailable: leases are extended only by what is written now.
-          this.wakeSignal.ring();
+          this.wakeSignal.notify();
         }
       }
-      this.summary.tell(cut);
+      this.summary.publish(cut);
       if (roundMs > LONG_ROUND_MS) {
         await pause(ctx, roundMs);
       }
@@ -348,7 +348,7 @@
     planStarts(input, start, urgency => {
       this.supervisor.evacuateLeaving(input, urgency);
     });
-    planCopies(input, start);
+    planSpeculativeCopies(input, start);
     this.supervisor.stopSlowedFillers(input);
     this.adviser.askIfNeeded(input);
   }
@@ -363,9 +363,9 @@
       advice: this.advice,
       time: { now: ctx.clock(), nowWall: ctx.wallClock() },
       leadsSince: this.options.claim.wonAt,
-      mostStarts: this.startWindow.available(starts.mostStarts),
+      maxStarts: this.startWindow.available(starts.maxStarts),
       isLinkBusy: starts.isBusy,
-      moving: this.supervisor.evacuatingTasks(),
+      movingTasks: this.supervisor.evacuatingTasks(),
     };
   }
 
--- a/packages/daemon/src/job-host/leadership.ts
+++ b/packages/daemon/src/job-host/leadership.ts
@@ -4,14 +4,14 @@
 import type { JobLog, WriterStamp } from '@paddlewind/ports/jobs';
 
 import { pause, type HostContext } from './context.js';
-import type { Duty } from './duty.js';
+import type { HostRole } from './host-role.js';
 import type { Replica } from './replica.js';
 import {
-  APPEND_RETRY_MS,
+  APPEND_RETRY_DELAY_MS,
   CLAIM_JITTER_MS,
-  FOLLOW_EVERY_MS,
-  LEADER_CORES,
-  LEADER_SILENCE_MS,
+  JOURNAL_READ_INTERVAL_MS,
+  MIN_LEADER_CORES,
+  LEADER_SILENCE_TIMEOUT_MS,
   SMALL_HOST_CLAIM_DELAY_MS,
 } from './timing.js';
 
@@ -49,7 +49,7 @@
   readonly ctx: HostContext;
   readonly jobLog: JobLog;
   readonly replica: Replica;
-  readonly duty: Duty;
+  readonly duty: HostRole;
   /** Processors of this host. */
   readonly cores: number;
   readonly stopped: () => boolean;
@@ -65,14 +65,15 @@
   stopped,
 }: CandidateOptions): Promise<WonClaim | undefined> {
   const claimState = { minEpoch: 0, delayMs: claimDelay(cores) };
-  const silenceTimeoutMs = LEADER_SILENCE_MS + ctx.random() * CLAIM_JITTER_MS;
+  const silenceTimeoutMs =
+    LEADER_SILENCE_TIMEOUT_MS + ctx.random() * CLAIM_JITTER_MS;
   while (!stopped()) {
-    if (await duty.observes()) {
-      await pause(ctx, FOLLOW_EVERY_MS);
+    if (await duty.followsSummary()) {
+      await pause(ctx, JOURNAL_READ_INTERVAL_MS);
       continue;
     }
     const before = ctx.clock();
-    if (replica.lostTrack) {
+    if (replica.hasGap) {
       replica.reset();
     }
     const read = await replica.refresh('journal');
@@ -88,14 +89,14 @@
       }
       continue;
     }
-    await pause(ctx, FOLLOW_EVERY_MS);
+    await pause(ctx, JOURNAL_READ_INTERVAL_MS);
   }
   return undefined;
 }
 
 function isLeaderless(
   ctx: HostContext,
-  { state, journalHeardAt }: Replica,
+  { state, journalReceivedAt: journalHeardAt }: Replica,
   silenceTimeoutMs: number,
 ): boolean {
   const { epoch, host } = state.claim;
@@ -115,7 +116,7 @@
 
 /** Large hosts claim first; small ones lead only if no large host does. */
 function claimDelay(cores: number): Millis {
-  return cores < LEADER_CORES ? SMALL_HOST_CLAIM_DELAY_MS : 0;
+  return cores < MIN_LEADER_CORES ? SMALL_HOST_CLAIM_DELAY_MS : 0;
 }
 
 async function tryToClaim(
@@ -157,7 +158,7 @@
       if (result.kind !== 'refused') {
         claimState.minEpoch = 2 * epoch;
       }
-      await pause(ctx, APPEND_RETRY_MS);
+      await pause(ctx, APPEND_RETRY_DELAY_MS);
       return undefined;
     }
   }
@@ -180,10 +181,10 @@
     !(await replica.refresh('journal')) ||
     replica.nextOffset('journal') < nextOffset
   ) {
-    if (replica.lostTrack) {
+    if (replica.hasGap) {
       return undefined;
     }
-    await pause(ctx, APPEND_RETRY_MS);
+    await pause(ctx, APPEND_RETRY_DELAY_MS);
   }
   const { claim: newest } = replica.state;
   if (newest.epoch !== stamp.epoch || newest.nonce !== stamp.sequence) {
@@ -202,15 +203,15 @@
     nextStamp: { ...stamp, sequence: stamp.sequence + 1 },
     sentAt,
     wonAt,
-    silence: replica.silenceUntil(wonAt),
+    silence: replica.heartbeatAge(wonAt),
   };
 }
 
 /** Another epoch may have been claimed between the last known one and this one; the journal shows it. */
 function firstFenceOf(
   epoch: number,
-  { state, knowsBeginning }: Replica,
+  { state, startedAtFirstRecord: knowsBeginning }: Replica,
 ): number {
-  const isKnown = state.epochBefore > 0 || knowsBeginning;
-  return isKnown ? state.epochBefore + 1 : epoch;
+  const isKnown = state.previousEpoch > 0 || knowsBeginning;
+  return isKnown ? state.previousEpoch + 1 : epoch;
 }
--- a/packages/daemon/src/job-host/lease-ends.ts
+++ b/packages/daemon/src/job-host/lease-ends.ts
@@ -6,7 +6,7 @@
  * record is read after it was written.
  */
 import type { Instant, Millis } from '@paddlewind/domain';
-import type { HandedLeases, JournalRecord } from '@paddlewind/domain/jobs';
+import type { LeaseHandover, JournalRecord } from '@paddlewind/domain/jobs';
 
 import { DEFAULT_MAX_LEASE_AFTER_LAST_RECORD_MS } from './timing.js';
 
@@ -53,7 +53,7 @@
   }
 
   /** Applies a record that was read at `now`; `epoch` is that of its writer. */
-  note(record: JournalRecord, epoch: number, now: Instant): void {
+  applyRecord(record: JournalRecord, epoch: number, now: Instant): void {
     if (epoch < this.newest.epoch) {
       // A repeated read: later records have reported the remaining times already.
       return;
@@ -109,11 +109,11 @@
    * Returns what the leader of `epoch`, whose own leases hold for `maxLeaseMs`, hands over at `now`, or
    * undefined while this host may not know all leaders.
    */
-  handedBy(
+  leasesToHandOver(
     epoch: number,
     maxLeaseMs: Millis,
     now: Instant,
-  ): HandedLeases | undefined {
+  ): LeaseHandover | undefined {
     if (this.otherEpochsEnd > now) {
       return undefined;
     }
@@ -167,7 +167,7 @@
   }
 
   /** Applies a leader's handover; the leader had read all records of earlier leaders. */
-  private applyHandover(handed: HandedLeases | undefined, now: Instant): void {
+  private applyHandover(handed: LeaseHandover | undefined, now: Instant): void {
     if (handed === undefined) {
       // A leader that does not report which workers are unresponsive may have reached all of them.
       this.workers.clear();
@@ -202,7 +202,7 @@
     }
   }
 
-  private applyWorkers(handed: HandedLeases['workers'], now: Instant): void {
+  private applyWorkers(handed: LeaseHandover['workers'], now: Instant): void {
     const before = new Map(this.workers);
     this.workers.clear();
     for (const [worker, leftMs] of handed) {
--- a/packages/daemon/src/job-host/link-meters.ts
+++ b/packages/daemon/src/job-host/link-meters.ts
@@ -8,7 +8,7 @@
 }
 
 /** Registers the bytes to and from peers of each kind; they are counted when the metrics are asked for. */
-export function registerLinkUse<K extends string>(
+export function registerLinkMetrics<K extends string>(
   registry: Registry,
   kinds: readonly K[],
   total: (kind: K) => BytesSoFar,
--- a/packages/daemon/src/job-host/linked-runs.ts
+++ b/packages/daemon/src/job-host/linked-runs.ts
@@ -4,21 +4,21 @@
   newProgress,
   refOf,
   runKey,
-  startOf,
+  startTimeOf,
   taskName,
   type Run,
   type RunEnd,
   type WorkerInfo,
   type WorkerRuns,
 } from '@paddlewind/domain/jobs';
-import type { ActiveRun, EndedRun, LookResult } from '@paddlewind/ports/jobs';
+import type { ActiveRun, EndedRun, PollResult } from '@paddlewind/ports/jobs';
 
 import type { HostContext } from './context.js';
-import { logAbandonedRuns } from './given-up-runs.js';
-import type { WorkerGivenUp } from './meters.js';
-import { ReportChecks } from './report-trail.js';
+import { logAbandonedRuns } from './abandoned-runs.js';
+import type { AbandonedWorkerReason } from './meters.js';
+import { ReportChecks } from './report-checks.js';
 
-type Report = Extract<LookResult, { kind: 'seen' }>;
+type Report = Extract<PollResult, { kind: 'seen' }>;
 
 /** Events of the runs at one link. */
 export interface LinkedRunEvents {
@@ -30,7 +30,7 @@
   abandoned(
     worker: string,
     runs: readonly Run[],
-    reason: WorkerGivenUp,
+    reason: AbandonedWorkerReason,
     lostBy: Instant,
   ): void;
   /** A run that was sent to an earlier incarnation runs at this one, which is to be recorded. */
@@ -113,7 +113,7 @@
 
   /** Abandons the runs that were listed by this incarnation, which was superseded. */
   abandonListed(): void {
-    if (startOf(this.options.info().id) === undefined) {
+    if (startTimeOf(this.options.info().id) === undefined) {
       // Without a start time in the id, the current incarnation may be this one.
       return;
     }
@@ -125,7 +125,7 @@
   }
 
   /** Abandons all runs. */
-  abandonAll(reason: WorkerGivenUp): void {
+  abandonAll(reason: AbandonedWorkerReason): void {
     this.abandon(this.all, reason);
   }
 
@@ -169,7 +169,7 @@
   private abandonOthers(runs: readonly Run[]): void {
     // Earlier versions of the leader did not record the incarnation, so the run may never have started.
     const isVoid = ({ worker, progress }: Run): boolean =>
-      startOf(worker) === undefined && progress === undefined;
+      startTimeOf(worker) === undefined && progress === undefined;
     for (const run of runs.filter(isVoid)) {
       this.options.events.ended(run, 'void', '');
     }
@@ -220,7 +220,7 @@
     }
   }
 
-  private abandon(runs: readonly Run[], reason: WorkerGivenUp): void {
+  private abandon(runs: readonly Run[], reason: AbandonedWorkerReason): void {
     const { ctx, events, contactFields: contact, lostBy } = this.options;
     for (const worker of new Set(runs.map(run => run.worker))) {
       const lost = runs.filter(run => run.worker === worker);
--- a/packages/daemon/src/job-host/loop-delay.ts
+++ b/packages/daemon/src/job-host/loop-delay.ts
@@ -37,7 +37,7 @@
  * Samples until the returned function is called. A loop that was held up for some time is seen as late
  * by that time or by up to `LOOP_SAMPLE_EVERY_MS` less.
  */
-export function watchLoop(watch: LoopWatch): () => void {
+export function monitorEventLoop(watch: LoopWatch): () => void {
   const { clock, schedule, log, delayed } = watch;
   let toldAt = -Infinity;
   let untold = 0;
--- a/packages/daemon/src/job-host/meters.ts
+++ b/packages/daemon/src/job-host/meters.ts
@@ -17,13 +17,14 @@
  * Why a start that was decided on is not sent: it has waited for too long, its job is over, nobody needs
  * the run, what it was decided on is too old, or its worker does not answer or leaves.
  */
-export type StartGivenUp = 'late' | 'over' | 'needless' | 'stale' | 'worker';
+export type DroppedStartReason =
+  'late' | 'over' | 'needless' | 'stale' | 'worker';
 
 /**
  * Why all runs of a worker were given up: it has started again or another one answered, it did not answer until its lease had
  * ended, or it had left the registry before this leader took over.
  */
-export type WorkerGivenUp = 'replaced' | 'unanswered' | 'unregistered';
+export type AbandonedWorkerReason = 'replaced' | 'unanswered' | 'unregistered';
 
 /** What a caller asked for that was refused; changes that are refused are counted among the requests. */
 export type RefusedRequest = 'queue_length' | 'status';
@@ -53,7 +54,7 @@
   /** A run has ended; `lost` with its worker. */
   readonly ended: (how: RunEnd | 'lost') => void;
   /** All runs of a worker, one or more, were given up. */
-  readonly workerGivenUp: (reason: WorkerGivenUp) => void;
+  readonly workerGivenUp: (reason: AbandonedWorkerReason) => void;
   /** A worker has started again under its id. */
   readonly workerRestarted: () => void;
   /** A run that a worker had listed as at work is listed no more, and no end of it was. */
@@ -71,7 +72,7 @@
   /** Another host has taken starts, `tookMs` after they were sent. */
   readonly startsTaken: (tookMs: Millis) => void;
   /** A start that was decided on is not sent. */
-  readonly startGivenUp: (reason: StartGivenUp) => void;
+  readonly startGivenUp: (reason: DroppedStartReason) => void;
   /** A caller's request was refused; nothing was recorded of it. */
   readonly refused: (what: RefusedRequest, why: RefusalReason) => void;
   /** A timer of the process fired late by `delay`. */
--- a/packages/daemon/src/job-host/model/states.fixture.test.ts
+++ b/packages/daemon/src/job-host/model/states.fixture.test.ts
@@ -5,7 +5,7 @@
   applyJournal,
   emptyJobsState,
   findTask,
-  isOver,
+  isFinished,
   PLAIN_STEP,
   type JobSpec,
   type JobsState,
@@ -281,12 +281,12 @@
   const run = task.runs[0];
   return {
     status: task.status,
-    over: isOver(task.step.occurrence.job),
+    over: isFinished(task.step.occurrence.job),
     lastRun: task.lastRun,
     run: run?.number ?? 0,
     at: run?.worker === WORKER_NAMES[1] ? 1 : 0,
     epoch: state.claim.epoch,
-    reachedIn: state.reachedIn,
+    reachedIn: state.reachedInEpoch,
   };
 }
 
@@ -359,7 +359,7 @@
   for (const [upTo, at] of reads) {
     for (const { epoch, records } of journal.slice(from, upTo)) {
       records.forEach(record => {
-        ends.note(record, epoch, at);
+        ends.applyRecord(record, epoch, at);
       });
     }
     from = upTo;
--- a/packages/daemon/src/job-host/relay/overload-site.fixture.test.ts
+++ b/packages/daemon/src/job-host/relay/overload-site.fixture.test.ts
@@ -123,7 +123,7 @@
 
   /** Share of the jobs asked for from `from` to `until` that had not begun in time. */
   lateShare(from: Instant, until: Instant): number {
-    const begins = this.site.history.firstBegins();
+    const begins = this.site.history.firstStarts();
     const asked = this.asked.filter(({ at }) => at >= from && at < until);
     const late = asked.filter(
       ({ id, at }) => (begins.get(id) ?? Infinity) - at > DEADLINE_MS,
--- a/packages/daemon/src/job-host/relay/relay-batches.ts
+++ b/packages/daemon/src/job-host/relay/relay-batches.ts
@@ -1,7 +1,7 @@
 /** Gathers starts for other hosts, and shares them among these. */
 import type { Instant, Millis } from '@paddlewind/domain';
 
-import { AnswerSlack } from '../answer-slack.js';
+import { AdaptiveTimeout } from '../adaptive-timeout.js';
 import type { HostContext } from '../context.js';
 import type { RelayedOrder, RelayHost, RelayResult } from './relay-host.js';
 
@@ -28,7 +28,7 @@
   private waiting: Waiting[] = [];
   private isScheduled = false;
   private sentAt: Instant = -Infinity;
-  private readonly slack = new AnswerSlack(TAKEN_BOUNDS);
+  private readonly slack = new AdaptiveTimeout(TAKEN_BOUNDS);
 
   /** Creates batches for `hosts`, which may be asked at any time. */
   constructor(
@@ -38,7 +38,7 @@
 
   /** Notes how long a host took to take starts. */
   noteTaken(tookMs: Millis): void {
-    this.slack.note(tookMs);
+    this.slack.record(tookMs);
   }
 
   /** Whether there is a host that may be given starts. */
--- a/packages/daemon/src/job-host/relay/relay-host.ts
+++ b/packages/daemon/src/job-host/relay/relay-host.ts
@@ -183,11 +183,11 @@
       { epoch, process, starts },
       {
         takenWithinMs,
-        taken: by => {
+        onAccepted: by => {
           this.hear(by);
           this.noteTaken(orders.length, ctx.clock() - sentAt);
         },
-        told: (at, outcome) => {
+        onOutcome: (at, outcome) => {
           this.note(outcome);
           settle(at, outcome);
         },
--- a/packages/daemon/src/job-host/relay/relayed-starts.test.ts
+++ b/packages/daemon/src/job-host/relay/relayed-starts.test.ts
@@ -78,7 +78,7 @@
     },
     stop: () => Promise.resolve(ACCEPTED),
     throttle: () => Promise.resolve(ACCEPTED),
-    look: () => Promise.resolve({ kind: 'fenced' }),
+    poll: () => Promise.resolve({ kind: 'fenced' }),
     isConnected: () => false,
     forget: () => undefined,
   };
@@ -90,7 +90,7 @@
       const found = { process: `of ${address}`, clock: this.remoteClock() };
       return Promise.resolve(gone ? undefined : found);
     },
-    relay: (address, batch, { taken, told }) => {
+    relay: (address, batch, { onAccepted: taken, onOutcome: told }) => {
       this.sentBy.push(address);
       this.relayed.push(batch);
       const answer = this.answers.get(address) ?? {
--- a/packages/daemon/src/job-host/relay/relayed-starts.ts
+++ b/packages/daemon/src/job-host/relay/relayed-starts.ts
@@ -101,7 +101,7 @@
   }
 
   /** How many starts the link carries soon. */
-  get mostStarts(): number {
+  get maxStarts(): number {
     return this.batches.hasHost ? this.window.size : this.alone.mostStarts;
   }
 
--- a/packages/daemon/src/job-host/relay/start-relay.ts
+++ b/packages/daemon/src/job-host/relay/start-relay.ts
@@ -1,6 +1,6 @@
 /** Sends starts to workers for the leader, whose link can't carry them all. */
 import type { Instant, Millis } from '@paddlewind/domain';
-import { isOver } from '@paddlewind/domain/jobs';
+import { isFinished } from '@paddlewind/domain/jobs';
 import type {
   PeerProcess,
   RelayBatch,
@@ -71,7 +71,7 @@
       await replica.refresh('inbox');
     }
     const found = replica.state.jobs.get(job);
-    if (found === undefined || isOver(found)) {
+    if (found === undefined || isFinished(found)) {
       return { kind: 'refused', why: 'unknown_job' };
     }
     // Reading the log may have taken long, and told of another leader.
--- a/packages/daemon/src/job-host/relay/start-sender.ts
+++ b/packages/daemon/src/job-host/relay/start-sender.ts
@@ -31,7 +31,7 @@
   /** Whether starts wait for their turns. */
   readonly isBusy: boolean;
   /** How many starts may be under way: more would wait for too long. */
-  readonly mostStarts: number;
+  readonly maxStarts: number;
   /** Sends a start, within its limits also again. */
   send(
     worker: WorkerAddress,
--- a/packages/daemon/src/job-host/replica.ts
+++ b/packages/daemon/src/job-host/replica.ts
@@ -11,8 +11,8 @@
   decodeInbox,
   decodeJournal,
   emptyJobsState,
-  workerOf,
-  type HandedLeases,
+  workerIdOf,
+  type LeaseHandover,
   type InboxRecord,
   type JobsState,
   type JournalRecord,
@@ -22,7 +22,7 @@
 import { coalesce } from './coalesce.js';
 import type { HostContext } from './context.js';
 import { LeaseEnds } from './lease-ends.js';
-import { Portion } from './portion.js';
+import { AdaptiveReadSize } from './adaptive-read-size.js';
 
 /** Bytes asked for where only the position of the first record that is kept matters. */
 const JOIN_BYTES = 1_024;
@@ -46,11 +46,11 @@
 export class Replica {
   state: JobsState = emptyJobsState();
   /** Monotonic time at which records of the journal last arrived. */
-  journalHeardAt: Instant;
+  journalReceivedAt: Instant;
   /** Monotonic time at which the log last answered. */
   contactAt: Instant = -Infinity;
   /** Whether the log has dropped records that this copy lacks, so that it has to be read anew. */
-  lostTrack = false;
+  hasGap = false;
 
   private readonly leaseEnds = new LeaseEnds();
   private readonly next: Record<FoldedStream, number> = {
@@ -61,9 +61,9 @@
     inbox: -Infinity,
     journal: -Infinity,
   };
-  private readonly portions: Record<FoldedStream, Portion> = {
-    inbox: new Portion(),
-    journal: new Portion(),
+  private readonly portions: Record<FoldedStream, AdaptiveReadSize> = {
+    inbox: new AdaptiveReadSize(),
+    journal: new AdaptiveReadSize(),
   };
   private readonly refreshes: Record<FoldedStream, () => Promise<boolean>> = {
     inbox: coalesce(() => this.readToEnd('inbox', 0)),
@@ -86,7 +86,7 @@
     private readonly ctx: HostContext,
     private readonly jobLog: JobLog,
   ) {
-    this.journalHeardAt = ctx.clock();
+    this.journalReceivedAt = ctx.clock();
   }
 
   /** Offset up to which a stream was read. */
@@ -193,7 +193,7 @@
   }
 
   /** Whether this copy began with the first records that were ever written. */
-  get knowsBeginning(): boolean {
+  get startedAtFirstRecord(): boolean {
     return !this.trimmed;
   }
 
@@ -202,8 +202,8 @@
    * infinite for one that the present leader has reached.
    */
   earlierLeaseEnd(worker: string): Instant {
-    const id = workerOf(worker);
-    const reachedIn = this.state.reachedIn.get(id);
+    const id = workerIdOf(worker);
+    const reachedIn = this.state.reachedInEpoch.get(id);
     // Of a leader whose claim is gone it is not known which one it is.
     return this.leaseEnds.endFor(id, reachedIn === 0 ? undefined : reachedIn);
   }
@@ -212,12 +212,12 @@
    * Returns what this host, which leads or claims in `epoch`, hands on of the ends of leases: its own hold
    * for `heldMs`. Undefined while it may not know of all leaders.
    */
-  handedLeases(epoch: number, heldMs: Millis): HandedLeases | undefined {
-    return this.leaseEnds.handedBy(epoch, heldMs, this.ctx.clock());
+  handedLeases(epoch: number, heldMs: Millis): LeaseHandover | undefined {
+    return this.leaseEnds.leasesToHandOver(epoch, heldMs, this.ctx.clock());
   }
 
   /** Returns how long before `now` the newest heartbeat was written. */
-  silenceUntil(now: Instant): SpanBounds {
+  heartbeatAge(now: Instant): SpanBounds {
     if (this.heartbeat === undefined) {
       return UNKNOWN_SPAN;
     }
@@ -247,15 +247,15 @@
    * way, or waited for its turn, may bring what the leader has written since, and applied when it decided it: a
    * start that is applied twice is a run that never ends, and its task does not run again.
    */
-  becomeWriter(): void {
+  startLeading(): void {
     this.isWriter = true;
   }
 
   /** Notes that this host, which leads, has written the journal up to `nextOffset`. */
-  wroteJournal(nextOffset: number): void {
+  noteJournalWritten(nextOffset: number): void {
     this.next.journal = nextOffset;
-    this.journalHeardAt = this.ctx.clock();
-    this.contactAt = this.journalHeardAt;
+    this.journalReceivedAt = this.ctx.clock();
+    this.contactAt = this.journalReceivedAt;
   }
 
   /** Forgets everything, to be read again. */
@@ -270,9 +270,9 @@
     this.joined.journal = false;
     this.trimmed = false;
     this.isWriter = false;
-    this.lostTrack = false;
+    this.hasGap = false;
     this.heartbeat = undefined;
-    this.journalHeardAt = this.ctx.clock();
+    this.journalReceivedAt = this.ctx.clock();
   }
 
   private async take(
@@ -285,7 +285,7 @@
     }
     if (found.kind === 'trimmed' && this.joined[stream]) {
       // What they changed of the jobs known here is told nowhere else.
-      this.lostTrack = true;
+      this.hasGap = true;
       return 'none';
     }
     if (found.kind === 'trimmed') {
@@ -355,11 +355,15 @@
           'replica: the journal names an unknown job',
         );
       }
-      this.leaseEnds.note(record, this.state.claim.epoch, this.ctx.clock());
+      this.leaseEnds.applyRecord(
+        record,
+        this.state.claim.epoch,
+        this.ctx.clock(),
+      );
     }
     const now = this.ctx.clock();
     if (decoded.length > 0) {
-      this.journalHeardAt = now;
+      this.journalReceivedAt = now;
     }
     if (decoded.some(record => record?.kind === 'heartbeat')) {
       this.heartbeat = { at: now, after: this.readAt.journal };
--- a/packages/daemon/src/job-host/report-trail.ts
+++ b/packages/daemon/src/job-host/report-checks.ts
@@ -1,10 +1,10 @@
 /** Compares consecutive reports of a worker, and logs runs and ends that are missing without a cause. */
 import type { Run } from '@paddlewind/domain/jobs';
-import type { LookResult } from '@paddlewind/ports/jobs';
+import type { PollResult } from '@paddlewind/ports/jobs';
 
 import type { HostContext } from './context.js';
 
-type Report = Extract<LookResult, { kind: 'seen' }>;
+type Report = Extract<PollResult, { kind: 'seen' }>;
 
 /** Checks the reports of one incarnation of a worker. */
 export class ReportChecks {
--- a/packages/daemon/src/job-host/run-recorder.ts
+++ b/packages/daemon/src/job-host/run-recorder.ts
@@ -1,21 +1,21 @@
 /** Records what happens to runs: that their workers were reached, and that they started and ended. */
 import {
   findTask,
-  isGivenUp,
-  isOver,
-  isWanted,
+  isAbandoned,
+  isFinished,
+  isAwaitingCompletion,
   noteWorkerLoss,
   refOf,
-  suspicionsOf,
-  workerOf,
-  type JudgedLoss,
+  attributeLoss,
+  workerIdOf,
+  type LossAttribution,
   type JobsState,
   type JournalRecord,
   type Run,
   type RunEnd,
   type RunTimes,
   type Task,
-  type WorkerFate,
+  type WorkerLossKind,
   type WorkerHealth,
 } from '@paddlewind/domain/jobs';
 import type { Instant } from '@paddlewind/domain';
@@ -32,7 +32,7 @@
 } from './leader-log.js';
 import { learnFromEnd } from './leader-records.js';
 import type { WonClaim } from './leadership.js';
-import type { WorkerGivenUp } from './meters.js';
+import type { AbandonedWorkerReason } from './meters.js';
 import type { StartWindow } from './start-window.js';
 
 /** Dependencies and callbacks of a recorder. */
@@ -58,7 +58,7 @@
 type EndRecord = Extract<JournalRecord, { kind: 'end' | 'lost' }>;
 
 /** Loss fields of a run that was not lost. */
-const NO_LOSS: Partial<JudgedLoss> = {};
+const NO_LOSS: Partial<LossAttribution> = {};
 
 /** Records events of runs until it is closed. */
 export class RunRecorder {
@@ -86,15 +86,15 @@
   recordAbandoned(
     worker: string,
     runs: readonly Run[],
-    reason: WorkerGivenUp,
+    reason: AbandonedWorkerReason,
     lostBy: Instant,
   ): void {
     if (runs.length > 0) {
       this.abandonedWorkers.add(worker);
     }
     const { ctx, claim, state, fleetSize } = this.options;
-    const judged = suspicionsOf(state, runs, {
-      fate: this.fateOf(worker, reason),
+    const judged = attributeLoss(state, runs, {
+      lossKind: this.fateOf(worker, reason),
       fleetSize: fleetSize(),
       leadsSince: claim.wonAt,
       lostBy,
@@ -136,7 +136,10 @@
   }
 
   /** A worker that was removed before this leader took over may have announced its departure. */
-  private fateOf(worker: string, reason: WorkerGivenUp): WorkerFate {
+  private fateOf(
+    worker: string,
+    reason: AbandonedWorkerReason,
+  ): WorkerLossKind {
     const presence = this.options.presenceOf(worker);
     if (presence === 'leaving') {
       return 'unknown';
@@ -151,13 +154,13 @@
     }
   }
 
-  private recordLoss(run: Run, loss: JudgedLoss): void {
+  private recordLoss(run: Run, loss: LossAttribution): void {
     const { task } = run;
-    const wasGivenUp = isGivenUp(task);
+    const wasGivenUp = isAbandoned(task);
     const checkpoint = checkpointOf(run);
     const ref = { task: refOf(task), run: run.number };
     this.endRun(run, 'lost', { kind: 'lost', ...ref, checkpoint, ...loss });
-    if (!wasGivenUp && isGivenUp(task)) {
+    if (!wasGivenUp && isAbandoned(task)) {
       this.options.ctx.meters.taskGivenUp();
       logAbandonedTask(this.options, task);
     }
@@ -173,7 +176,7 @@
     ctx.meters.ended(how);
     this.options.onRunEnding(run);
     window.noteEnded(run);
-    const expectedMs = Math.round(times.expect(task.step));
+    const expectedMs = Math.round(times.expectedMs(task.step));
     const { suspicion, age } = record.kind === 'lost' ? record : NO_LOSS;
     const more = { how, expectedMs, suspicion, age };
     logRun(this.options, run, 'leader: a run has ended', more);
@@ -187,7 +190,7 @@
    */
   recordStrayEnd(worker: string, ended: EndedRun): void {
     const task = findTask(this.options.state, ended.task);
-    if (this.closed || ended.how !== 'done' || !isWanted(task)) {
+    if (this.closed || ended.how !== 'done' || !isAwaitingCompletion(task)) {
       return;
     }
     const { run, how, checkpoint } = ended;
@@ -201,7 +204,7 @@
     if (this.closed) {
       return;
     }
-    const id = workerOf(worker);
+    const id = workerIdOf(worker);
     this.options.decisions.record({ kind: 'reached', worker: id }, written => {
       if (written) {
         done();
@@ -215,7 +218,7 @@
     const { decisions, startWindow: window } = this.options;
     window.noteStarted(run);
     const { job } = run.task.step.occurrence;
-    if (!this.closed && !job.begun) {
+    if (!this.closed && !job.hasStarted) {
       decisions.record({ kind: 'begun', job: job.spec.id });
     }
   }
@@ -224,9 +227,9 @@
   private recordTaskEnd(task: Task, record: EndRecord): void {
     const { ctx, decisions, times, onChange: changed } = this.options;
     const { occurrence } = task.step;
-    const wasOver = isOver(occurrence.job);
+    const wasOver = isFinished(occurrence.job);
     decisions.record(record);
-    if (!wasOver && isOver(occurrence.job)) {
+    if (!wasOver && isFinished(occurrence.job)) {
       logJobFinished(ctx, times, occurrence);
     }
     changed();
--- a/packages/daemon/src/job-host/simulated-wire.fixture.test.ts
+++ b/packages/daemon/src/job-host/simulated-wire.fixture.test.ts
@@ -5,10 +5,10 @@
 import type { Millis } from '@paddlewind/domain';
 import type {
   JobLog,
-  LookResult,
+  PollResult,
   OrderResult,
   PeerPort,
-  RelayEnd,
+  RelayCallResult,
   WorkerPort,
 } from '@paddlewind/ports/jobs';
 import type { VirtualTime } from '@paddlewind/stand-ins';
@@ -125,10 +125,10 @@
         order(START + start.payload.length, () => port.start(to, start)),
       stop: (to, run) => order(ORDER, () => port.stop(to, run)),
       throttle: (to, run) => order(ORDER, () => port.throttle(to, run)),
-      look: async (to, look, takeLate) => {
+      poll: async (to, look, takeLate) => {
         const answer = this.out
           .carry(HEAD + LOOK)
-          .then(() => port.look(to, look, takeLate))
+          .then(() => port.poll(to, look, takeLate))
           .then(async res => {
             await this.into.carry(sizeOfLook(res));
             return res;
@@ -209,12 +209,12 @@
           const by = host.identifyForPeer();
           void this.answerBy(links, TAKEN).then(() => {
             began();
-            watch.taken(by);
+            watch.onAccepted(by);
           });
           const answers: Promise<void>[] = [];
           await host.relayForPeer(batch, (at, outcome) => {
             const answer = this.carryBack(links, OUTCOME).then(() => {
-              watch.told(at, outcome);
+              watch.onOutcome(at, outcome);
             });
             answers.push(answer);
           });
@@ -335,7 +335,7 @@
   readonly host: NonNullable<ReturnType<SimulatedPeers['reach']>>['host'];
 }
 
-const UNANSWERED: RelayEnd = {
+const UNANSWERED: RelayCallResult = {
   kind: 'failed',
   outcome: 'unknown',
   reason: 'timeout',
@@ -355,7 +355,7 @@
   return records.reduce((sum, { length }) => sum + RECORD + length, 0);
 }
 
-function sizeOfLook(res: LookResult): number {
+function sizeOfLook(res: PollResult): number {
   return res.kind === 'seen'
     ? ANSWER_HEAD +
         ACTIVE_RUN * res.active.length +
--- a/packages/daemon/src/job-host/start-job-host.ts
+++ b/packages/daemon/src/job-host/start-job-host.ts
@@ -1,6 +1,6 @@
 /** Puts the parts of a job host together. */
 import type { Millis } from '@paddlewind/domain';
-import { forgetOver, openRunsOf } from '@paddlewind/domain/jobs';
+import { forgetFinishedJobs, countOpenRuns } from '@paddlewind/domain/jobs';
 import type {
   AdvicePort,
   ConfigFeed,
@@ -18,7 +18,7 @@
 import type { CallerView } from './caller-view.js';
 import { ConfigFollower } from './config-follower.js';
 import { pause, type HostContext } from './context.js';
-import { Duty } from './duty.js';
+import { HostRole } from './host-role.js';
 import { GroupAppend } from './group-append.js';
 import { InboxSender, type Appender } from './inbox-sender.js';
 import { JobService } from './job-service.js';
@@ -35,10 +35,10 @@
 import { SummaryFollower } from './summary-follower.js';
 import { SummaryView } from './summary-view.js';
 import {
-  CONTACT_LOST_MS,
-  FOLLOW_EVERY_MS,
-  FORGET_EVERY_MS,
-  LEADER_SILENCE_MS,
+  LOG_CONTACT_TIMEOUT_MS,
+  JOURNAL_READ_INTERVAL_MS,
+  FINISHED_JOB_CLEANUP_INTERVAL_MS,
+  LEADER_SILENCE_TIMEOUT_MS,
 } from './timing.js';
 
 /** What a job host is given. */
@@ -102,7 +102,7 @@
   private readonly jobLog: JobLog;
   private readonly replica: Replica;
   private readonly summary: SummaryFollower;
-  private readonly duty: Duty;
+  private readonly duty: HostRole;
   private readonly group: GroupAppend;
   private readonly relay: StartRelay;
   private readonly follower: ConfigFollower;
@@ -127,7 +127,7 @@
     this.jobLog = jobLog;
     this.replica = replica;
     this.summary = summary;
-    this.duty = new Duty({
+    this.duty = new HostRole({
       ctx,
       replica,
       summary,
@@ -151,7 +151,7 @@
       ready: this.ready,
       configVersion: () => this.follower.config?.version ?? 0,
       openJobs: () => this.view().openJobs,
-      openRuns: () => openRunsOf(replica.state),
+      openRuns: () => countOpenRuns(replica.state),
     };
   }
 
@@ -170,7 +170,7 @@
       !this.stopping &&
       this.follower.config !== undefined &&
       isComplete &&
-      this.options.ctx.clock() - contactAt < CONTACT_LOST_MS
+      this.options.ctx.clock() - contactAt < LOG_CONTACT_TIMEOUT_MS
     );
   };
 
@@ -210,11 +210,11 @@
   /** Who appends to the inbox for all hosts: the leader, as long as it is heard of. */
   private appender(): Appender | undefined {
     const { ctx, peers } = this.options;
-    const { state, journalHeardAt } = this.replica;
+    const { state, journalReceivedAt: journalHeardAt } = this.replica;
     if (this.leader !== undefined) {
       return records => this.group.append(records);
     }
-    const isHeard = ctx.clock() - journalHeardAt < LEADER_SILENCE_MS;
+    const isHeard = ctx.clock() - journalHeardAt < LEADER_SILENCE_TIMEOUT_MS;
     const followed = isHeard ? state.leaderAddress : undefined;
     const address = this.duty.isObserving
       ? this.summary.leads?.address
@@ -235,10 +235,10 @@
   private async forget(): Promise<void> {
     const { ctx, statusMs } = this.options;
     for (;;) {
-      await pause(ctx, FORGET_EVERY_MS);
+      await pause(ctx, FINISHED_JOB_CLEANUP_INTERVAL_MS);
       const now = ctx.clock();
-      forgetOver(this.replica.state, now, now - statusMs);
-      this.summary.summary.forgetOver(now - statusMs);
+      forgetFinishedJobs(this.replica.state, now, now - statusMs);
+      this.summary.summary.forgetFinishedJobs(now - statusMs);
       this.relay.forgetUnused();
     }
   }
@@ -272,7 +272,7 @@
   private async stayInTouch(): Promise<never> {
     for (;;) {
       await this.view().readInbox();
-      await pause(this.options.ctx, FOLLOW_EVERY_MS);
+      await pause(this.options.ctx, JOURNAL_READ_INTERVAL_MS);
     }
   }
 }
--- a/packages/daemon/src/job-host/summary-follower.ts
+++ b/packages/daemon/src/job-host/summary-follower.ts
@@ -11,7 +11,7 @@
 
 import { coalesce } from './coalesce.js';
 import type { HostContext } from './context.js';
-import { Portion } from './portion.js';
+import { AdaptiveReadSize } from './adaptive-read-size.js';
 
 /** Bytes asked for where only the position of the first record that is kept matters. */
 const PROBE_BYTES = 1_024;
@@ -56,7 +56,7 @@
   /** Reads the submissions that are not summed up yet; false when that can't be done. */
   readonly refreshInbox = coalesce(() => this.readInbox());
 
-  private readonly portion = new Portion();
+  private readonly portion = new AdaptiveReadSize();
   /** Position from which the summary is read on; undefined until a snapshot has settled it. */
   private next: number | undefined;
   private nextInbox = 0;
--- a/packages/daemon/src/job-host/suspended-hosts.test.ts
+++ b/packages/daemon/src/job-host/suspended-hosts.test.ts
@@ -2,16 +2,16 @@
 import { test } from 'node:test';
 
 import {
-  NEIGHBOUR,
+  NEIGHBOUR_JOB,
   NEIGHBOUR_TASKS,
-  siteWithNeighbours,
+  deploymentWithNeighbours,
   WORKERS,
-} from './crashing-site.fixture.test.js';
+} from './crashing-deployment.fixture.test.js';
 import {
-  LASTING_JOB,
-  LASTING_TASKS,
-  siteWithLastingJob,
-} from './lasting-site.fixture.test.js';
+  LONG_RUNNING_JOB,
+  LONG_RUNNING_TASKS,
+  deploymentWithLongRunningJob,
+} from './long-running-deployment.fixture.test.js';
 
 const SEEDS = [1, 2, 3, 4, 5, 6];
 /** Spans for which a machine is suspended, and how long it is up in between. */
@@ -26,7 +26,7 @@
 
 test('no promise is broken by hosts whose steady clock does not count a suspension', async () => {
   for (const seed of SEEDS) {
-    const site = await siteWithNeighbours(seed);
+    const site = await deploymentWithNeighbours(seed);
     const { history, time, random, fleet } = site;
     const endsAt = time.clock() + WATCHED_MS;
     const ids: string[] = [];
@@ -53,7 +53,7 @@
     }
     await time.advance(CALM_MS);
     assert.deepEqual(history.check(), []);
-    assert.equal(history.runningOf(NEIGHBOUR), NEIGHBOUR_TASKS);
+    assert.equal(history.runningOf(NEIGHBOUR_JOB), NEIGHBOUR_TASKS);
     for (const id of ids) {
       assert.ok(history.isDone(id), `seed ${seed}: ${id} is not done`);
     }
@@ -64,7 +64,7 @@
   for (const seed of [1, 2, 3]) {
     // From just over the time in which another host leads up to the lease of the worker.
     for (const span of [3_000, 3_500, 4_000, 4_500, 4_900]) {
-      const site = await siteWithLastingJob(seed, ['h1', 'h2', 'h3']);
+      const site = await deploymentWithLongRunningJob(seed, ['h1', 'h2', 'h3']);
       const leader = site.leader();
       for (const name of site.hosts.keys()) {
         if (name !== leader) {
@@ -74,7 +74,10 @@
       site.suspend(leader, span);
       await site.time.advance(CALM_MS);
       assert.deepEqual(site.history.check(), []);
-      assert.equal(site.history.runningOf(LASTING_JOB), LASTING_TASKS);
+      assert.equal(
+        site.history.runningOf(LONG_RUNNING_JOB),
+        LONG_RUNNING_TASKS,
+      );
     }
   }
 });
--- a/packages/daemon/src/job-host/timing.ts
+++ b/packages/daemon/src/job-host/timing.ts
@@ -2,62 +2,62 @@
 import type { Millis } from '@paddlewind/domain';
 
 /** Interval at which a follower reads the journal: a third of the silence after which it claims. */
-export const FOLLOW_EVERY_MS: Millis = 300;
+export const JOURNAL_READ_INTERVAL_MS: Millis = 300;
 /**
  * Interval at which a host that is not a standby reads the summary; contact counts as lost after two and a
  * half intervals.
  */
-export const SUMMARY_READ_EVERY_MS: Millis = 500;
+export const SUMMARY_READ_INTERVAL_MS: Millis = 500;
 /** Interval between writes of the summary: a tenth of the time that callers of the fastest jobs wait. */
-export const SUMMARY_EVERY_MS: Millis = 40;
+export const SUMMARY_WRITE_INTERVAL_MS: Millis = 40;
 /**
  * Silence of the summary after which a host that is not a standby reads the journal, to lead if necessary.
  * Standbys take over within 2 s.
  */
-export const SUMMARY_SILENCE_MS: Millis = 3_000;
+export const SUMMARY_SILENCE_TIMEOUT_MS: Millis = 3_000;
 /**
  * Jitter of actions that many hosts would otherwise take at once: reading the whole journal, offering to be a
  * standby.
  */
-export const DUTY_SPREAD_MS: Millis = 2_000;
+export const ROLE_CHANGE_JITTER_MS: Millis = 2_000;
 /**
  * Interval at which the leader writes a snapshot of the summary. A starting host reads one and the records
  * after it, even if the log had to drop all older records. A snapshot has some 25 KB, which no other host
  * reads.
  */
-export const SNAPSHOT_EVERY_MS: Millis = 5_000;
+export const SNAPSHOT_INTERVAL_MS: Millis = 5_000;
 /** Interval at which a host offers to be a standby: a third of the time after which it counts as gone. */
-export const VOLUNTEER_EVERY_MS: Millis = 4_000;
+export const STANDBY_OFFER_INTERVAL_MS: Millis = 4_000;
 /** Interval of heartbeats from an otherwise idle leader; two may be lost. */
 export const IDLE_HEARTBEAT_MS: Millis = 300;
 /**
  * Maximum interval at which a leader reports the leadership and the leases of earlier leaders, even while it
  * writes other records. A restarted host may count leases for up to this much too long.
  */
-export const CLAIM_REPEAT_MS: Millis = 1_000;
+export const CLAIM_INTERVAL_MS: Millis = 1_000;
 /** Fraction of the log's retention after which a job is restated, so that two attempts may fail. */
-export const RESTATE_SHARE = 1 / 3;
+export const RESTATE_RETENTION_FRACTION = 1 / 3;
 /**
  * Maximum number of jobs restated by one append: with some 4 KB each it stays far below the limit of an
  * append.
  */
 export const MAX_RESTATED_JOBS = 50;
 /** Interval at which old finished jobs are removed from memory. */
-export const FORGET_EVERY_MS: Millis = 10_000;
+export const FINISHED_JOB_CLEANUP_INTERVAL_MS: Millis = 10_000;
 /** Silence of the journal after which the leader counts as gone. */
-export const LEADER_SILENCE_MS: Millis = 1_000;
+export const LEADER_SILENCE_TIMEOUT_MS: Millis = 1_000;
 /** Jitter of claims, so that followers rarely claim at the same moment. */
 export const CLAIM_JITTER_MS: Millis = 200;
 /**
  * Number of processors below which a host is small: leading 350 workers takes 0.4 of a core in simulation.
  */
-export const LEADER_CORES = 0.5;
+export const MIN_LEADER_CORES = 0.5;
 /**
  * How long small hosts leave a claim to larger ones, which spread theirs over 200 ms and read every 300 ms.
  */
 export const SMALL_HOST_CLAIM_DELAY_MS: Millis = 600;
 /** Delay before an append that the log refused is sent again. */
-export const APPEND_RETRY_MS: Millis = 100;
+export const APPEND_RETRY_DELAY_MS: Millis = 100;
 /**
  * Time without an answer after which the leader sends an append again, in parallel with the first one. A
  * healthy log answers in some 10 ms; after an outage of the log, the append is written at most this much
@@ -80,7 +80,7 @@
  * Maximum time between the decision on a start and its sending. After that the task is better placed
  * elsewhere, and callers are told that the job waits.
  */
-export const START_WAIT_MS: Millis = 1_500;
+export const MAX_START_WAIT_MS: Millis = 1_500;
 /** How long a worker that is slow to answer orders is assigned no further run. */
 export const SLOW_WORKER_PAUSE_MS: Millis = 2_000;
 /**
@@ -137,7 +137,8 @@
 export const HORIZON_SLACK_MS: Millis =
   TASK_LEASE_MS / MIN_CLOCK_RATE - TASK_LEASE_MS + LEASE_MARGIN_MS;
 /** How long leases of a leader may hold after its last record. */
-export const LONGEST_HELD_MS: Millis = LEASE_HORIZON_MS + HORIZON_SLACK_MS;
+export const MAX_LEASE_AFTER_LAST_RECORD_MS: Millis =
+  LEASE_HORIZON_MS + HORIZON_SLACK_MS;
 /**
  * The same for a leader that does not report a value: one that extended leases for 4 s, and by 5 s each time.
  */
@@ -151,11 +152,11 @@
 /** Minimum interval between reports of workers that have become unresponsive. */
 export const SILENCE_REPORT_MS: Millis = 100;
 /** Time without contact to the log after which callers are redirected to other hosts at once. */
-export const CONTACT_LOST_MS: Millis = 1_200;
+export const LOG_CONTACT_TIMEOUT_MS: Millis = 1_200;
 /** Delay before an unconfirmed stop is ordered again. */
 export const STOP_RETRY_DELAY_MS: Millis = 200;
 /** Delay before the inbox is read again while the log does not answer. */
-export const INBOX_RETRY_MS: Millis = 200;
+export const INBOX_RETRY_DELAY_MS: Millis = 200;
 /**
  * A leader that could not read the inbox for this long plans no runs and sends no starts. Jobs may have been
  * cancelled, and none of their tasks may start more than 3 s after that; an order takes up to 0.5 s.
--- a/packages/daemon/src/job-host/alarm.ts
+++ b/packages/daemon/src/job-host/wake-signal.ts
@@ -2,7 +2,7 @@
 import type { Millis, Schedule } from '@paddlewind/domain';
 
 /** Wakes a single waiter; a signal without a waiter ends the next wait immediately. */
-export class Alarm {
+export class WakeSignal {
   private isPending = false;
   private endWait: (() => void) | undefined;
 
@@ -10,7 +10,7 @@
   constructor(private readonly schedule: Schedule) {}
 
   /** Ends the current wait, or the next one if nobody is waiting. */
-  readonly ring = (): void => {
+  readonly notify = (): void => {
     this.isPending = true;
     this.endWait?.();
   };
--- a/packages/daemon/src/job-host/worker-link.ts
+++ b/packages/daemon/src/job-host/worker-link.ts
@@ -2,15 +2,19 @@
 import type { Instant, Millis } from '@paddlewind/domain';
 import {
   incarnationOf,
-  workerOf,
+  workerIdOf,
   type Run,
   type Task,
   type WorkerInfo,
 } from '@paddlewind/domain/jobs';
-import type { LookOrder, LookResult, WorkerPort } from '@paddlewind/ports/jobs';
-
-import { Alarm } from './alarm.js';
-import { AnswerSlack } from './answer-slack.js';
+import type {
+  PollRequest,
+  PollResult,
+  WorkerPort,
+} from '@paddlewind/ports/jobs';
+
+import { WakeSignal } from './wake-signal.js';
+import { AdaptiveTimeout } from './adaptive-timeout.js';
 import { pause } from './context.js';
 import { Lease } from './lease.js';
 import {
@@ -72,19 +76,19 @@
   readonly events: LinkEvents;
 }
 
-type Report = Extract<LookResult, { kind: 'seen' }>;
+type Report = Extract<PollResult, { kind: 'seen' }>;
 
 /** A poll that was sent. */
 interface SentPoll {
   readonly at: Instant;
-  readonly order: LookOrder;
+  readonly order: PollRequest;
 }
 
 /** The leader's link to one incarnation of a worker. */
 export class WorkerLink {
   private readonly lease: Lease;
-  private readonly wakeSignal: Alarm;
-  private readonly slack = new AnswerSlack();
+  private readonly wakeSignal: WakeSignal;
+  private readonly slack = new AdaptiveTimeout();
   private readonly runs: LinkedRuns;
   private readonly orders: WorkerOrders;
   /** Whether the worker has reported to this leader, so that its open runs are known. */
@@ -125,7 +129,7 @@
     public info: WorkerInfo,
     private readonly options: LinkOptions,
   ) {
-    this.wakeSignal = new Alarm(options.ctx.schedule);
+    this.wakeSignal = new WakeSignal(options.ctx.schedule);
     this.runs = new LinkedRuns({
       ...options,
       info: () => this.info,
@@ -170,7 +174,7 @@
         replaced: () => {
           this.handleReplaced();
         },
-        stopConfirmed: this.wakeSignal.ring,
+        stopConfirmed: this.wakeSignal.notify,
       },
     });
   }
@@ -233,14 +237,14 @@
   /** Ends all calls; nothing is sent to the worker. */
   close(): void {
     this.closed = true;
-    this.wakeSignal.ring();
+    this.wakeSignal.notify();
     this.orders.close();
     this.options.port.forget(this.info);
   }
 
   /** Sends the start order of a recorded run that was decided on at `decidedAt`. */
   start(run: Run, decidedAt: Instant): void {
-    this.wakeSignal.ring();
+    this.wakeSignal.notify();
     this.orders.start(run, decidedAt);
   }
 
@@ -272,7 +276,7 @@
     const left = this.horizonLeftMs();
     const extend =
       isSure && this.isReachRecorded && this.isAnswering && left > 0;
-    const order: LookOrder = {
+    const order: PollRequest = {
       fence,
       acknowledged: isSure ? this.recordedUpTo : 0,
       leaseUntil: extend
@@ -283,7 +287,7 @@
     };
     const sent = { at: sentAt, order };
     // A late answer still reports ends, and shows that the worker is running.
-    const res = await port.look(this.info, order, late => {
+    const res = await port.poll(this.info, order, late => {
       this.handlePollResult(late, sent).catch((err: unknown) => {
         ctx.log.error({ err }, 'worker: a late answer could not be handled');
       });
@@ -308,7 +312,7 @@
   }
 
   private async handlePollResult(
-    res: LookResult,
+    res: PollResult,
     sent: SentPoll,
   ): Promise<void> {
     const { ctx, events } = this.options;
@@ -355,7 +359,7 @@
       return !this.reportsStartTime;
     }
     const { id } = this.info;
-    const isFromHere = incarnationOf(workerOf(id), startedAt) === id;
+    const isFromHere = incarnationOf(workerIdOf(id), startedAt) === id;
     this.reportsStartTime ||= isFromHere;
     return isFromHere;
   }
@@ -371,14 +375,14 @@
       );
       return;
     }
-    const by = incarnationOf(workerOf(this.info.id), startedAt);
+    const by = incarnationOf(workerIdOf(this.info.id), startedAt);
     this.options.events.replaced(by);
   }
 
   private recordAnswer({ at, order }: SentPoll): void {
     const { ctx, fence } = this.options;
     this.lastAnsweredAt = ctx.clock();
-    this.slack.note(Math.max(0, this.lastAnsweredAt - at - order.waitMs));
+    this.slack.record(Math.max(0, this.lastAnsweredAt - at - order.waitMs));
     this.acknowledgedUpTo = Math.max(this.acknowledgedUpTo, order.acknowledged);
     if (this.firstAnsweredAt === Infinity) {
       this.firstAnsweredAt = this.lastAnsweredAt;
--- a/packages/daemon/src/job-host/worker-orders.ts
+++ b/packages/daemon/src/job-host/worker-orders.ts
@@ -4,7 +4,7 @@
   newProgress,
   refOf,
   taskName,
-  whyNeedless,
+  obsoleteReasonOf,
   type Run,
   type RunEnd,
   type Task,
@@ -13,13 +13,13 @@
 import type { OrderResult, RunOrder, WorkerPort } from '@paddlewind/ports/jobs';
 
 import type { HostContext } from './context.js';
-import type { StartGivenUp } from './meters.js';
+import type { DroppedStartReason } from './meters.js';
 import { OrderQueue } from './order-queue.js';
 import type { StartResult, StartSender } from './relay/start-sender.js';
 import {
   INBOX_STALE_MS,
   REGISTRY_STALE_MS,
-  START_WAIT_MS,
+  MAX_START_WAIT_MS,
   STOP_RETRY_DELAY_MS,
 } from './timing.js';
 
@@ -112,7 +112,7 @@
       checkpoint: task.checkpoint,
       ticket: this.options.ticketFor(task),
     };
-    const whyNot = (): StartGivenUp | undefined =>
+    const whyNot = (): DroppedStartReason | undefined =>
       this.startObstacle(run, decidedAt);
     const isWanted = (): boolean => whyNot() === undefined;
     const sendBy = this.startDeadline(decidedAt);
@@ -133,8 +133,8 @@
   private startObstacle(
     run: Run,
     decidedAt: Instant,
-  ): StartGivenUp | undefined {
-    const needless = whyNeedless(run);
+  ): DroppedStartReason | undefined {
+    const needless = obsoleteReasonOf(run);
     if (needless !== undefined) {
       return needless === 'over' ? 'over' : 'needless';
     }
@@ -142,7 +142,7 @@
     if (inboxAgeMs() > INBOX_STALE_MS || registryAgeMs() > REGISTRY_STALE_MS) {
       return 'stale';
     }
-    if (ctx.clock() - decidedAt > START_WAIT_MS) {
+    if (ctx.clock() - decidedAt > MAX_START_WAIT_MS) {
       return 'late';
     }
     return mayStart() ? undefined : 'worker';
@@ -155,22 +155,22 @@
     return Math.min(
       now - inboxAgeMs() + INBOX_STALE_MS,
       now - registryAgeMs() + REGISTRY_STALE_MS,
-      decidedAt + START_WAIT_MS,
+      decidedAt + MAX_START_WAIT_MS,
     );
   }
 
   /** Abandons a start that waited in the queue. */
-  private abandonStart(run: Run, reason: StartGivenUp): void {
+  private abandonStart(run: Run, reason: DroppedStartReason): void {
     const { ctx, events } = this.options;
     const waitedMs = ctx.clock() - (run.progress?.since ?? ctx.clock());
-    if (reason === 'late' && 2 * waitedMs > START_WAIT_MS) {
+    if (reason === 'late' && 2 * waitedMs > MAX_START_WAIT_MS) {
       events.slow();
     }
     this.abandonUnsent(run, reason);
   }
 
   /** Ends a run whose start order was never sent, so that the task may run elsewhere. */
-  private abandonUnsent(run: Run, reason: StartGivenUp): void {
+  private abandonUnsent(run: Run, reason: DroppedStartReason): void {
     const { ctx, events } = this.options;
     ctx.meters.startGivenUp(reason);
     ctx.log.info(
@@ -224,7 +224,7 @@
   /** Limits a run to `percent` of its speed; only the newest of several queued limits is sent. */
   throttle(run: Run, percent: number): void {
     if (run.progress !== undefined) {
-      run.progress.allowed = percent;
+      run.progress.allowedPercent = percent;
       run.progress.allowedSince = this.options.ctx.clock();
     }
     if (!this.queue.isQueued('throttle', run)) {
@@ -239,16 +239,16 @@
   private async sendThrottle(run: Run): Promise<void> {
     const { port, fence, info } = this.options;
     const { task, number, progress } = run;
-    const percent = progress?.allowed;
+    const percent = progress?.allowedPercent;
     if (percent === undefined || !task.runs.includes(run)) {
       return;
     }
     const order = { task: refOf(task), run: number, fence, percent };
     const res = await port.throttle(info(), order);
     this.logUnlessAccepted(run, 'throttle', res);
-    if (res.kind !== 'accepted' && progress?.allowed === percent) {
+    if (res.kind !== 'accepted' && progress?.allowedPercent === percent) {
       // It is unknown whether the limit is in effect, so it is ordered again with the next report.
-      progress.allowed = undefined;
+      progress.allowedPercent = undefined;
     }
   }
 
