--- a/packages/daemon/src/job-host/all-workers-restart.test.ts
+++ b/packages/daemon/src/job-host/all-workers-restart.test.ts
@@ -12,13 +12,13 @@
   type Restart,
 } from './restarts-deployment.fixture.test.js';
 
-// What ran on a worker that has started again under its id was taken to run on until another host led, and what
-// ended there was forgotten unseen: then it was begun again though it was done.
-test('nothing is lost or done twice where workers start again under their ids', async () => {
+// Runs on a worker that had restarted under its id counted as running until another host led, and unseen ends
+// there were forgotten: tasks were started again although they were done.
+test('nothing is lost or done twice if workers restart under their ids', async () => {
   for (const awayMs of [0, 30, 1_200]) {
     const restart = restartOneByOne(awayMs);
     for (const seed of SEEDS) {
-      const note = `away for ${awayMs} ms, seed ${seed}`;
+      const note = `down for ${awayMs} ms, seed ${seed}`;
       assertNothingLost(await runRestarts({ seed, restart }), note);
       const withHosts: Restart = async (site, turn) => {
         await restart(site, turn);
@@ -33,8 +33,8 @@
   }
 });
 
-// The registry tells of the old incarnation for a while, which must not be taken for the one that answers.
-test('nothing is lost where the registry tells of a restart late', async () => {
+// The registry names the old incarnation for a while, which must not be mistaken for the one that answers.
+test('nothing is lost if the registry reports a restart late', async () => {
   for (const heldMs of [500, 3_000]) {
     for (const seed of SEEDS) {
       const restart: Restart = (site, turn) => {
@@ -42,20 +42,20 @@
         void restartOneByOne(30)(site, turn);
       };
       const site = await runRestarts({ seed, restart });
-      assertNothingLost(site, `told ${heldMs} ms late, seed ${seed}`);
+      assertNothingLost(site, `reported ${heldMs} ms late, seed ${seed}`);
     }
   }
 });
 
-// A worker whose time of day was set back tells an earlier start than the incarnation that it replaces.
-test('nothing is lost where a worker that starts again tells an earlier start', async () => {
+// A worker whose wall clock was set back reports an earlier start time than the incarnation that it replaces.
+test('nothing is lost if a restarted worker reports an earlier start time', async () => {
   for (const seed of SEEDS) {
     const restart: Restart = (site, turn) => {
       site.workerWallOffset -= 3_600_000;
       void restartOneByOne(30)(site, turn);
     };
-    const begun = { seed, wallOffset: 100_000_000 };
-    const site = await runRestarts({ ...begun, restart });
+    const deployment = { seed, wallOffset: 100_000_000 };
+    const site = await runRestarts({ ...deployment, restart });
     assertNothingLost(site, `seed ${seed}`);
   }
 });
@@ -76,8 +76,8 @@
   }
 });
 
-// A new leader finds runs of incarnations that are gone, which the last one had not given up yet.
-test('nothing is lost where the leader is killed soon after a worker has started again', async () => {
+// A new leader finds runs of removed incarnations that the last leader had not abandoned yet.
+test('nothing is lost if the leader is killed soon after a worker has restarted', async () => {
   for (const afterMs of [0, 50, 300, 600]) {
     for (const seed of SEEDS) {
       const restart: Restart = async (site, turn) => {
--- a/packages/daemon/src/job-host/coalesce.test.ts
+++ b/packages/daemon/src/job-host/coalesce.test.ts
@@ -7,10 +7,10 @@
 
 const WORK_MS = 10;
 
-/** Work that takes 10 ms, counts how often it began, and is shared by all who ask. */
+/** Shared work that takes 10 ms and counts its runs. */
 class SharedWork {
   readonly time = createVirtualTime();
-  begun = 0;
+  startCount = 0;
   underWay = 0;
   mostUnderWay = 0;
   /** Numbers of the runs that fail. */
@@ -18,8 +18,8 @@
   readonly ask = coalesce(() => this.work());
 
   private async work(): Promise<number> {
-    this.begun += 1;
-    const number = this.begun;
+    this.startCount += 1;
+    const number = this.startCount;
     this.underWay += 1;
     this.mostUnderWay = Math.max(this.mostUnderWay, this.underWay);
     await new Promise<void>(resolve => {
@@ -33,15 +33,15 @@
   }
 }
 
-test('all who ask at the same time share one run', async () => {
+test('concurrent callers share one run', async () => {
   const shared = new SharedWork();
   const asked = [shared.ask(), shared.ask(), shared.ask()];
   await shared.time.advance(100);
   assert.deepEqual(await Promise.all(asked), [1, 1, 1]);
-  assert.equal(shared.begun, 1);
+  assert.equal(shared.startCount, 1);
 });
 
-test('all who ask while a run is under way share the next one', async () => {
+test('callers during a run share the next run', async () => {
   const shared = new SharedWork();
   const first = shared.ask();
   await shared.time.advance(3);
@@ -51,10 +51,10 @@
   await shared.time.advance(100);
   assert.equal(await first, 1);
   assert.deepEqual(await Promise.all(later), [2, 2, 2]);
-  assert.equal(shared.begun, 2);
+  assert.equal(shared.startCount, 2);
 });
 
-test('runs go one at a time', async () => {
+test('runs do not overlap', async () => {
   const shared = new SharedWork();
   const asked: Promise<number>[] = [];
   for (let at = 0; at < 40; at += 1) {
@@ -64,23 +64,23 @@
   await shared.time.advance(100);
   await Promise.all(asked);
   assert.equal(shared.mostUnderWay, 1);
-  assert.ok(shared.begun <= 6, `${shared.begun} runs in 40 ms`);
+  assert.ok(shared.startCount <= 6, `${shared.startCount} runs in 40 ms`);
 });
 
-test('no caller gets the answer of a run that began before it asked', async () => {
+test('no caller gets the result of a run that started before its call', async () => {
   const shared = new SharedWork();
   for (let at = 0; at < 40; at += 1) {
-    const before = shared.begun;
+    const before = shared.startCount;
     const asked = shared.ask();
     void asked.then(number => {
-      assert.ok(number > before, `run ${number}, ${before} had begun`);
+      assert.ok(number > before, `run ${number}, ${before} had started`);
     });
     await shared.time.advance(1);
   }
   await shared.time.advance(100);
 });
 
-test('work runs again for who asks after its end', async () => {
+test('work runs again for a call after its end', async () => {
   const shared = new SharedWork();
   for (const number of [1, 2, 3]) {
     const asked = shared.ask();
@@ -89,7 +89,7 @@
   }
 });
 
-test('a failure reaches all who share the run, and the next one runs again', async () => {
+test('a failure reaches all callers of that run, and the next one runs again', async () => {
   const shared = new SharedWork();
   shared.failing.add(1);
   const asked = Promise.allSettled([shared.ask(), shared.ask()]);
@@ -101,7 +101,7 @@
   assert.equal(await again, 2);
 });
 
-test('who waits for the next run is not told that this one failed', async () => {
+test('callers that wait for the next run do not see a failure of the current one', async () => {
   const shared = new SharedWork();
   shared.failing.add(1);
   const first = Promise.allSettled([shared.ask()]);
@@ -115,7 +115,7 @@
   ]);
 });
 
-test('work runs again after a run that failed while others waited for the next', async () => {
+test('work runs again after a failed run while others waited for the next one', async () => {
   const shared = new SharedWork();
   shared.failing.add(1);
   const first = Promise.allSettled([shared.ask()]);
@@ -123,10 +123,10 @@
   const next = Promise.allSettled([shared.ask()]);
   await shared.time.advance(100);
   await Promise.all([first, next]);
-  const begun = shared.begun;
+  const startsBefore = shared.startCount;
   const [again] = await Promise.all([
     Promise.allSettled([shared.ask()]),
     shared.time.advance(100),
   ]);
-  assert.deepEqual(again, [{ status: 'fulfilled', value: begun + 1 }]);
+  assert.deepEqual(again, [{ status: 'fulfilled', value: startsBefore + 1 }]);
 });
--- a/packages/daemon/src/job-host/crashing-shapes.test.ts
+++ b/packages/daemon/src/job-host/crashing-shapes.test.ts
@@ -1,5 +1,5 @@
 /*
- * Pattern: a task that brings down each worker that starts it, in all shapes. Seen and told of in
+ * A task that crashes every worker that starts it, in many variations. The original failure is described in
  * crashing-tasks.test.ts.
  */
 import assert from 'node:assert/strict';
@@ -23,44 +23,47 @@
 } from './crashing-deployment.fixture.test.js';
 import type { Simulation } from './simulation.fixture.test.js';
 
-/** Time from a crash until a worker that starts again at once is back. */
-const SHORT_REVIVAL_MS = 30;
+/** Downtime of a worker that restarts immediately after a crash. */
+const SHORT_DOWNTIME_MS = 30;
 
-interface Shape {
+interface Variation {
   readonly name: string;
   readonly crasher: Crasher;
   readonly revivalMs?: number;
-  /** Tasks of the job that bring workers down. */
-  readonly crashers?: number;
-  readonly beside?: (site: Simulation) => void;
+  /** Number of tasks of the job that crash their workers. */
+  readonly crashingTasks?: number;
+  readonly runBeside?: (site: Simulation) => void;
 }
 
-const SHAPES: readonly Shape[] = [
+const VARIATIONS: readonly Variation[] = [
   { name: 'plain', crasher: crashingJob(10) },
   {
-    name: 'workers are away for long',
+    name: 'workers stay down for long',
     crasher: crashingJob(10),
     revivalMs: LONG_REVIVAL_MS,
   },
   {
     name: 'leaders are killed',
     crasher: crashingJob(10),
-    beside: site => void killLeaders(site, 5_000),
+    runBeside: site => void killLeaders(site, 5_000),
   },
   {
     name: 'leaders freeze',
     crasher: crashingJob(10),
-    beside: site => void freezeLeaders(site, 10_000, 3_000),
+    runBeside: site => void freezeLeaders(site, 10_000, 3_000),
   },
   {
     name: 'six in one step',
     crasher: crashingJob(10, { tasks: 6 }),
-    crashers: 6,
+    crashingTasks: 6,
   },
   { name: 'before the start is answered', crasher: crashingJob(0) },
   { name: 'long after the start', crasher: crashingJob(4_000) },
-  { name: 'lasting', crasher: crashingJob(900, { lasting: true }) },
-  { name: 'copies', crasher: crashingJob(10, { speculative: true }) },
+  { name: 'long-running', crasher: crashingJob(900, { lasting: true }) },
+  {
+    name: 'speculative copies',
+    crasher: crashingJob(10, { speculative: true }),
+  },
   {
     name: 'gang',
     crasher: {
@@ -74,17 +77,17 @@
     },
   },
   {
-    name: 'in a crowd',
+    name: 'among many short tasks',
     crasher: crashingJob(10),
-    beside: site => {
+    runBeside: site => {
       const steps = [{ tasks: 80, after: [] }];
       void site.submit(SHORT_TASKS_JOB, steps, { runMs: 2_000, failures: 0 });
     },
   },
 ];
 
-async function playShape(
-  shape: Shape,
+async function runVariation(
+  shape: Variation,
   seed: number,
   keepsIds = false,
 ): Promise<string[]> {
@@ -93,7 +96,7 @@
     shape.revivalMs ?? REVIVAL_MS,
     keepsIds,
   );
-  shape.beside?.(site);
+  shape.runBeside?.(site);
   const { steps, script } = shape.crasher;
   void site.submit(CRASHING_JOB, steps, script);
   await site.time.advance(WATCHED_MS);
@@ -104,43 +107,43 @@
       ({ guarantee: promise, detail }) => `${promise} ${detail.slice(0, 120)}`,
     );
   const crashes = history.workersCrashedBy(CRASHING_JOB);
-  if (crashes > MAX_CRASHES * (shape.crashers ?? 1)) {
+  if (crashes > MAX_CRASHES * (shape.crashingTasks ?? 1)) {
     found.push(`${crashes} workers lost`);
   }
-  // In the end it is over, and later forgotten.
-  const told = history
+  // The job is shown as failed in the end, and is removed later.
+  const states = history
     .reportedStates(CRASHING_JOB)
     .filter(at => at !== 'no_such_job');
-  if (told.at(-1) !== 'failed') {
-    found.push(`shown as ${told.join(', ')}`);
+  if (states.at(-1) !== 'failed') {
+    found.push(`shown as ${states.join(', ')}`);
   }
   if (history.runningOf(NEIGHBOUR_JOB) !== NEIGHBOUR_TASKS) {
-    found.push(`${history.runningOf(NEIGHBOUR_JOB)} lasting tasks run`);
+    found.push(`${history.runningOf(NEIGHBOUR_JOB)} long-running tasks run`);
   }
   if (history.jobs.has(SHORT_TASKS_JOB) && !history.isDone(SHORT_TASKS_JOB)) {
-    found.push('the crowd is not done');
+    found.push('the short tasks are not done');
   }
   return found.map(line => `${shape.name}, seed ${seed}: ${line}`);
 }
 
-test('a task that crashes its workers is given up', async () => {
+test('a task that crashes its workers is abandoned', async () => {
   const broken: string[] = [];
-  for (const shape of SHAPES) {
+  for (const shape of VARIATIONS) {
     for (const seed of SEEDS) {
-      broken.push(...(await playShape(shape, seed)));
+      broken.push(...(await runVariation(shape, seed)));
     }
   }
   assert.deepEqual(broken, []);
 });
 
-// Losses count by the start of a worker: one that has its id again is lost once more.
-test('a task that crashes its workers is given up where these start again under their ids', async () => {
+// Losses are counted per incarnation: a worker that restarts under its id can be lost again.
+test('a task that crashes its workers is abandoned if these restart under their ids', async () => {
   const broken: string[] = [];
-  for (const shape of SHAPES) {
-    broken.push(...(await playShape(shape, 4, true)));
+  for (const shape of VARIATIONS) {
+    broken.push(...(await runVariation(shape, 4, true)));
     for (const seed of SEEDS) {
-      const atOnce = { ...shape, revivalMs: SHORT_REVIVAL_MS };
-      broken.push(...(await playShape(atOnce, seed, true)));
+      const atOnce = { ...shape, revivalMs: SHORT_DOWNTIME_MS };
+      broken.push(...(await runVariation(atOnce, seed, true)));
     }
   }
   assert.deepEqual(broken, []);
--- a/packages/daemon/src/job-host/crashing-tasks.test.ts
+++ b/packages/daemon/src/job-host/crashing-tasks.test.ts
@@ -1,11 +1,9 @@
 /*
- * Seen: two tasks were started 32 and 24 times, each time on another worker, which crashed within 10 ms
- * of the start and took all that ran there along, until the operators' day was over. Their jobs were
- * shown as running all the while. How: a run that went with its worker ended as lapsed, as one does
- * whose worker is only out of reach, and its task waited to be started again. Cause: only runs that a
- * worker listed as failed were counted; what the leader knew of the loss ended with its log line. Proof:
- * `failures` was 0 on every run of such a task, within one epoch, beside `its runs are given up` with
- * `another life of the worker answered`; and all shapes below pass once losses are counted.
+ * Guards against a task that is restarted forever although it crashes its workers. Two tasks were started 32
+ * and 24 times, each time on another worker, which crashed within 10 ms of the start together with all its
+ * other runs. Their jobs were shown as running all day. A run that was lost with its worker ended as lapsed,
+ * as if the worker were only unreachable, and its task was queued again: only runs that a worker listed as
+ * failed were counted, so `failures` stayed 0. With losses counted, all variations below pass.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -29,29 +27,29 @@
 } from './crashing-deployment.fixture.test.js';
 import type { Simulation } from './simulation.fixture.test.js';
 
-/** Time after the last crash in which lasting tasks run again. */
-const CALM_MS = 20_000;
+/** Time after the last crash within which long-running tasks run again. */
+const RECOVERY_MS = 20_000;
 
-test('no task is given up that only stood on workers which crashed for other reasons', async () => {
+test('no task is abandoned that only ran on workers which crashed for other reasons', async () => {
   for (const seed of SEEDS) {
     const site = await deploymentWithNeighbours(seed);
     const { history, time } = site;
     await crashAtRandom(site);
-    await time.advance(CALM_MS);
+    await time.advance(RECOVERY_MS);
     assert.deepEqual(history.check(), []);
     assert.equal(history.runningOf(NEIGHBOUR_JOB), NEIGHBOUR_TASKS);
   }
 });
 
-test('a task is given up alone, though others arrived and were lost with it', async () => {
+test('only the crashing task is abandoned, although others arrived and were lost with it', async () => {
   for (const seed of SEEDS) {
     const site = await deploymentWithNeighbours(seed, REVIVAL_MS);
     const { history } = site;
     const others = ['00000000000000e1', '00000000000000e2', '00000000000000e3'];
     const { steps, script } = crashingJob(10);
-    const sound = { runMs: script.runMs, failures: 0 };
+    const healthy = { runMs: script.runMs, failures: 0 };
     for (const id of others) {
-      void site.submit(id, steps, sound);
+      void site.submit(id, steps, healthy);
     }
     void site.submit(CRASHING_JOB, steps, script);
     await site.time.advance(WATCHED_MS);
@@ -73,13 +71,14 @@
     void site.submit(CRASHING_JOB, steps, script);
     await site.time.advance(WATCHED_MS);
     assert.deepEqual(site.history.check(), []);
-    // Three beside it at its first two workers, for its later ones are its own: four cores each.
+    // Three neighbours at each of its first two workers, which have four cores; later workers are reserved
+    // for it.
     const lost = site.history.otherRunsLostWith(CRASHING_JOB);
     assert.ok(lost <= 2 * 3, `seed ${seed}: ${lost} lost beside it`);
   }
 });
 
-test('callers of all hosts are told why the job has failed, also by those that read the summary', async () => {
+test('callers of all hosts get the reason for the failure, also from hosts that read the summary', async () => {
   const site = await deploymentWithNeighbours(1, REVIVAL_MS);
   for (let at = 1; at <= 8; at += 1) {
     site.startHost(`s${at}`, 0.5);
@@ -96,12 +95,12 @@
   );
   await site.time.advance(1_000);
   const expected = { kind: 'known', status: 'failed', failure: 'workers_lost' };
-  for (const told of await Promise.all(asked)) {
-    assert.deepEqual(told, expected);
+  for (const answer of await Promise.all(asked)) {
+    assert.deepEqual(answer, expected);
   }
 });
 
-test('losses count though the journal is trimmed and all hosts are new', async () => {
+test('losses are still counted after the journal was trimmed and all hosts were replaced', async () => {
   for (const seed of SEEDS) {
     const site = await deploymentWithNeighbours(seed, LONG_REVIVAL_MS);
     const { steps, script } = crashingJob(10);
@@ -131,12 +130,12 @@
   });
 }
 
-/** Offset of the newest record that restates a job. */
+/** Offset of the last record that restates a job. */
 function lastRestated(site: Simulation, id: string): number {
   return imagesOf(site, id).findLastIndex(image => image !== undefined);
 }
 
-/** Whether the job is restated with a worker that was lost under its task. */
+/** Whether the job was restated with a worker that was lost under its task. */
 function restatedWithLoss(site: Simulation): boolean {
   return imagesOf(site, CRASHING_JOB).some(image => {
     const [, steps] = image?.occurrences[0] ?? [];
@@ -145,7 +144,7 @@
   });
 }
 
-test('nothing of a job begins once it is cancelled between two crashes', async () => {
+test('no task of a job starts after it is cancelled between two crashes', async () => {
   for (const seed of SEEDS) {
     const site = await deploymentWithNeighbours(seed, REVIVAL_MS);
     const { steps, script } = crashingJob(10);
@@ -164,7 +163,7 @@
   }
 });
 
-/** Crashes one worker after the other, with no task to blame: after `pauseMs` and up to `spreadMs` more. */
+/** Crashes random workers without a task causing it, at intervals of `pauseMs` plus up to `spreadMs`. */
 async function crashAtRandom(
   site: Simulation,
   pauseMs = 2_000,
@@ -183,54 +182,58 @@
 }
 
 /*
- * Seen with 2 of 40 seeds, these two. How: each run of one task is lost within some 10 s of its start, three
- * or five times on end. Cause: by chance in the one; in the other, how long a run has been at work is known
- * up to 4 s too low over a change of leaders. Proof: the leader's lines of these losses.
+ * Failed with 2 of 40 seeds, these two. Every run of one task is lost within some 10 s of its start, three or
+ * five times in a row: by chance with one seed. With the other, the run time of a run is underestimated by up
+ * to 4 s across a change of leaders, as the leader's log lines of these losses show.
  */
-test('no task is given up for crashes of its workers while leaders are killed', async () => {
-  const givenUp: number[] = [];
+test('no task is abandoned because its workers crash while leaders are killed', async () => {
+  const abandoned: number[] = [];
   for (const seed of [16, 30]) {
     const site = await deploymentWithNeighbours(seed);
     void killLeaders(site, 5_000);
     await crashAtRandom(site);
-    await site.time.advance(CALM_MS);
+    await site.time.advance(RECOVERY_MS);
     if (site.history.reportedStates(NEIGHBOUR_JOB).includes('failed')) {
-      givenUp.push(seed);
+      abandoned.push(seed);
     }
   }
-  assert.deepEqual(givenUp, []);
+  assert.deepEqual(abandoned, []);
 });
 
-/** Seeds that give a sound job up where every worker crashes each 13 s; with leaders killed, and without. */
-async function givenUpAmongCrashes(
+/**
+ * Returns the seeds with which a healthy job is abandoned while every worker crashes about each 13 s;
+ * optionally with leaders killed.
+ */
+async function seedsAbandonedAmongCrashes(
   seeds: readonly number[],
   killEveryMs?: number,
 ): Promise<number[]> {
-  const givenUp: number[] = [];
+  const abandoned: number[] = [];
   for (const seed of seeds) {
     const site = await deploymentWithNeighbours(seed);
     if (killEveryMs !== undefined) {
       void killLeaders(site, killEveryMs);
     }
     await crashAtRandom(site, 1_200, 2_000);
-    await site.time.advance(CALM_MS);
+    await site.time.advance(RECOVERY_MS);
     if (site.history.reportedStates(NEIGHBOUR_JOB).includes('failed')) {
-      givenUp.push(seed);
+      abandoned.push(seed);
     }
   }
-  return givenUp;
+  return abandoned;
 }
 
 /*
- * Seen with these 4 of 40 seeds. How: one task was lost five times within 5 s of its starts, at ages from 0 to
- * 4.5 s. Cause: losses counted alike whatever the age at which they came. Proof: a task that brings workers
- * down does so at one age; with ages told none of the 40 is given up.
+ * Failed with these 4 of 40 seeds. One task was lost five times within 5 s of its starts, at run times from 0
+ * to 4.5 s, and all losses counted alike whatever the run time. A task that crashes workers always does so at
+ * the same run time; with run times considered, no job is abandoned with any of the 40 seeds.
  */
-test('no task is given up though every worker crashes each 13 s', async () => {
-  assert.deepEqual(await givenUpAmongCrashes([8, 12, 34, 39]), []);
+test('no task is abandoned although every worker crashes each 13 s', async () => {
+  assert.deepEqual(await seedsAbandonedAmongCrashes([8, 12, 34, 39]), []);
 });
 
-// With leaders that start again at once the age of a run is not known: all losses may be at the same.
+// With leaders that restart at once the run time of a run is unknown, so that all losses may be at the same
+// run time.
 test('no task is given up though every worker crashes each 13 s and leaders are killed', async () => {
-  assert.deepEqual(await givenUpAmongCrashes([5, 8], 5_000), []);
+  assert.deepEqual(await seedsAbandonedAmongCrashes([5, 8], 5_000), []);
 });
--- a/packages/daemon/src/job-host/decision-log.test.ts
+++ b/packages/daemon/src/job-host/decision-log.test.ts
@@ -20,8 +20,8 @@
 const STEPS = [{ tasks: 1, after: [] }];
 const QUICK = { runMs: 400, failures: 0 };
 
-/** The log of a host that leads, on a log of jobs in memory. */
-class Leading {
+/** The decision log of a leader, on a job log in memory. */
+class LeaderLog {
   readonly time = createVirtualTime();
   readonly log = new MemoryJobLog({ ...this.time, random: () => 0.5 });
   readonly replica: Replica;
@@ -44,8 +44,8 @@
   }
 }
 
-test('what a leader has written is not read again', async () => {
-  const { time, replica, decisions } = new Leading();
+test('a leader does not read its own records again', async () => {
+  const { time, replica, decisions } = new LeaderLog();
   decisions.record({ kind: 'reached', worker: 'w' });
   const written = decisions.write();
   await time.advance(100);
@@ -53,11 +53,11 @@
   assert.equal(replica.nextOffset('journal'), 1);
 });
 
-test('what is written once a leader has been replaced is read', async () => {
-  const { time, log, replica, decisions } = new Leading();
+test('records written before a leader was replaced are read after it', async () => {
+  const { time, log, replica, decisions } = new LeaderLog();
   decisions.record({ kind: 'reached', worker: 'w' });
   const written = decisions.write();
-  // The append is under way.
+  // The append is in flight.
   decisions.close();
   replica.reset();
   await time.advance(100);
@@ -73,8 +73,8 @@
   assert.ok(replica.state.reachedInEpoch.has('w'));
 });
 
-test('a decision that is not recorded when the log is closed never will be', async () => {
-  const { time, decisions } = new Leading();
+test('a decision that is not recorded when the log is closed is never recorded', async () => {
+  const { time, decisions } = new LeaderLog();
   const outcomes: boolean[] = [];
   decisions.record({ kind: 'reached', worker: 'w' }, written => {
     outcomes.push(written);
@@ -85,8 +85,8 @@
   await time.advance(100);
 });
 
-test('what a leader has decided is not taken in again by a read that is under way', async () => {
-  const { time, log, replica, decisions } = new Leading();
+test("a read in flight does not apply a leader's decision a second time", async () => {
+  const { time, log, replica, decisions } = new LeaderLog();
   const submitted: InboxRecord = {
     kind: 'submit',
     job: jobOf(JOB, STEPS, QUICK),
@@ -100,7 +100,7 @@
   const task = { job: JOB, occurrence: 0, step: 0, index: 0 };
   decisions.record({ kind: 'start', task, run: 1, worker: 'w' });
   const written = decisions.write();
-  // Asked for while the host did not lead yet, and answered once the append is in the log.
+  // Sent before the host leads, and answered once the append is in the log.
   const read = replica.refresh('journal');
   await time.advance(100);
   assert.equal(await written, true);
--- a/packages/daemon/src/job-host/fleet.ts
+++ b/packages/daemon/src/job-host/fleet.ts
@@ -164,7 +164,10 @@
 
   private applyEntry(info: WorkerInfo): void {
     const current = this.linkToCurrent(info.id);
-    if (current === undefined || this.isNewer(info.id, current.info.id)) {
+    if (
+      current === undefined ||
+      this.isNewerIncarnation(info.id, current.info.id)
+    ) {
       this.noteLeaving(info, current !== undefined);
       this.registeredIncarnations.add(info.id);
       this.openLink(info);
@@ -179,7 +182,7 @@
   }
 
   /** Whether a registry entry names a newer incarnation than the known one; entries may be outdated. */
-  private isNewer(entryId: string, currentId: string): boolean {
+  private isNewerIncarnation(entryId: string, currentId: string): boolean {
     const entryStart = startTimeOf(entryId) ?? -Infinity;
     const currentStart = startTimeOf(currentId) ?? -Infinity;
     const isReplaced =
--- a/packages/daemon/src/job-host/handed-over-leases.test.ts
+++ b/packages/daemon/src/job-host/handed-over-leases.test.ts
@@ -1,12 +1,12 @@
 /*
- * Seen: lasting tasks whose worker was gone, replaced as announced or crashed, stayed away for 10 to
- * 16 s, with room for them all the while; users allow 9 s. How: hosts were restarted one after the
- * other meanwhile, so that leaders changed. Cause: a new leader knew nothing of the leases that earlier
- * ones had given. At its first contact it took the longest lease that the worker accepts, 10 s there,
- * for given, though leaders give 5 s; a worker that it never saw it gave up 9.2 s after its claim, also
- * where the earlier leader had stopped in good order, or had known for seconds that the worker was
- * silent. Simulated workers accepted 6 s at most, which hid the first. Proof: on a site of 10 s all
- * tasks run again within the times below, and no task runs twice where the worker is only out of reach.
+ * Guards against tasks that stay unavailable when leaders change while a worker is lost. Long-running tasks
+ * whose worker was removed, replaced as announced or crashed were unavailable for 10 to 16 s despite free
+ * capacity; users tolerate 9 s. Hosts were restarted one after the other meanwhile, and a new leader knew
+ * nothing about the leases of earlier ones. At its first contact it assumed the longest lease that the worker
+ * accepts, 10 s there, though leaders grant 5 s. A worker that it never reached was abandoned 9.2 s after its
+ * claim, even if the earlier leader had stopped gracefully or had known for seconds that the worker was
+ * unresponsive. Simulated workers accepted at most 6 s, which hid the first fault. With 10 s, all tasks must
+ * run again within the times below, and no task may run twice if the worker is only unreachable.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -25,22 +25,24 @@
 const SEEDS = [1, 2, 3];
 /** How long a host that stops waits for the next leader. */
 const HAND_OVER_MS = 3_000;
-/** Time after which a stopped host is there again. */
+/** Time after which a stopped host restarts. */
 const RESTART_MS = 500;
-/** Time in which a change of the leader is over. */
+/** Time within which a change of the leader is complete. */
 const CHANGE_MS = 5_000;
-/** Time in which a leader has noticed and recorded that a worker is silent; its lease lasts longer. */
-const SILENT_MS = 2_500;
-/** Time from the worker's return to the loss of the log: the leader looks again before it, or after. */
+/**
+ * Time within which a leader has noticed and recorded that a worker is unresponsive; shorter than its lease.
+ */
+const UNRESPONSIVE_MS = 2_500;
+/** Time from the worker's return to the loss of the log: the leader polls again before it, or after. */
 const ANSWER_LEADS: readonly Millis[] = [0, 200, 400, 600, 800];
 /** Time from the record that a leader reached a worker to its loss: before the first lease, or after. */
 const REACHED_LEADS: readonly Millis[] = [0, 100, 1_200];
-/** How long a time away is measured: longer than any that was seen. */
-const LONGEST_AWAY_MS = 25_000;
-/** Time in which every lease ends, whoever gave it, and the tasks begin elsewhere. */
-const CALM_MS = 20_000;
+/** Limit of the measured unavailability: longer than any observed. */
+const MAX_UNAVAILABLE_MS = 25_000;
+/** Time within which every lease ends, whoever granted it, and the tasks start elsewhere. */
+const RECOVERY_MS = 20_000;
 
-/** Stops the leader in good order: its process ends once another host leads. */
+/** Stops the leader gracefully: its process ends once another host leads. */
 async function stopLeader(site: Simulation): Promise<string> {
   const name = site.leader();
   await site.hosts.get(name)?.host.handOver(HAND_OVER_MS);
@@ -48,7 +50,7 @@
   return name;
 }
 
-/** The same, and the host is there again soon after. */
+/** Stops the leader gracefully and restarts the host soon after. */
 async function restartLeader(site: Simulation): Promise<void> {
   const name = await stopLeader(site);
   await site.wait(RESTART_MS);
@@ -60,7 +62,7 @@
 }
 
 /** Calls `change` at each of `times` from now. */
-function changeAt(
+function applyAt(
   site: Simulation,
   times: readonly Millis[],
   change: (site: Simulation) => unknown,
@@ -72,20 +74,20 @@
   }
 }
 
-/** Ends w1, and all tasks with it. */
+/** Crashes w1 together with all tasks. */
 function crash(site: Simulation): void {
   site.fleet.crash('w1');
   assert.equal(site.history.runningOf(LONG_RUNNING_JOB), 0);
 }
 
-/** Cuts w1 off from `hosts`: it runs on under its lease. */
+/** Cuts w1 off from `hosts`; it continues under its lease. */
 function cutOff(site: Simulation, hosts: readonly string[]): void {
   for (const host of hosts) {
     site.fleet.cuts.add(`${host}>w1`);
   }
 }
 
-/** Leaves `name` without the log, and all others without w1. */
+/** Cuts `name` off from the log, and all other hosts from w1. */
 function isolate(site: Simulation, name: string): void {
   cutOff(
     site,
@@ -109,13 +111,15 @@
 
 /** Advances until the host that claimed last has recorded that it reached w1. */
 function untilReached(site: Simulation): Promise<void> {
-  const life = site.fleet.at('w1')?.traits.id;
+  const incarnation = site.fleet.at('w1')?.traits.id;
   return site.time.until(() => {
     const records = site.log.recordsOf('journal').map(decodeJournal);
     const claim = records.findLastIndex(record => record?.kind === 'claim');
     return records
       .slice(claim)
-      .some(record => record?.kind === 'reached' && record.worker === life);
+      .some(
+        record => record?.kind === 'reached' && record.worker === incarnation,
+      );
   }, CHANGE_MS);
 }
 
@@ -127,55 +131,60 @@
   await untilReached(site);
 }
 
-/** Advances until all tasks run; returns how long that took. */
-async function timeAway(site: Simulation): Promise<Millis> {
+/** Advances until all tasks run, and returns how long that took. */
+async function timeUntilAllRun(site: Simulation): Promise<Millis> {
   const from = site.time.clock();
   const back = (): boolean =>
     site.history.runningOf(LONG_RUNNING_JOB) === LONG_RUNNING_TASKS;
-  await site.time.until(back, LONGEST_AWAY_MS);
+  await site.time.until(back, MAX_UNAVAILABLE_MS);
   return Math.round(site.time.clock() - from);
 }
 
-/** Tells where the tasks were away for longer than `withinMs`; fails where they do not stay after that. */
-async function tellIfLate(
+/**
+ * Returns a message if the tasks were unavailable for longer than `withinMs`; fails if they do not keep
+ * running after that.
+ */
+async function reportIfLate(
   site: Simulation,
   withinMs: Millis,
   name: string,
 ): Promise<string[]> {
-  const away = await timeAway(site);
+  const unavailableMs = await timeUntilAllRun(site);
   await assertNoneTwice(site);
-  return away > withinMs ? [`${name}: away for ${away} ms`] : [];
+  return unavailableMs > withinMs
+    ? [`${name}: unavailable for ${unavailableMs} ms`]
+    : [];
 }
 
-/** Fails where a task runs in two places, or does not run in the end. */
+/** Fails if a task runs in two places, or does not run in the end. */
 async function assertNoneTwice(site: Simulation): Promise<void> {
-  await site.time.advance(CALM_MS);
+  await site.time.advance(RECOVERY_MS);
   assert.equal(site.history.runningOf(LONG_RUNNING_JOB), LONG_RUNNING_TASKS);
   assert.deepEqual(site.history.check(), []);
 }
 
-test('tasks are back in time from a worker that the next leader reached', async () => {
+test('tasks of a worker that the next leader reached run again in time', async () => {
   const late: string[] = [];
   for (const seed of SEEDS) {
     const site = await deploymentWithLongRunningJob(seed, HOSTS);
     await handOverW1(site);
     await site.time.advance(700);
     crash(site);
-    late.push(...(await tellIfLate(site, 7_500, `seed ${seed}`)));
+    late.push(...(await reportIfLate(site, 7_500, `seed ${seed}`)));
   }
   assert.deepEqual(late, []);
 });
 
-/** How leaders change, counted from the loss of w1. */
-interface Changes {
+/** Changes of leaders, at times counted from the loss of w1. */
+interface LeaderChanges {
   readonly name: string;
   readonly times: readonly Millis[];
   readonly change: (site: Simulation) => unknown;
-  /** Longest time away once w1 has crashed. */
+  /** Maximum unavailability after a crash of w1. */
   readonly withinMs: Millis;
 }
 
-const STOPS: readonly Changes[] = [
+const STOPS: readonly LeaderChanges[] = [
   {
     name: 'the leader stops soon after',
     times: [300],
@@ -196,7 +205,7 @@
   },
 ];
 
-const KILLS: readonly Changes[] = [
+const KILLS: readonly LeaderChanges[] = [
   {
     name: 'the leader is killed soon after',
     times: [300],
@@ -211,22 +220,24 @@
   },
 ];
 
-test('tasks of a crashed worker are back in time though leaders stop', async () => {
+test('tasks of a crashed worker run again in time although leaders stop', async () => {
   assert.deepEqual(await lateAfter(STOPS), []);
 });
 
-test('tasks of a crashed worker are back in time though leaders are killed', async () => {
+test('tasks of a crashed worker run again in time although leaders are killed', async () => {
   assert.deepEqual(await lateAfter(KILLS), []);
 });
 
-async function lateAfter(cases: readonly Changes[]): Promise<string[]> {
+async function lateAfter(cases: readonly LeaderChanges[]): Promise<string[]> {
   const late: string[] = [];
   for (const { name, times, change, withinMs } of cases) {
     for (const seed of SEEDS) {
       const site = await deploymentWithLongRunningJob(seed, HOSTS);
       crash(site);
-      changeAt(site, times, change);
-      late.push(...(await tellIfLate(site, withinMs, `${name}, seed ${seed}`)));
+      applyAt(site, times, change);
+      late.push(
+        ...(await reportIfLate(site, withinMs, `${name}, seed ${seed}`)),
+      );
     }
   }
   return late;
@@ -234,19 +245,19 @@
 
 for (const { name, times, change } of [...STOPS, ...KILLS]) {
   for (const seed of SEEDS) {
-    test(`w1 is out of reach and ${name}, seed ${seed}`, async () => {
+    test(`w1 is unreachable and ${name}, seed ${seed}`, async () => {
       const site = await deploymentWithLongRunningJob(seed, HOSTS);
       cutOff(site, HOSTS);
-      changeAt(site, times, change);
+      applyAt(site, times, change);
       await assertNoneTwice(site);
     });
   }
 }
 
 for (const seed of SEEDS) {
-  // The lease that the earlier leader gave last has nearly all of its time left.
+  // The lease that the earlier leader granted last has nearly all of its time left.
   for (const lead of REACHED_LEADS) {
-    test(`w1 is out of reach ${lead} ms after a leader that was handed over to reached it, seed ${seed}`, async () => {
+    test(`w1 becomes unreachable ${lead} ms after the next leader reached it in a handover, seed ${seed}`, async () => {
       const site = await deploymentWithLongRunningJob(seed, HOSTS);
       await handOverW1(site);
       await site.time.advance(lead);
@@ -261,8 +272,8 @@
     await assertNoneTwice(site);
   });
 
-  // It does not learn of the claim that follows its release, and goes on until its own lease ends.
-  test(`only a leader that was to stop reaches w1, seed ${seed}`, async () => {
+  // The leader does not learn of the claim that follows its release, and continues until its own lease ends.
+  test(`only a leader that was asked to stop reaches w1, seed ${seed}`, async () => {
     const site = await deploymentWithLongRunningJob(seed, HOSTS);
     const name = site.leader();
     void site.hosts.get(name)?.host.handOver(HAND_OVER_MS);
@@ -272,13 +283,13 @@
     await assertNoneTwice(site);
   });
 
-  // That the worker answers again may come too late to be recorded.
+  // The return of the worker may be too late to be recorded.
   for (const lead of ANSWER_LEADS) {
-    test(`w1 answers its leader again ${lead} ms before that loses the log, seed ${seed}`, async () => {
+    test(`w1 answers its leader again ${lead} ms before that leader loses the log, seed ${seed}`, async () => {
       const site = await deploymentWithLongRunningJob(seed, HOSTS);
       const name = site.leader();
       cutOff(site, HOSTS);
-      await site.time.advance(SILENT_MS);
+      await site.time.advance(UNRESPONSIVE_MS);
       site.fleet.cuts.delete(`${name}>w1`);
       await site.time.advance(lead);
       site.log.hostModes.set(name, 'silent');
@@ -286,12 +297,12 @@
     });
   }
 
-  // What the earlier leader knew of the silent worker holds no more.
+  // What the earlier leader recorded about the unresponsive worker no longer applies.
   for (const lead of REACHED_LEADS) {
     test(`w1 is lost ${lead} ms after the next leader reached it, seed ${seed}`, async () => {
       const site = await deploymentWithLongRunningJob(seed, HOSTS);
       cutOff(site, [site.leader()]);
-      await site.time.advance(SILENT_MS);
+      await site.time.advance(UNRESPONSIVE_MS);
       const before = site.leader();
       site.kill(before);
       await untilClaimed(site, before);
--- a/packages/daemon/src/job-host/leader-leases.ts
+++ b/packages/daemon/src/job-host/leader-leases.ts
@@ -115,10 +115,10 @@
   }
 
   private abandonUnregistered(worker: string): void {
-    const { ctx, state, onRunsAbandoned: givenUp } = this.options;
+    const { ctx, state, onRunsAbandoned } = this.options;
     const runs = [...(state.workers.get(worker)?.runs.values() ?? [])];
     logAbandonedRuns(ctx, worker, runs, 'unregistered');
-    givenUp(worker, runs);
+    onRunsAbandoned(worker, runs);
   }
 
   /** How long leases of this leader may hold after a record that is written now. */
--- a/packages/daemon/src/job-host/lease-ends.test.ts
+++ b/packages/daemon/src/job-host/lease-ends.test.ts
@@ -10,10 +10,10 @@
   DEFAULT_MAX_LEASE_AFTER_LAST_RECORD_MS,
 } from './timing.js';
 
-/** How long a leader says that its leases hold after each of its records. */
-const HELD_MS = Math.ceil(MAX_LEASE_AFTER_LAST_RECORD_MS);
+/** How long a leader reports that its leases hold after each of its records. */
+const MAX_LEASE_MS = Math.ceil(MAX_LEASE_AFTER_LAST_RECORD_MS);
 const NOBODY: LeaseHandover = { epochs: [], workers: [] };
-const LEARNT: JournalRecord = {
+const LEARNED: JournalRecord = {
   kind: 'learnt',
   learnt: { runTimes: [], pressures: [], lowTails: [] },
 } as unknown as JournalRecord;
@@ -34,103 +34,103 @@
   return { kind: 'heartbeat', ...leader, handed, standbys: undefined };
 }
 
-/** A host reads that another one leads: its claim, and its first heartbeat with what it hands on. */
-function noteLeader(
+/** Applies the claim of another leader, and its first heartbeat with the leases that it hands over. */
+function applyLeader(
   ends: LeaseEnds,
   epoch: number,
   now: Instant,
   { epochs, workers }: LeaseHandover = NOBODY,
 ): void {
-  const own = [epoch, HELD_MS] as const;
+  const own = [epoch, MAX_LEASE_MS] as const;
   ends.applyRecord(claim(epoch), epoch, now);
   const handed = { epochs: [...epochs, own], workers };
   ends.applyRecord(heartbeat(epoch, handed), epoch, now);
 }
 
-/** What a host knows that has read the journal from its beginning. */
+/** Lease ends of a host that has read the journal from its beginning. */
 function endsFromBeginning(): LeaseEnds {
   const ends = new LeaseEnds();
   ends.noteBeginning();
   return ends;
 }
 
-test('leases of a leader end a time after its last record', () => {
+test('leases of a leader end a fixed time after its last record', () => {
   const ends = endsFromBeginning();
-  noteLeader(ends, 1, 100);
-  ends.applyRecord(LEARNT, 1, 900);
-  noteLeader(ends, 2, 2_400, { epochs: [[1, 9_000]], workers: [] });
-  assert.equal(ends.endFor('w', 1), 900 + HELD_MS);
+  applyLeader(ends, 1, 100);
+  ends.applyRecord(LEARNED, 1, 900);
+  applyLeader(ends, 2, 2_400, { epochs: [[1, 9_000]], workers: [] });
+  assert.equal(ends.endFor('w', 1), 900 + MAX_LEASE_MS);
 });
 
 test('leases of the newest leader have no end', () => {
   const ends = endsFromBeginning();
-  noteLeader(ends, 1, 100);
+  applyLeader(ends, 1, 100);
   assert.equal(ends.endFor('w', 1), Infinity);
 });
 
-test('leases of a leader that releases the lead end with the last that it gave', () => {
+test('leases of a leader that releases the lead end with those that it granted last', () => {
   const ends = endsFromBeginning();
-  noteLeader(ends, 1, 100);
+  applyLeader(ends, 1, 100);
   ends.applyRecord({ kind: 'release', heldMs: 5_200 }, 1, 1_000);
-  ends.applyRecord(LEARNT, 1, 1_400);
-  noteLeader(ends, 2, 1_500, { epochs: [[1, 9_000]], workers: [] });
+  ends.applyRecord(LEARNED, 1, 1_400);
+  applyLeader(ends, 2, 1_500, { epochs: [[1, 9_000]], workers: [] });
   assert.equal(ends.endFor('w', 1), 6_200);
 });
 
-test('a release that says no time ends nothing sooner', () => {
+test('a release without a time ends no lease sooner', () => {
   const ends = endsFromBeginning();
-  noteLeader(ends, 1, 100);
+  applyLeader(ends, 1, 100);
   ends.applyRecord({ kind: 'release', heldMs: undefined }, 1, 1_000);
-  ends.applyRecord(LEARNT, 1, 1_400);
-  noteLeader(ends, 2, 1_500, { epochs: [[1, 9_000]], workers: [] });
-  assert.equal(ends.endFor('w', 1), 1_400 + HELD_MS);
+  ends.applyRecord(LEARNED, 1, 1_400);
+  applyLeader(ends, 2, 1_500, { epochs: [[1, 9_000]], workers: [] });
+  assert.equal(ends.endFor('w', 1), 1_400 + MAX_LEASE_MS);
 });
 
-test('a host that starts anew takes over what is left', () => {
-  const [old, anew] = [endsFromBeginning(), new LeaseEnds()];
-  noteLeader(old, 1, 100.7);
-  noteLeader(old, 2, 2_000, { epochs: [[1, 9_000]], workers: [] });
-  const handed = old.leasesToHandOver(2, HELD_MS, 3_000);
+test('a restarted host takes over the remaining times', () => {
+  const [running, restarted] = [endsFromBeginning(), new LeaseEnds()];
+  applyLeader(running, 1, 100.7);
+  applyLeader(running, 2, 2_000, { epochs: [[1, 9_000]], workers: [] });
+  const handed = running.leasesToHandOver(2, MAX_LEASE_MS, 3_000);
   assert.ok(handed);
-  anew.applyRecord(claim(1), 1, 10_000);
-  anew.applyRecord(claim(2), 2, 10_000);
-  anew.applyRecord(heartbeat(2, handed), 2, 10_000);
-  const left = 100.7 + HELD_MS - 3_000;
-  const end = anew.endFor('w', 1);
+  restarted.applyRecord(claim(1), 1, 10_000);
+  restarted.applyRecord(claim(2), 2, 10_000);
+  restarted.applyRecord(heartbeat(2, handed), 2, 10_000);
+  const left = 100.7 + MAX_LEASE_MS - 3_000;
+  const end = restarted.endFor('w', 1);
   assert.ok(end >= 10_000 + left && end < 10_001 + left, String(end));
 });
 
-test('what a host has known for longer than another tells holds', () => {
+test('a shorter remaining time that a host knows itself takes precedence', () => {
   const ends = endsFromBeginning();
-  noteLeader(ends, 1, 100);
-  noteLeader(ends, 2, 200, { epochs: [[1, 20_000]], workers: [] });
-  assert.equal(ends.endFor('w', 1), 100 + HELD_MS);
-});
-
-test('what is told is never too early, however late it is read', () => {
-  for (const told of [1_000, 777.7, 2_500.3]) {
-    for (const way of [0, 0.4, 20]) {
-      const [old, anew] = [endsFromBeginning(), new LeaseEnds()];
-      noteLeader(old, 1, 100.7);
-      noteLeader(old, 2, 500.2, { epochs: [[1, 9_000]], workers: [] });
-      anew.applyRecord(
-        heartbeat(2, old.leasesToHandOver(2, HELD_MS, told)),
+  applyLeader(ends, 1, 100);
+  applyLeader(ends, 2, 200, { epochs: [[1, 20_000]], workers: [] });
+  assert.equal(ends.endFor('w', 1), 100 + MAX_LEASE_MS);
+});
+
+test('reported ends are never too early, however late they are read', () => {
+  for (const reportedAt of [1_000, 777.7, 2_500.3]) {
+    for (const delayMs of [0, 0.4, 20]) {
+      const [running, restarted] = [endsFromBeginning(), new LeaseEnds()];
+      applyLeader(running, 1, 100.7);
+      applyLeader(running, 2, 500.2, { epochs: [[1, 9_000]], workers: [] });
+      restarted.applyRecord(
+        heartbeat(2, running.leasesToHandOver(2, MAX_LEASE_MS, reportedAt)),
         2,
-        told + way,
+        reportedAt + delayMs,
       );
-      assert.ok(anew.endFor('w', 1) >= old.endFor('w', 1));
+      assert.ok(restarted.endFor('w', 1) >= running.endFor('w', 1));
     }
   }
 });
 
-test('leaders that are not told of have no lease that holds', () => {
+test('leases of leaders that are not reported have expired', () => {
   const ends = new LeaseEnds();
-  noteLeader(ends, 7, 1_000, { epochs: [[6, 3_000]], workers: [] });
+  applyLeader(ends, 7, 1_000, { epochs: [[6, 3_000]], workers: [] });
   assert.equal(ends.endFor('w', 6), 4_000);
   assert.ok(ends.endFor('w', 5) <= 1_000);
 });
 
-test('a host that does not know of all leaders hands nothing on', () => {
+test('a host that may not know all leaders hands nothing over', () => {
   const ends = new LeaseEnds();
   assert.equal(ends.leasesToHandOver(8, 0, 0), undefined);
   ends.applyRecord(claim(7), 7, 1_000);
@@ -144,86 +144,87 @@
   );
 });
 
-test('leases of a leader that says nothing of them hold the longest', () => {
+test('leases of a leader that does not report them hold for the maximum time', () => {
   const ends = endsFromBeginning();
   ends.applyRecord(claim(1), 1, 100);
-  noteLeader(ends, 2, 200, { epochs: [[1, 20_000]], workers: [] });
+  applyLeader(ends, 2, 200, { epochs: [[1, 20_000]], workers: [] });
   assert.equal(
     ends.endFor('w', 1),
     100 + DEFAULT_MAX_LEASE_AFTER_LAST_RECORD_MS,
   );
 });
 
-test('a leader that hands nothing on leaves what is known of earlier ones', () => {
+test('a leader that hands nothing over leaves the known ends of earlier ones', () => {
   const ends = endsFromBeginning();
-  noteLeader(ends, 1, 100);
+  applyLeader(ends, 1, 100);
   ends.applyRecord(claim(2), 2, 200);
-  assert.equal(ends.endFor('w', 1), 100 + HELD_MS);
+  assert.equal(ends.endFor('w', 1), 100 + MAX_LEASE_MS);
 });
 
-test('the lease of a silent worker ends when the leader says, whoever leads next', () => {
+test('the lease of an unresponsive worker ends as reported, whoever leads next', () => {
   const ends = endsFromBeginning();
-  noteLeader(ends, 1, 100);
+  applyLeader(ends, 1, 100);
   const workers = [['w', 3_000]] as const;
   ends.applyRecord(heartbeat(1, { epochs: [[1, 7_700]], workers }), 1, 1_000);
-  noteLeader(ends, 2, 2_000, { epochs: [[1, 7_700]], workers });
+  applyLeader(ends, 2, 2_000, { epochs: [[1, 7_700]], workers });
   assert.equal(ends.endFor('w', 1), 4_000);
   assert.equal(ends.endFor('v', 1), 8_700);
 });
 
-test('a worker that was reached since is silent no more', () => {
+test('a worker that was reached since is no longer unresponsive', () => {
   const ends = endsFromBeginning();
-  noteLeader(ends, 1, 100);
+  applyLeader(ends, 1, 100);
   const workers = [['w', 3_000]] as const;
   ends.applyRecord(heartbeat(1, { epochs: [], workers }), 1, 1_000);
   ends.applyRecord({ kind: 'reached', worker: 'w' }, 1, 1_500);
-  noteLeader(ends, 2, 1_600, { epochs: [[1, 9_000]], workers: [] });
-  assert.equal(ends.endFor('w', 1), 1_500 + HELD_MS);
+  applyLeader(ends, 2, 1_600, { epochs: [[1, 9_000]], workers: [] });
+  assert.equal(ends.endFor('w', 1), 1_500 + MAX_LEASE_MS);
 });
 
-test('a worker that the leader does not name any more answers it', () => {
+test('a worker that the leader no longer reports answers it', () => {
   const ends = endsFromBeginning();
-  noteLeader(ends, 1, 100);
+  applyLeader(ends, 1, 100);
   const workers = [['w', 3_000]] as const;
   ends.applyRecord(heartbeat(1, { epochs: [], workers }), 1, 1_000);
   ends.applyRecord(heartbeat(1, NOBODY), 1, 2_000);
-  noteLeader(ends, 2, 2_100, { epochs: [[1, 9_000]], workers: [] });
-  assert.equal(ends.endFor('w', 1), 2_000 + HELD_MS);
+  applyLeader(ends, 2, 2_100, { epochs: [[1, 9_000]], workers: [] });
+  assert.equal(ends.endFor('w', 1), 2_000 + MAX_LEASE_MS);
 });
 
-test('a host that reads the journal once more knows what it knew', () => {
+test('reading the journal again changes nothing', () => {
   const ends = endsFromBeginning();
-  noteLeader(ends, 1, 100);
-  noteLeader(ends, 2, 200, { epochs: [[1, 7_700]], workers: [] });
-  noteLeader(ends, 3, 300, { epochs: [[2, 9_700]], workers: [] });
-  noteLeader(ends, 1, 9_000);
-  noteLeader(ends, 2, 9_000);
-  assert.equal(ends.endFor('w', 2), 200 + HELD_MS);
+  applyLeader(ends, 1, 100);
+  applyLeader(ends, 2, 200, { epochs: [[1, 7_700]], workers: [] });
+  applyLeader(ends, 3, 300, { epochs: [[2, 9_700]], workers: [] });
+  applyLeader(ends, 1, 9_000);
+  applyLeader(ends, 2, 9_000);
+  assert.equal(ends.endFor('w', 2), 200 + MAX_LEASE_MS);
   assert.ok(ends.endFor('w', 1) <= 300);
 });
 
-test('ends are told in whole milliseconds, never less than there is', () => {
+test('ends are reported in whole milliseconds, never too early', () => {
   const ends = endsFromBeginning();
-  noteLeader(ends, 1, 100.3);
-  const left = ends.leasesToHandOver(2, HELD_MS, 1_000)?.epochs[0]?.[1] ?? 0;
+  applyLeader(ends, 1, 100.3);
+  const left =
+    ends.leasesToHandOver(2, MAX_LEASE_MS, 1_000)?.epochs[0]?.[1] ?? 0;
   assert.ok(Number.isInteger(left));
-  assert.ok(left >= 100.3 + HELD_MS - 1_000);
+  assert.ok(left >= 100.3 + MAX_LEASE_MS - 1_000);
 });
 
-test('leases that have ended are told no more', () => {
+test('expired leases are no longer reported', () => {
   const ends = endsFromBeginning();
-  noteLeader(ends, 1, 100);
-  const handed = ends.leasesToHandOver(2, HELD_MS, 100 + HELD_MS);
-  assert.deepEqual(handed, { epochs: [[2, HELD_MS]], workers: [] });
+  applyLeader(ends, 1, 100);
+  const handed = ends.leasesToHandOver(2, MAX_LEASE_MS, 100 + MAX_LEASE_MS);
+  assert.deepEqual(handed, { epochs: [[2, MAX_LEASE_MS]], workers: [] });
 });
 
-test('the lease of a silent worker that has ended is told on', () => {
+test('the expired lease of an unresponsive worker is still reported', () => {
   const ends = endsFromBeginning();
-  noteLeader(ends, 1, 100);
+  applyLeader(ends, 1, 100);
   const handed: LeaseHandover = { epochs: [[1, 7_700]], workers: [['w', 500]] };
   ends.applyRecord(heartbeat(1, handed), 1, 1_000);
-  const claimed = ends.leasesToHandOver(2, HELD_MS, 3_000);
+  const claimed = ends.leasesToHandOver(2, MAX_LEASE_MS, 3_000);
   assert.deepEqual(claimed?.workers, [['w', 0]]);
-  noteLeader(ends, 2, 3_000, claimed);
+  applyLeader(ends, 2, 3_000, claimed);
   assert.equal(ends.endFor('w', 1), 1_500);
 });
--- a/packages/daemon/src/job-host/leaving-log.test.ts
+++ b/packages/daemon/src/job-host/leaving-log.test.ts
@@ -6,7 +6,7 @@
 
 import { LeavingLog } from './leaving-log.js';
 
-/** Tells rounds in which runs on worker `w` stay for these reasons; returns what the lines say. */
+/** Logs rounds in which runs on worker `w` stay for the given reasons; returns the contents of the lines. */
 function linesOf(rounds: readonly (readonly StayReason[])[]): unknown[] {
   const lines: unknown[] = [];
   const write = (line: string): void => {
@@ -21,13 +21,13 @@
   return lines;
 }
 
-test('tells how many lasting tasks stay on a worker, by why they do', () => {
+test('logs the number of long-running tasks that stay on a worker, by reason', () => {
   assert.deepEqual(linesOf([['no_room', 'stopping', 'no_room']]), [
     ['w', { no_room: 2, stopping: 1 }],
   ]);
 });
 
-test('tells so again only when it changes', () => {
+test('logs again only after a change', () => {
   const full: StayReason[] = ['no_room'];
   const rounds = [full, full, ['stopping'], ['stopping'], [], [], full];
   assert.equal(linesOf(rounds as StayReason[][]).length, 3);
--- a/packages/daemon/src/job-host/orders.fixture.test.ts
+++ b/packages/daemon/src/job-host/orders.fixture.test.ts
@@ -1,4 +1,4 @@
-/** A worker that answers orders as a test says, and the runs that are ordered there. */
+/** A stub worker whose answers to orders are set by a test, and the runs that are ordered there. */
 import type { Instant, Millis } from '@paddlewind/domain';
 import {
   applyInbox,
@@ -35,7 +35,7 @@
 
 const ACCEPTED: OrderResult = { kind: 'accepted', clock: 0 };
 
-/** The worker to which orders go. */
+/** The worker that receives the orders. */
 export const ORDERED_WORKER: WorkerInfo = {
   id: 'w',
   address: 'w',
@@ -47,35 +47,36 @@
   leaving: false,
 };
 
-/** A job whose tasks run on one worker, and what was ordered there. */
-export class StubWorkerSite {
+/** A job whose tasks run on one worker, and a record of the orders sent there. */
+export class StubWorker {
   readonly time = createVirtualTime();
   readonly state = emptyJobsState();
   readonly ctx: HostContext = testContext(this.time);
   /** Orders that were sent, such as `start 0#1` and `throttle 0#1 50`. */
   readonly sent: string[] = [];
-  /** Ends that were told, such as `0#1 void`. */
+  /** Ends that were reported, such as `0#1 void`. */
   readonly ended: string[] = [];
-  /** Looks that were sent. */
+  /** Polls that were sent. */
   readonly polls: PollRequest[] = [];
   /** Ends that the worker lists until they are acknowledged. */
   readonly listed: EndedRun[] = [];
-  /** What the worker's answers tell of its start. */
+  /** Start time that the worker includes in its answers. */
   startedAt: Instant | undefined;
-  /** Incarnations that answered in place of the one that was looked at. */
+  /** Incarnations that answered in place of the polled one. */
   readonly replacedBy: string[] = [];
-  /** Whether the connection is there over which the worker last answered a look. */
+  /** Whether the connection over which the worker last answered a poll still exists. */
   connected = true;
   /** How long the worker takes for each order. */
   answerMs: Millis = 0;
-  /** What it answers to each order. */
+  /** The worker's answer to each order. */
   answer = ACCEPTED;
 
   readonly port: WorkerPort = {
-    start: (_to, order) => this.take('start', order),
-    stop: (_to, order) => this.take('stop', order),
-    throttle: (_to, order) => this.take('throttle', order, order.percent),
-    poll: (_to, order) => this.look(order),
+    start: (_to, order) => this.answerOrder('start', order),
+    stop: (_to, order) => this.answerOrder('stop', order),
+    throttle: (_to, order) =>
+      this.answerOrder('throttle', order, order.percent),
+    poll: (_to, order) => this.answerPoll(order),
     isConnected: () => this.connected,
     forget: () => undefined,
   };
@@ -88,7 +89,7 @@
     send: (to, order) => this.port.start(to, order),
   };
 
-  /** Creates a job of `tasks` tasks, none of which runs. */
+  /** Creates a job of `tasks` tasks, none of which is running. */
   constructor(tasks: number, step: Partial<TestStep> = {}) {
     const steps = [{ after: [], ...step, tasks }];
     const script = { runMs: 60_000, failures: 0 };
@@ -108,7 +109,7 @@
     return opened;
   }
 
-  /** Ends a run as the leader does when it is told. */
+  /** Ends a run as the leader does. */
   readonly end = (run: Run, how: RunEnd): void => {
     this.ended.push(`${run.task.index}#${run.number} ${how}`);
     const task = refOf(run.task);
@@ -130,7 +131,7 @@
     return found;
   }
 
-  private async take(
+  private async answerOrder(
     kind: string,
     order: StartOrder | RunOrder,
     percent?: number,
@@ -142,9 +143,9 @@
     return answer;
   }
 
-  private async look(order: PollRequest): Promise<PollResult> {
+  private async answerPoll(order: PollRequest): Promise<PollResult> {
     this.polls.push(order);
-    // A look takes a while, so that looks don't follow each other without end.
+    // A poll takes some time, so that polls do not follow each other in an endless loop.
     await this.pause(Math.max(50, order.waitMs));
     const clock: Instant = this.time.clock();
     return {
@@ -165,9 +166,9 @@
   }
 }
 
-/** A link that has reached the worker of `site`. */
+/** Opens a link, which reaches the worker of `site`. */
 export async function openLink(
-  site: StubWorkerSite,
+  site: StubWorker,
   info = ORDERED_WORKER,
 ): Promise<WorkerLink> {
   const link = new WorkerLink(info, {
--- a/packages/daemon/src/job-host/outage-leases.test.ts
+++ b/packages/daemon/src/job-host/outage-leases.test.ts
@@ -1,12 +1,15 @@
 /*
- * Tasks run on while the log is away for up to 7 s, in whatever way: their leases are extended in time after
- * it. Seen: after a log that was silent for 6.5 s all of them began again. How: another host claimed at
- * 7.45 s, since its calls to the log ended late, and had recorded by 7.48 s that it reached the workers;
- * the leases ended at 7.71 s. Cause: it extends a lease only with the look after that record, but had sent
- * the next look at once, which waited 250 ms for an end. After 7 s of silence some sites still began all
- * four tasks again: the leader's own append was confirmed at 8.38 s, since the try that was under way when
- * the log came back ended only with its timeout of 1.5 s; leases end 8 s after the last append that was
- * confirmed.
+ * Tasks must keep running while the log is unavailable for up to 7 s, in any mode: their leases are extended
+ * in time after it.
+ *
+ * After a log that was silent for 6.5 s all of them were started again. Another host claimed at 7.45 s, since
+ * its calls to the log timed out late, and had recorded by 7.48 s that it reached the workers; the leases
+ * ended at 7.71 s. It extends a lease only with the poll after that record, but had already sent the next
+ * poll, which waited 250 ms for an end.
+ *
+ * After 7 s of silence some deployments still started all four tasks again. The leader's own append was
+ * confirmed at 8.38 s, since the attempt in flight when the log came back ended only with its timeout of 1.5
+ * s, while leases end 8 s after the last confirmed append.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -17,15 +20,15 @@
 import { Simulation } from './simulation.fixture.test.js';
 
 const ID = '00000000000000e1';
-const LASTING = { tasks: 4, after: [], lasting: true };
+const LONG_RUNNING = { tasks: 4, after: [], lasting: true };
 const ENDLESS = { runMs: 10_000_000, failures: 0 };
 const HOSTS = ['h1', 'h2', 'h3'];
 const MODES: readonly LogMode[] = ['refusing', 'resetting', 'silent'];
-const CALM_MS = 15_000;
+const RECOVERY_MS = 15_000;
 
 for (const outageMs of [5_000, 5_500, 6_000, 6_500, 7_000]) {
   for (const mode of MODES) {
-    test(`tasks run on while the log is away for ${outageMs} ms, ${mode}`, async () => {
+    test(`tasks keep running while the log is unavailable for ${outageMs} ms, ${mode}`, async () => {
       const lapsed: string[] = [];
       for (const seed of [1, 2, 3, 4, 5, 6]) {
         const site = new Simulation(seed, { maxLeaseMs: 10_000 });
@@ -35,14 +38,14 @@
         for (const name of HOSTS) {
           site.startHost(name);
         }
-        void site.submit(ID, [LASTING], ENDLESS);
+        void site.submit(ID, [LONG_RUNNING], ENDLESS);
         await site.time.advance(3_500 + 70 * seed);
         for (const name of HOSTS) {
           site.log.hostModes.set(name, mode);
         }
         await site.time.advance(outageMs);
         site.log.hostModes.clear();
-        await site.time.advance(CALM_MS);
+        await site.time.advance(RECOVERY_MS);
         const ends = site.log.recordsOf('journal').map(decodeJournal);
         const found = ends.filter(record => record?.kind === 'end');
         if (found.length > 0) {
--- a/packages/daemon/src/job-host/planted-faults.test.ts
+++ b/packages/daemon/src/job-host/planted-faults.test.ts
@@ -11,8 +11,8 @@
 const SLOW = { runMs: 6_000, failures: 0 };
 const WORKERS = ['w1', 'w2'];
 
-/** A calm site whose hosts see workers as `distort` makes them look. */
-function siteOf(
+/** Returns a fault-free simulated deployment whose hosts see the workers as modified by `distort`. */
+function faultyDeployment(
   seed: number,
   distort: (info: WorkerInfo) => WorkerInfo = info => info,
 ): Simulation {
@@ -36,14 +36,14 @@
   return site;
 }
 
-function broken(site: Simulation): GuaranteeName[] {
+function brokenGuarantees(site: Simulation): GuaranteeName[] {
   return [
     ...new Set(site.history.check().map(({ guarantee: promise }) => promise)),
   ];
 }
 
-test('a sound site breaks no promise', async () => {
-  const site = siteOf(1);
+test('a healthy deployment breaks no guarantee', async () => {
+  const site = faultyDeployment(1);
   const steps = [{ tasks: 4, after: [], maxPerWorker: 2 }];
   void site.submit(ID, steps, SLOW);
   const gang = [{ tasks: 3, after: [], gang: true }];
@@ -53,11 +53,11 @@
   await site.time.advance(20_000);
   assert.ok(site.history.isDone(ID));
   assert.ok(site.history.isDone('00000000000000d2'));
-  assert.deepEqual(broken(site), []);
+  assert.deepEqual(brokenGuarantees(site), []);
 });
 
-test('workers that carry out no stop are seen after a cancellation', async () => {
-  const site = siteOf(2);
+test('workers that carry out no stop are detected after a cancellation', async () => {
+  const site = faultyDeployment(2);
   for (const name of WORKERS) {
     const found = site.fleet.at(name);
     assert.ok(found);
@@ -67,50 +67,50 @@
   await site.time.advance(3_000);
   void site.cancel(ID);
   await site.time.advance(8_000);
-  assert.deepEqual(broken(site), ['ends_after_cancel']);
+  assert.deepEqual(brokenGuarantees(site), ['ends_after_cancel']);
 });
 
-test('hosts that do not learn of an announcement are seen', async () => {
-  const site = siteOf(3, info => ({ ...info, leaving: false }));
+test('hosts that do not see that a worker is leaving are detected', async () => {
+  const site = faultyDeployment(3, info => ({ ...info, leaving: false }));
   WORKERS.forEach(name => {
     site.fleet.announceLeave(name);
   });
   await site.time.advance(4_000);
   void site.submit(ID, [{ tasks: 1, after: [] }], SLOW);
   await site.time.advance(4_000);
-  assert.deepEqual(broken(site), ['not_on_leaving']);
+  assert.deepEqual(brokenGuarantees(site), ['not_on_leaving']);
 });
 
-test('hosts that take workers for larger than they are, are seen', async () => {
+test('hosts that overestimate the size of workers are detected', async () => {
   const size = { cpuMilli: 64_000, memoryMiB: 64_000, accelerators: 0 };
-  const site = siteOf(4, info => ({ ...info, capacity: size }));
+  const site = faultyDeployment(4, info => ({ ...info, capacity: size }));
   void site.submit(ID, [{ tasks: 12, after: [] }], SLOW);
   await site.time.advance(4_000);
-  assert.deepEqual(broken(site), ['within_room']);
+  assert.deepEqual(brokenGuarantees(site), ['within_room']);
 });
 
-test('hosts that see labels where there are none are seen', async () => {
-  const site = siteOf(5, info => ({ ...info, labels: ['fast'] }));
+test('hosts that see labels that do not exist are detected', async () => {
+  const site = faultyDeployment(5, info => ({ ...info, labels: ['fast'] }));
   void site.submit(ID, [{ tasks: 1, after: [], label: 'fast' }], SLOW);
   await site.time.advance(4_000);
-  assert.deepEqual(broken(site), ['right_worker']);
+  assert.deepEqual(brokenGuarantees(site), ['right_worker']);
 });
 
-test('a worker that accepts starts and begins nothing leaves a gang alone', async () => {
-  const site = siteOf(6);
+test('a worker that accepts starts without starting anything leaves a gang incomplete', async () => {
+  const site = faultyDeployment(6);
   const found = site.fleet.at('w2');
   assert.ok(found);
   found.start = () => ({ kind: 'accepted', clock: found.clock });
   const steps = [{ tasks: 2, after: [], gang: true, maxPerWorker: 1 }];
   void site.submit(ID, steps, { ...SLOW, gang: 2 });
   await site.time.advance(8_000);
-  assert.deepEqual(broken(site), ['gang_together']);
+  assert.deepEqual(brokenGuarantees(site), ['gang_together']);
 });
 
-test('workers that refuse all starts leave lasting tasks without a run', async () => {
-  const site = siteOf(7);
+test('workers that refuse all starts leave long-running tasks without a run', async () => {
+  const site = faultyDeployment(7);
   site.fleet.refusesStarts = true;
   void site.submit(ID, [{ tasks: 1, after: [], lasting: true }], ENDLESS);
   await site.time.advance(12_000);
-  assert.deepEqual(broken(site), ['lasting_runs']);
+  assert.deepEqual(brokenGuarantees(site), ['lasting_runs']);
 });
--- a/packages/daemon/src/job-host/restarted-workers.test.ts
+++ b/packages/daemon/src/job-host/restarted-workers.test.ts
@@ -17,43 +17,49 @@
 } from './restarts-deployment.fixture.test.js';
 import type { Simulation } from './simulation.fixture.test.js';
 
-/** A tenth of all calls gets no answer and arrives 2 to 12 s later, until 5 s after the last restart. */
-function amongLateCalls(restart: Restart): Restart {
+/**
+ * Delays a tenth of all calls, which get no answer and arrive 2 to 12 s later, until 5 s after the last
+ * restart.
+ */
+function withDelayedCalls(restart: Restart): Restart {
   return async (site, turn) => {
-    setLateShare(site, 0.1);
+    setDelayedShare(site, 0.1);
     await restart(site, turn);
     if (turn === RESTART_ROUNDS - 1) {
       await site.wait(5_000);
-      setLateShare(site, 0);
+      setDelayedShare(site, 0);
     }
   };
 }
 
-function setLateShare({ fleet }: Simulation, share: number): void {
+function setDelayedShare({ fleet }: Simulation, share: number): void {
   fleet.delayedOrderShare = share;
   fleet.delayedPollShare = share;
 }
 
-// An order to a start of a worker that has ended was carried out by the next one, whose task was done elsewhere.
+// A delayed order to an earlier incarnation was carried out by the next one, although its task was done
+// elsewhere.
 test('calls that come late to the next start of a worker do nothing there', async () => {
   for (const awayMs of [0, 30]) {
-    const restart = amongLateCalls(restartOneByOne(awayMs));
+    const restart = withDelayedCalls(restartOneByOne(awayMs));
     for (const seed of [1, 2, 3, 4, 5, 6]) {
       const maxLeaseMs = seed % 2 === 0 ? 10_000 : 6_000;
       const site = await runRestarts({ seed, restart, maxLeaseMs });
-      assertNothingLost(site, `away for ${awayMs} ms, seed ${seed}`);
+      assertNothingLost(site, `down for ${awayMs} ms, seed ${seed}`);
     }
   }
 });
 
-// A lasting task that began late, before the worker's first answer, ran on beside the one that took its place.
-test('a run that begins late and is not open is stopped', async () => {
-  const restart = amongLateCalls(restartOneByOne(0));
+// A long-running task that a delayed call started before the worker's first answer continued beside its
+// replacement.
+test('a run that starts late and is not open is stopped', async () => {
+  const restart = withDelayedCalls(restartOneByOne(0));
   const site = await runRestarts({ seed: 34, restart, maxLeaseMs: 10_000 });
   assert.equal(site.history.runningOf(LONG_RUNNING_JOB), LONG_RUNNING_TASKS);
 });
 
-// A worker refuses what was meant for the start before only once it has seen a higher fence, with its first answer.
+// A worker refuses calls meant for its previous incarnation only after it has seen a higher fence, which
+// comes with its first answer.
 test('no late order is carried out before the first answer of a worker that has started again', async () => {
   for (const [awayMs, seed] of [
     [0, 22],
@@ -61,20 +67,21 @@
     [1_200, 1],
     [1_200, 33],
   ] as const) {
-    const restart = amongLateCalls(restartOneByOne(awayMs));
+    const restart = withDelayedCalls(restartOneByOne(awayMs));
     const maxLeaseMs = seed % 2 === 0 ? 10_000 : 6_000;
     const site = await runRestarts({ seed, restart, maxLeaseMs });
-    assertNothingLost(site, `away for ${awayMs} ms, seed ${seed}`);
+    assertNothingLost(site, `down for ${awayMs} ms, seed ${seed}`);
   }
 });
 
-// A lease end of the start before is far ahead of a clock that began anew: it held there for as long as a worker takes.
-test('nothing runs twice where the lease of the start before reaches the next one', async () => {
+// A lease end of the previous incarnation is far ahead of a restarted clock, so the lease held for as long as
+// a worker accepts.
+test('nothing runs twice if a lease of the previous incarnation reaches the next one', async () => {
   for (const seed of SEEDS) {
     const site = await deploymentWithRestarts({ seed, maxLeaseMs: 10_000 });
     restartWorkers(site, ['w1'], 30);
     await site.time.advance(31);
-    await site.fleet.at('w1')?.poll({ ...LATE_LOOK, leaseUntil: 500_000 });
+    await site.fleet.at('w1')?.poll({ ...DELAYED_POLL, leaseUntil: 500_000 });
     const idle = WORKERS.filter(name => name !== 'w1');
     idle.forEach(name => {
       site.fleet.crash(name);
@@ -90,7 +97,7 @@
   }
 });
 
-const LATE_LOOK = { fence: 1, acknowledged: 0, waitMs: 0, slackMs: 0 };
+const DELAYED_POLL = { fence: 1, acknowledged: 0, waitMs: 0, slackMs: 0 };
 
 test('a leader that has no higher fence left is replaced, and nothing is lost', async () => {
   const site = await deploymentWithRestarts({ seed: 1 });
--- a/packages/daemon/src/job-host/run-supervisor.test.ts
+++ b/packages/daemon/src/job-host/run-supervisor.test.ts
@@ -8,16 +8,12 @@
   WorkerHealth,
 } from '@paddlewind/domain/jobs';
 
-import {
-  openLink,
-  ORDERED_WORKER,
-  StubWorkerSite,
-} from './orders.fixture.test.js';
+import { openLink, ORDERED_WORKER, StubWorker } from './orders.fixture.test.js';
 import { RunSupervisor } from './run-supervisor.js';
 import { jobOf } from './simulation.fixture.test.js';
 
 /** Opens a run of a serving task beside those of `site`. */
-function serve(site: StubWorkerSite): void {
+function serve(site: StubWorker): void {
   const id = '00000000000000c2';
   const step = { tasks: 1, after: [], lasting: true, tailTargetMs: 50 };
   const script = { runMs: 60_000, failures: 0 };
@@ -28,8 +24,8 @@
   applyJournal(site.state, { kind: 'start', task, run: 1, worker });
 }
 
-test('a limit that was not answered is ordered again with the next report', async () => {
-  const site = new StubWorkerSite(1, { filler: true, image: 'f' });
+test('an unanswered limit is ordered again with the next report', async () => {
+  const site = new StubWorker(1, { filler: true, image: 'f' });
   const link = await openLink(site);
   const supervisor = new RunSupervisor({
     ctx: site.ctx,
@@ -44,7 +40,7 @@
   await site.time.advance(100);
   serve(site);
   assert.ok(run.progress);
-  // A share that the model does not give.
+  // A share that the model never returns.
   run.progress.allowedPercent = 1;
   const limits: number[] = [];
   for (const kind of ['unknown', 'unknown', 'accepted', 'accepted'] as const) {
--- a/packages/daemon/src/job-host/shrinking-workers.test.ts
+++ b/packages/daemon/src/job-host/shrinking-workers.test.ts
@@ -7,23 +7,23 @@
 import { Simulation } from './simulation.fixture.test.js';
 
 const SEEDS = [1, 2, 3, 4, 5];
-/** Three losses of a sound task at one age, by chance. */
-const LOST_AT_ONE_AGE = 25;
+/** With this seed a healthy task is lost three times at the same run time, by chance. */
+const SEED_WITH_EQUAL_RUN_TIMES = 25;
 const HOSTS = ['h1', 'h2', 'h3'];
 const SHRINKING = ['w1', 'w2', 'w3'];
 const STEADY = ['w4', 'w5', 'w6'];
-const WHOLE = { cpuMilli: 4_000, memoryMiB: 8_000, accelerators: 0 };
-const HALF = { cpuMilli: 2_000, memoryMiB: 4_000, accelerators: 0 };
-/** How long workers are whole, and how long they are shrunk. */
+const FULL_SIZE = { cpuMilli: 4_000, memoryMiB: 8_000, accelerators: 0 };
+const HALF_SIZE = { cpuMilli: 2_000, memoryMiB: 4_000, accelerators: 0 };
+/** How long workers keep their full size, and how long the reduced one. */
 const PHASE_MS = 7_000;
-/** How often one of them starts again. */
-const RESTART_EVERY_MS = 2_000;
+/** Interval between restarts of these workers. */
+const RESTART_INTERVAL_MS = 2_000;
 const WATCHED_MS = 42_000;
-const JOB_EVERY_MS = 400;
+const JOB_INTERVAL_MS = 400;
 
 async function resizeInTurn(site: Simulation): Promise<void> {
   for (;;) {
-    for (const capacity of [HALF, WHOLE]) {
+    for (const capacity of [HALF_SIZE, FULL_SIZE]) {
       await site.wait(PHASE_MS);
       SHRINKING.forEach(name => {
         site.fleet.resize(name, capacity);
@@ -34,19 +34,19 @@
 
 async function submitMany(site: Simulation): Promise<string[]> {
   const ids: string[] = [];
-  for (let at = 0; at < WATCHED_MS; at += JOB_EVERY_MS) {
+  for (let at = 0; at < WATCHED_MS; at += JOB_INTERVAL_MS) {
     const id = (ids.length + 1).toString(16).padStart(16, '0');
     ids.push(id);
     const step = { tasks: 4, after: [], size: TASK };
     void site.submit(id, [step], { runMs: 1_500, failures: 0 });
-    await site.wait(JOB_EVERY_MS);
+    await site.wait(JOB_INTERVAL_MS);
   }
   return ids;
 }
 
 const TASK = { cpuMilli: 1_000, memoryMiB: 1_000, accelerators: 0 };
 
-test('no start is beyond the room of a worker that has shrunk, though leaders change', async () => {
+test('no start exceeds the capacity of a worker that has shrunk, although leaders change', async () => {
   for (const seed of SEEDS) {
     const site = new Simulation(seed);
     site.history.faults = new FaultTimes();
@@ -66,9 +66,10 @@
   }
 });
 
-// The room of a worker is that of one start of it: the next one, whose entry may come late, may have less.
-test('no start is beyond the room of a worker that has started again with less', async () => {
-  for (const seed of [...SEEDS, LOST_AT_ONE_AGE]) {
+// The capacity of a worker belongs to one incarnation: the next one, whose registry entry may be late, may
+// have less.
+test('no start exceeds the capacity of a worker that has restarted with less', async () => {
+  for (const seed of [...SEEDS, SEED_WITH_EQUAL_RUN_TIMES]) {
     const site = new Simulation(seed, { keepsIds: true });
     site.history.faults = new FaultTimes();
     [...SHRINKING, ...STEADY].forEach(name => {
@@ -88,9 +89,9 @@
 
 async function restartInTurn(site: Simulation): Promise<void> {
   for (let turn = 0; ; turn += 1) {
-    await site.wait(RESTART_EVERY_MS);
+    await site.wait(RESTART_INTERVAL_MS);
     const name = SHRINKING[turn % SHRINKING.length] ?? '';
     site.fleet.freezeEntry(name, 1_500);
-    site.restartWorker(name, 30, turn % 2 === 0 ? HALF : WHOLE);
+    site.restartWorker(name, 30, turn % 2 === 0 ? HALF_SIZE : FULL_SIZE);
   }
 }
--- a/packages/daemon/src/job-host/start-window.test.ts
+++ b/packages/daemon/src/job-host/start-window.test.ts
@@ -3,13 +3,13 @@
 
 import type { Run } from '@paddlewind/domain/jobs';
 
-import { StubWorkerSite } from './orders.fixture.test.js';
+import { StubWorker } from './orders.fixture.test.js';
 import { StartWindow } from './start-window.js';
 
-const MOST = 200;
+const MAX_STARTS = 200;
 
-/** Begins all starts that a window has free. */
-function fill(window: StartWindow, site: StubWorkerSite, from: number): Run[] {
+/** Uses up all starts that a window has available. */
+function fill(window: StartWindow, site: StubWorker, from: number): Run[] {
   const runs = Array.from({ length: window.available() }, (_, at) =>
     site.open(from + at),
   );
@@ -19,10 +19,10 @@
   return runs;
 }
 
-test('starts under way take the window up, and give it free once they are known', () => {
+test('starts in flight occupy the window until their outcome is known', () => {
   const window = new StartWindow();
-  const runs = fill(window, new StubWorkerSite(MOST), 0);
-  assert.equal(runs.length, MOST);
+  const runs = fill(window, new StubWorker(MAX_STARTS), 0);
+  assert.equal(runs.length, MAX_STARTS);
   assert.equal(window.available(), 0);
   runs.slice(0, 50).forEach(run => {
     window.noteStarted(run);
@@ -33,7 +33,7 @@
   assert.equal(window.available(), 60);
 });
 
-test('the window shrinks while workers cease to answer, and never to nothing', () => {
+test('the window shrinks while workers stop answering, but never to zero', () => {
   const window = new StartWindow();
   for (let now = 0; now < 60_000; now += 600) {
     const before = window.available();
@@ -51,9 +51,9 @@
   assert.equal(window.available(), 140);
 });
 
-test('the window grows again with starts that are confirmed', () => {
+test('the window grows again with confirmed starts', () => {
   const window = new StartWindow();
-  const site = new StubWorkerSite(1_000);
+  const site = new StubWorker(1_000);
   for (let now = 0; now < 60_000; now += 600) {
     window.noteSilence(now);
   }
@@ -65,5 +65,5 @@
       window.noteStarted(run);
     });
   }
-  assert.equal(window.available(), MOST);
+  assert.equal(window.available(), MAX_STARTS);
 });
--- a/packages/daemon/src/job-host/stray-ends.test.ts
+++ b/packages/daemon/src/job-host/stray-ends.test.ts
@@ -1,9 +1,10 @@
 /*
- * Seen: a task that had ended as done ran a second time 20 s later, on a day on which leaders were
- * replaced and late, and 1,644 runs lapsed. How: a leader that hears nothing of a worker gives its runs up
- * once its lease has ended; one of them had been done before that. The worker is heard again and lists
- * that end, but the leader passes over ends of runs that it has closed, and acknowledges them, while
- * the task waits for room to run again. Figure: of such ends the log told nothing.
+ * Guards against running a finished task again after its run was abandoned. On a day on which leaders were
+ * replaced and late, and 1,644 runs lapsed, a task that had ended as done ran a second time 20 s later. A
+ * leader that gets no answer from a worker abandons its runs once its lease has expired; one of them had been
+ * done before that. When the worker answered again and listed that end, the leader ignored and acknowledged
+ * it, since it had closed the run, while the task waited for capacity to run again. The log did not mention
+ * such ends.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -17,15 +18,15 @@
 const HOSTS = ['h1', 'h2', 'h3'];
 /** Longer than it takes to cut the worker off, and shorter than its lease. */
 const RUN_MS: Millis = 2_000;
-/** Time in which the lease ends and the run is given up. */
-const SILENT_MS: Millis = 9_000;
+/** Time within which the lease ends and the run is abandoned. */
+const UNREACHABLE_MS: Millis = 9_000;
 
-function cut(site: Simulation, worker: string): void {
+function disconnect(site: Simulation, worker: string): void {
   HOSTS.forEach(name => site.fleet.cuts.add(`${name}>${worker}`));
 }
 
-/** A site whose only worker has done a task that the leader has given up. */
-async function siteWithStrayEnd(
+/** Returns a simulated deployment whose only worker has done a task that the leader has abandoned. */
+async function deploymentWithStrayEnd(
   seed: number,
   step: { gang?: boolean; tasks: number },
 ): Promise<Simulation> {
@@ -40,8 +41,8 @@
     6_000,
   );
   await site.time.advance(300);
-  cut(site, 'w1');
-  await site.time.advance(SILENT_MS);
+  disconnect(site, 'w1');
+  await site.time.advance(UNREACHABLE_MS);
   const ends = site.log.recordsOf('journal').map(decodeJournal);
   assert.ok(ends.some(record => record?.kind === 'lost'));
   return site;
@@ -51,7 +52,7 @@
   const name = `${step.tasks}${step.gang === true ? ' of a gang' : ''}`;
   test(`tasks are not run again once they are known to be done: ${name}`, async () => {
     for (const seed of [1, 2, 3]) {
-      const site = await siteWithStrayEnd(seed, step);
+      const site = await deploymentWithStrayEnd(seed, step);
       site.fleet.cuts.clear();
       await site.time.advance(6_000);
       assert.equal(site.recordedStarts(), step.tasks, `seed ${seed}`);
@@ -67,7 +68,7 @@
 }
 
 test('a second run is stopped once the first one is known to be done', async () => {
-  const site = await siteWithStrayEnd(4, { tasks: 1 });
+  const site = await deploymentWithStrayEnd(4, { tasks: 1 });
   site.addWorker('w2');
   await site.time.until(() => site.history.runningOf(JOB) === 1, 3_000);
   site.fleet.cuts.clear();
--- a/packages/daemon/src/job-host/waiting-orders.test.ts
+++ b/packages/daemon/src/job-host/waiting-orders.test.ts
@@ -1,10 +1,10 @@
 /*
- * Seen: on a fleet of 350 workers a task began 4.1 s after its job's cancellation was confirmed,
- * where 4 s are allowed, and tasks whose end had been acknowledged began again a second later.
- * How: a leader without processor time to spare sends its orders late; each waits for the answer to
- * the one before it. Cause: a start was checked against the job's state when it was recorded, not
- * when it was sent. Proof: one slow worker brings the same about with a leader that has time to
- * spare, and both are gone once the check is made at the moment of sending.
+ * Guards against sending starts that are no longer wanted. On a fleet of 350 workers a task started 4.1 s
+ * after the cancellation of its job was confirmed, where 4 s are allowed, and tasks whose end had been
+ * acknowledged started again a second later. A leader without spare processor time sends its orders late,
+ * since each waits for the answer to the one before it, and a start was checked against the job's state only
+ * when it was recorded. One slow worker has the same effect with an otherwise idle leader; both faults are
+ * gone with the check at the moment of sending.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -15,8 +15,8 @@
 /** Below the timeout of an order, so that the worker counts as answering. */
 const SLOW_MS = 450;
 
-/** Two hosts and two workers, one of which is slow to answer orders. */
-async function siteWithSlowWorker(
+/** Returns a simulated deployment of two hosts and two workers, one of which is slow to answer orders. */
+async function deploymentWithSlowWorker(
   seed: number,
   slow: 'w1' | 'w2',
 ): Promise<Simulation> {
@@ -33,8 +33,8 @@
 const SMALL = { cpuMilli: 200, memoryMiB: 10, accelerators: 0 };
 const MANY: TestStep = { tasks: 40, after: [], size: SMALL };
 
-test('a start that waits is not sent once its job is cancelled', async () => {
-  const site = await siteWithSlowWorker(1, 'w1');
+test('a queued start is not sent once its job is cancelled', async () => {
+  const site = await deploymentWithSlowWorker(1, 'w1');
   void site.submit(ID, [MANY], { runMs: 20_000, failures: 0 });
   await site.time.advance(600);
   void site.cancel(ID);
@@ -43,7 +43,7 @@
 });
 
 test('stops do not wait behind starts', async () => {
-  const site = await siteWithSlowWorker(4, 'w1');
+  const site = await deploymentWithSlowWorker(4, 'w1');
   const other = '00000000000000d2';
   const few = { ...MANY, tasks: 5 };
   site.fleet.orderDelays.clear();
@@ -58,12 +58,12 @@
   assert.equal(site.history.runningOf(other), 0);
 });
 
-test('a start that waits is not sent while cancellations cannot be read', async () => {
-  const site = await siteWithSlowWorker(2, 'w1');
+test('a queued start is not sent while cancellations cannot be read', async () => {
+  const site = await deploymentWithSlowWorker(2, 'w1');
   void site.submit(ID, [MANY], { runMs: 20_000, failures: 0 });
   await site.time.advance(200);
   site.log.streamModes.set('inbox', 'unreadable');
-  // The read that waits already would still bring the cancellation.
+  // The read that is already waiting would still return the cancellation.
   await site.time.advance(800);
   const other = [...site.hosts].find(([name]) => name !== site.leader())?.[1];
   const asked = other?.host.service.cancel(ID, site.time.clock() + 3_000);
@@ -76,7 +76,7 @@
   assert.deepEqual(site.history.check(), []);
 });
 
-test('a start is not sent while it cannot be read which workers leave', async () => {
+test('a start is not sent while the leader cannot read which workers are leaving', async () => {
   const site = new Simulation(6);
   site.addWorker('w1');
   site.startHost('h1');
@@ -89,17 +89,17 @@
   assert.equal(site.history.runningOf(ID), 0);
 });
 
-test('starts do not wait for a slow worker while another has room', async () => {
-  const site = await siteWithSlowWorker(7, 'w1');
-  const lasting = { ...MANY, tasks: 18, lasting: true };
-  void site.submit(ID, [lasting], { runMs: 10_000_000, failures: 0 });
+test('starts do not wait for a slow worker while another has capacity', async () => {
+  const site = await deploymentWithSlowWorker(7, 'w1');
+  const longRunning = { ...MANY, tasks: 18, lasting: true };
+  void site.submit(ID, [longRunning], { runMs: 10_000_000, failures: 0 });
   await site.time.advance(6_000);
   assert.equal(site.history.runningOf(ID), 18);
 });
 
 for (const stops of [0, 1, 5]) {
-  test(`starts behind ${stops} stops to a worker that is out of reach go elsewhere`, async () => {
-    const site = await siteWithSlowWorker(8, 'w1');
+  test(`starts behind ${stops} stops to an unreachable worker go elsewhere`, async () => {
+    const site = await deploymentWithSlowWorker(8, 'w1');
     const other = '00000000000000d3';
     site.fleet.orderDelays.clear();
     const first = Math.max(1, stops);
@@ -123,9 +123,9 @@
   });
 }
 
-test('a copy that waits is not sent once its task is done', async () => {
+test('a queued speculative copy is not sent once its task is done', async () => {
   // The tasks fill the first worker, so that their copies go to the slow one.
-  const site = await siteWithSlowWorker(3, 'w2');
+  const site = await deploymentWithSlowWorker(3, 'w2');
   const steps = [{ ...MANY, tasks: 20, speculative: true, estimateMs: 400 }];
   void site.submit(ID, steps, { runMs: 2_600, failures: 0 });
   await site.time.advance(30_000);
@@ -133,8 +133,11 @@
   assert.ok(site.history.isDone(ID));
 });
 
-/** Jobs of several kinds, some of which are cancelled, until `endAt`. */
-async function busyDay(site: Simulation, endAt: number): Promise<string[]> {
+/** Submits several kinds of jobs until `endAt`, and cancels some of them; returns the others. */
+async function submitMixedJobs(
+  site: Simulation,
+  endAt: number,
+): Promise<string[]> {
   const kept: string[] = [];
   for (let number = 1; site.time.clock() < endAt; number += 1) {
     const id = number.toString(16).padStart(16, '0');
@@ -152,7 +155,7 @@
 }
 
 for (const eventMs of [30, 45, 60]) {
-  test(`a leader that takes ${eventMs} ms for each event keeps its promises`, async () => {
+  test(`a leader that takes ${eventMs} ms for each event keeps all guarantees`, async () => {
     const site = new Simulation(5);
     ['w1', 'w2', 'w3'].forEach(name => {
       site.addWorker(name);
@@ -161,7 +164,7 @@
     await site.time.advance(2_500);
     const slow = site.leader();
     site.slow(slow, eventMs);
-    const kept = await busyDay(site, 20_000);
+    const kept = await submitMixedJobs(site, 20_000);
     site.slow(slow, 0);
     await site.time.advance(40_000);
     assert.deepEqual(site.history.check(), []);
--- a/packages/daemon/src/job-host/worker-link.test.ts
+++ b/packages/daemon/src/job-host/worker-link.test.ts
@@ -3,18 +3,14 @@
 
 import { refOf } from '@paddlewind/domain/jobs';
 
-import {
-  openLink,
-  ORDERED_WORKER,
-  StubWorkerSite,
-} from './orders.fixture.test.js';
+import { openLink, ORDERED_WORKER, StubWorker } from './orders.fixture.test.js';
 import { SLOW_WORKER_PAUSE_MS } from './timing.js';
 
 /** Below the timeout of an order. */
 const SLOW_MS = 400;
 
-test('a worker at which a start waited for too long rests', async () => {
-  const site = new StubWorkerSite(5);
+test('a worker at which a start waited too long is assigned no runs for a while', async () => {
+  const site = new StubWorker(5);
   const link = await openLink(site);
   assert.ok(link.usable);
   site.answerMs = SLOW_MS;
@@ -29,8 +25,8 @@
   assert.ok(link.usable);
 });
 
-test('a worker that answers all starts in time does not rest', async () => {
-  const site = new StubWorkerSite(4);
+test('a worker that answers all starts in time is not paused', async () => {
+  const site = new StubWorker(4);
   const link = await openLink(site);
   site.answerMs = SLOW_MS;
   for (let index = 0; index < 4; index += 1) {
@@ -43,9 +39,10 @@
   assert.deepEqual(site.ended, []);
 });
 
-// A worker that has started again forgot ends that nobody had seen: it was told the position of the start before.
-test('over a new connection a look asks who is there before it says anything', async () => {
-  const site = new StubWorkerSite(2);
+// A restarted worker dropped ends that nobody had seen, because it was sent a position of its previous
+// incarnation.
+test('over a new connection a poll only identifies the worker first', async () => {
+  const site = new StubWorker(2);
   const link = await openLink(site);
   const run = site.open(0);
   link.start(run, site.time.clock());
@@ -58,16 +55,16 @@
   });
   link.start(site.open(1), site.time.clock());
   await site.time.advance(3_000);
-  const told = site.polls.at(-1);
-  assert.equal(told?.acknowledged, 7);
-  assert.notEqual(told.leaseUntil, undefined);
+  const last = site.polls.at(-1);
+  assert.equal(last?.acknowledged, 7);
+  assert.notEqual(last.leaseUntil, undefined);
   site.connected = false;
   const before = site.polls.length;
   await site.time.until(() => site.polls.length >= before + 2, 5_000);
-  const [asked, next] = site.polls.slice(before);
-  assert.equal(asked?.acknowledged, 0);
-  assert.equal(asked.leaseUntil, undefined);
-  assert.equal(asked.waitMs, 0);
+  const [probe, next] = site.polls.slice(before);
+  assert.equal(probe?.acknowledged, 0);
+  assert.equal(probe.leaseUntil, undefined);
+  assert.equal(probe.waitMs, 0);
   assert.equal(next?.acknowledged, 7);
   assert.notEqual(next.leaseUntil, undefined);
   link.close();
@@ -75,16 +72,17 @@
 
 const STARTED = { ...ORDERED_WORKER, id: 'w@1700' };
 
-test('a worker that tells its start in its entry alone is used', async () => {
-  const site = new StubWorkerSite(1);
+test('a worker that reports its start time only in its registry entry is used', async () => {
+  const site = new StubWorker(1);
   const link = await openLink(site, STARTED);
   assert.ok(link.usable);
   link.close();
 });
 
-// What tells no start may be anything that listens at the address of a worker that has always told it.
-test('an answer without a start is none of a worker that has told it', async () => {
-  const site = new StubWorkerSite(1);
+// An answer without a start time may come from anything that listens at the address of a worker that has
+// always reported it.
+test('an answer without a start time is not from a worker that has reported it before', async () => {
+  const site = new StubWorker(1);
   site.startedAt = 1_700;
   const link = await openLink(site, STARTED);
   assert.ok(link.usable);
@@ -96,9 +94,9 @@
   link.close();
 });
 
-test('another start that answers has replaced the one that was looked at, whatever its number', async () => {
+test('another incarnation that answers replaces the polled one, whatever its start time', async () => {
   for (const startedAt of [1_600, 1_800]) {
-    const site = new StubWorkerSite(1);
+    const site = new StubWorker(1);
     site.startedAt = startedAt;
     await openLink(site, STARTED);
     assert.deepEqual(site.replacedBy, [`w@${startedAt}`]);
--- a/packages/daemon/src/job-host/worker-orders.test.ts
+++ b/packages/daemon/src/job-host/worker-orders.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { ORDERED_WORKER, StubWorkerSite } from './orders.fixture.test.js';
+import { ORDERED_WORKER, StubWorker } from './orders.fixture.test.js';
 import type { StartResult } from './relay/start-sender.js';
 import { MAX_START_WAIT_MS } from './timing.js';
 import { WorkerOrders } from './worker-orders.js';
@@ -9,13 +9,16 @@
 /** Below the timeout of an order. */
 const SLOW_MS = 400;
 
-interface Told {
+interface SlowReports {
   slow: number;
 }
 
-/** Orders to the worker of `site`, and how often it was told to be slow. */
-function ordersTo(site: StubWorkerSite): { orders: WorkerOrders; told: Told } {
-  const told: Told = { slow: 0 };
+/** Returns orders to the worker of `site`, and a count of how often it was reported as slow. */
+function ordersTo(site: StubWorker): {
+  orders: WorkerOrders;
+  reports: SlowReports;
+} {
+  const reports: SlowReports = { slow: 0 };
   const orders = new WorkerOrders({
     ctx: site.ctx,
     port: site.port,
@@ -35,17 +38,17 @@
       started: () => undefined,
       unanswered: () => undefined,
       slow: () => {
-        told.slow += 1;
+        reports.slow += 1;
       },
       replaced: () => undefined,
       stopConfirmed: () => undefined,
     },
   });
-  return { orders, told };
+  return { orders, reports };
 }
 
-test('a start that waits is not sent once its job is cancelled', async () => {
-  const site = new StubWorkerSite(2);
+test('a queued start is not sent once its job is cancelled', async () => {
+  const site = new StubWorker(2);
   const { orders } = ordersTo(site);
   site.answerMs = SLOW_MS;
   orders.start(site.open(0), site.time.clock());
@@ -57,8 +60,8 @@
   assert.deepEqual(site.ended, ['1#1 void']);
 });
 
-test('a start that waits is not sent once its job has failed', async () => {
-  const site = new StubWorkerSite(2);
+test('a queued start is not sent once its job has failed', async () => {
+  const site = new StubWorker(2);
   const { orders } = ordersTo(site);
   site.end(site.open(0), 'failed');
   site.end(site.open(0), 'failed');
@@ -73,8 +76,8 @@
   assert.equal(site.ended.at(-1), '1#1 void');
 });
 
-test('a start that waits is not sent once a copy of its task is done', async () => {
-  const site = new StubWorkerSite(2, { speculative: true });
+test('a queued start is not sent once a copy of its task is done', async () => {
+  const site = new StubWorker(2, { speculative: true });
   const { orders } = ordersTo(site);
   const first = site.open(0);
   site.answerMs = SLOW_MS;
@@ -87,8 +90,8 @@
   assert.deepEqual(site.ended, ['0#1 done', '0#2 void']);
 });
 
-test('a stop takes back a start that waits', async () => {
-  const site = new StubWorkerSite(2);
+test('a stop withdraws a queued start', async () => {
+  const site = new StubWorker(2);
   const { orders } = ordersTo(site);
   const waiting = site.open(1);
   site.answerMs = SLOW_MS;
@@ -101,8 +104,8 @@
   assert.deepEqual(site.sent, ['start 0#1']);
 });
 
-test('a stop takes back no start but that of its run', async () => {
-  const site = new StubWorkerSite(3);
+test('a stop withdraws only the start of its own run', async () => {
+  const site = new StubWorker(3);
   const { orders } = ordersTo(site);
   const taken = site.open(1);
   site.answerMs = SLOW_MS;
@@ -116,7 +119,7 @@
 });
 
 test('a stop is sent for a start that was sent', async () => {
-  const site = new StubWorkerSite(1);
+  const site = new StubWorker(1);
   const { orders } = ordersTo(site);
   const run = site.open(0);
   site.answerMs = SLOW_MS;
@@ -128,9 +131,9 @@
   assert.deepEqual(site.ended, []);
 });
 
-test('a start that has waited for too long is not sent', async () => {
-  const site = new StubWorkerSite(5);
-  const { orders, told } = ordersTo(site);
+test('a start that has waited too long is not sent', async () => {
+  const site = new StubWorker(5);
+  const { orders, reports } = ordersTo(site);
   site.answerMs = SLOW_MS;
   for (let index = 0; index < 5; index += 1) {
     orders.start(site.open(index), site.time.clock());
@@ -139,21 +142,21 @@
   const sent = ['start 0#1', 'start 1#1', 'start 2#1', 'start 3#1'];
   assert.deepEqual(site.sent, sent);
   assert.deepEqual(site.ended, ['4#1 void']);
-  assert.equal(told.slow, 1);
+  assert.equal(reports.slow, 1);
 });
 
-test('a start that was late before its order was given tells nothing of the worker', async () => {
-  const site = new StubWorkerSite(1);
-  const { orders, told } = ordersTo(site);
+test('a start that was late before it was queued does not count against the worker', async () => {
+  const site = new StubWorker(1);
+  const { orders, reports } = ordersTo(site);
   orders.start(site.open(0), site.time.clock() - MAX_START_WAIT_MS - 1);
   await site.time.advance(5_000);
   assert.deepEqual(site.sent, []);
   assert.deepEqual(site.ended, ['0#1 void']);
-  assert.equal(told.slow, 0);
+  assert.equal(reports.slow, 0);
 });
 
-test('of several limits that wait only the newest is sent', async () => {
-  const site = new StubWorkerSite(2);
+test('only the newest of several queued limits is sent', async () => {
+  const site = new StubWorker(2);
   const { orders } = ordersTo(site);
   const run = site.open(0);
   orders.start(run, site.time.clock());
@@ -169,8 +172,8 @@
   assert.equal(run.progress?.allowedPercent, 30);
 });
 
-test('a limit that was not answered is not taken to be in force', async () => {
-  const site = new StubWorkerSite(1);
+test('an unanswered limit does not count as being in effect', async () => {
+  const site = new StubWorker(1);
   const { orders } = ordersTo(site);
   const run = site.open(0);
   orders.start(run, site.time.clock());
@@ -182,8 +185,8 @@
   assert.equal(run.progress.allowedPercent, undefined);
 });
 
-test('a newer limit is sent though the one before was not answered', async () => {
-  const site = new StubWorkerSite(1);
+test('a newer limit is sent although the previous one was not answered', async () => {
+  const site = new StubWorker(1);
   const { orders } = ordersTo(site);
   const run = site.open(0);
   orders.start(run, site.time.clock());
@@ -200,8 +203,8 @@
   assert.equal(run.progress?.allowedPercent, 20);
 });
 
-test('limits that change all the time leave starts a turn', async () => {
-  const site = new StubWorkerSite(3);
+test('constantly changing limits do not block starts', async () => {
+  const site = new StubWorker(3);
   const { orders } = ordersTo(site);
   const fillers = [site.open(0), site.open(1)];
   for (const run of fillers) {
@@ -221,9 +224,9 @@
   assert.ok(site.sent.includes('start 2#1'), site.sent.join());
 });
 
-/** Orders whose starts end as `result` tells. */
-function startedAs(result: StartResult): StubWorkerSite {
-  const site = new StubWorkerSite(1);
+/** Returns a worker whose starts end with `result`. */
+function sendStartWithResult(result: StartResult): StubWorker {
+  const site = new StubWorker(1);
   site.starts.send = () => {
     site.sent.push('start');
     return Promise.resolve(result);
@@ -233,16 +236,17 @@
   return site;
 }
 
-// A run that another host may have begun is stopped: taken for one that never began, its task would run twice.
-test('a run that may have begun elsewhere is stopped before it is given up', async () => {
-  const site = startedAs({ kind: 'unsure', reason: 'superseded' });
+// A run that another host may have started is stopped: if it counted as never started, its task would run
+// twice.
+test('a run that may have started elsewhere is stopped before it is abandoned', async () => {
+  const site = sendStartWithResult({ kind: 'unsure', reason: 'superseded' });
   await site.time.advance(100);
   assert.deepEqual(site.sent, ['start', 'stop 0#1']);
   assert.deepEqual(site.ended, []);
 });
 
-test('a start that was sent nowhere is given up at once', async () => {
-  const site = startedAs({ kind: 'not_wanted' });
+test('a start that was sent nowhere is abandoned at once', async () => {
+  const site = sendStartWithResult({ kind: 'not_wanted' });
   await site.time.advance(100);
   assert.deepEqual(site.sent, ['start']);
   assert.deepEqual(site.ended, ['0#1 void']);
