--- a/packages/daemon/src/job-host/adaptive-timeout.ts
+++ b/packages/daemon/src/job-host/adaptive-timeout.ts
@@ -1,7 +1,7 @@
 /** A timeout that adapts to recent response times. */
 import type { Millis } from '@paddlewind/domain';
 
-import { POLL_SLACK_MS, MAX_POLL_SLACK_MS } from './timing.js';
+import { POLL_TIMEOUT_MS, MAX_POLL_TIMEOUT_MS } from './timing.js';
 
 /** Timeout as a multiple of the recent response time. */
 const HEADROOM_FACTOR = 2;
@@ -15,8 +15,8 @@
 }
 
 const POLL_BOUNDS: TimeoutBounds = {
-  leastMs: POLL_SLACK_MS,
-  mostMs: MAX_POLL_SLACK_MS,
+  leastMs: POLL_TIMEOUT_MS,
+  mostMs: MAX_POLL_TIMEOUT_MS,
 };
 
 /**
--- a/packages/daemon/src/job-host/adviser.ts
+++ b/packages/daemon/src/job-host/adviser.ts
@@ -10,7 +10,7 @@
 import type { AdvicePort } from '@paddlewind/ports/jobs';
 
 import { pause, type HostContext } from './context.js';
-import { ADVICE_RETRY_MS, ADVICE_SLACK_MS } from './timing.js';
+import { ADVICE_RETRY_MS, ADVICE_EXTRA_TIME_MS } from './timing.js';
 
 /** Sends requests to the advice service, with at most one in flight. */
 export class Adviser {
@@ -69,7 +69,7 @@
     const answer = await this.port.ask(
       ref,
       workers,
-      expectedMs + ADVICE_SLACK_MS,
+      expectedMs + ADVICE_EXTRA_TIME_MS,
     );
     if (answer.kind === 'advised') {
       this.advice.recordAnswer(
--- a/packages/daemon/src/job-host/fleet.ts
+++ b/packages/daemon/src/job-host/fleet.ts
@@ -113,10 +113,10 @@
       return 'leaving';
     }
     const worker = workerIdOf(incarnation);
-    const isThere =
+    const isCurrent =
       this.listedWorkers.has(worker) &&
       this.currentIncarnations.get(worker) === incarnation;
-    return isThere ? 'registered' : 'gone';
+    return isCurrent ? 'registered' : 'gone';
   }
 
   /** Returns all registered workers. */
--- a/packages/daemon/src/job-host/leader.ts
+++ b/packages/daemon/src/job-host/leader.ts
@@ -234,7 +234,7 @@
         runStarted: run => {
           this.runs.recordStarted(run);
         },
-        started: from => {
+        startConfirmed: from => {
           this.supervisor.throttleFillers(from);
         },
         reported: from => {
--- a/packages/daemon/src/job-host/linked-runs.ts
+++ b/packages/daemon/src/job-host/linked-runs.ts
@@ -67,12 +67,12 @@
 
 /** The runs of one link. */
 export class LinkedRuns {
-  private readonly checks: ReportChecks;
+  private readonly reportChecks: ReportChecks;
 
   /** Creates the runs of a worker that has not reported yet. */
   constructor(private readonly options: LinkedRunsOptions) {
     const { ctx, info, isNew } = options;
-    this.checks = new ReportChecks(ctx, info().id, isNew);
+    this.reportChecks = new ReportChecks(ctx, info().id, isNew);
   }
 
   /** Runs at this incarnation, by key. */
@@ -103,7 +103,7 @@
         events.ended(run, ended.how, ended.checkpoint);
       }
     }
-    this.checks.check(report, listed, this.open);
+    this.reportChecks.check(report, listed, this.open);
     for (const [key, run] of this.open) {
       if (!listed.has(key) && neverStarted(run, sentAt, isFirst)) {
         events.ended(run, 'void', '');
--- a/packages/daemon/src/job-host/order-queue.ts
+++ b/packages/daemon/src/job-host/order-queue.ts
@@ -41,13 +41,13 @@
 
   /** Removes unsent orders of a kind, either all or those of one run; returns their runs. */
   withdraw(kind: OrderKind, run?: Run): Run[] {
-    const taken = this.others.filter(
+    const withdrawn = this.others.filter(
       order => order.kind === kind && (run === undefined || order.run === run),
     );
-    for (const order of taken) {
+    for (const order of withdrawn) {
       this.others.splice(this.others.indexOf(order), 1);
     }
-    return taken.map(order => order.run);
+    return withdrawn.map(order => order.run);
   }
 
   /** Stops sending. */
--- a/packages/daemon/src/job-host/orders.fixture.test.ts
+++ b/packages/daemon/src/job-host/orders.fixture.test.ts
@@ -207,7 +207,7 @@
       fenced: () => undefined,
       ticketRefused: () => undefined,
       runStarted: () => undefined,
-      started: () => undefined,
+      startConfirmed: () => undefined,
       reported: () => undefined,
       silent: () => undefined,
       changed: () => undefined,
--- a/packages/daemon/src/job-host/run-recorder.ts
+++ b/packages/daemon/src/job-host/run-recorder.ts
@@ -156,11 +156,11 @@
 
   private recordLoss(run: Run, loss: LossAttribution): void {
     const { task } = run;
-    const wasGivenUp = isAbandoned(task);
+    const wasAbandoned = isAbandoned(task);
     const checkpoint = checkpointOf(run);
     const ref = { task: refOf(task), run: run.number };
     this.endRun(run, 'lost', { kind: 'lost', ...ref, checkpoint, ...loss });
-    if (!wasGivenUp && isAbandoned(task)) {
+    if (!wasAbandoned && isAbandoned(task)) {
       this.options.ctx.meters.taskGivenUp();
       logAbandonedTask(this.options, task);
     }
--- a/packages/daemon/src/job-host/run-supervisor.ts
+++ b/packages/daemon/src/job-host/run-supervisor.ts
@@ -42,13 +42,13 @@
  * themselves and whose callers wait. Workers announce their departure 2 to 5 s ahead, the leader reads the
  * announcement up to 1.2 s later, and a stop takes up to 0.9 s.
  */
-const LEAVING_PATIENCE_MS: Millis = 1_000;
+const SHORT_TASK_PRECEDENCE_MS: Millis = 1_000;
 
 /** A task that exceeds its target for this long is logged: half of what its users tolerate. */
 const LOGGED_OVER_TARGET_MS: Millis = 2_000;
 
 function urgencyOf(leavingSince: Instant, now: Instant): Urgency {
-  return now - leavingSince > LEAVING_PATIENCE_MS ? 'urgent' : 'patient';
+  return now - leavingSince > SHORT_TASK_PRECEDENCE_MS ? 'urgent' : 'patient';
 }
 
 /** Acts on open runs. */
--- a/packages/daemon/src/job-host/timing.ts
+++ b/packages/daemon/src/job-host/timing.ts
@@ -22,7 +22,7 @@
 export const ROLE_CHANGE_JITTER_MS: Millis = 2_000;
 /**
  * Interval at which the leader writes a snapshot of the summary. A starting host reads one and the records
- * after it, even if the log had to drop all older records. A snapshot has some 25 KB, which no other host
+ * after it, even if all older records were dropped from the log. A snapshot has some 25 KB, which no other host
  * reads.
  */
 export const SNAPSHOT_INTERVAL_MS: Millis = 5_000;
@@ -103,9 +103,9 @@
 /** The same for a worker whose fillers are close to disturbing a serving task. */
 export const SHORT_POLL_WAIT_MS: Millis = 350;
 /** Timeout of a poll beyond its wait; a healthy worker answers in a few milliseconds. */
-export const POLL_SLACK_MS: Millis = 400;
+export const POLL_TIMEOUT_MS: Millis = 400;
 /** The same for a worker whose answers have taken longer; its loss is noticed this much later. */
-export const MAX_POLL_SLACK_MS: Millis = 1_500;
+export const MAX_POLL_TIMEOUT_MS: Millis = 1_500;
 /** Delay before a worker that did not answer is polled again. */
 export const POLL_RETRY_DELAY_MS: Millis = 200;
 /** Delay between polls while recorded ends cannot be acknowledged. */
@@ -126,7 +126,7 @@
  */
 export const SHORT_LEASE_POLL_WAIT_MS: Millis = 250;
 /** Timeout of the advice service beyond its own estimate. */
-export const ADVICE_SLACK_MS: Millis = 500;
+export const ADVICE_EXTRA_TIME_MS: Millis = 500;
 /** Delay before the advice service is asked again after it did not answer. */
 export const ADVICE_RETRY_MS: Millis = 200;
 /** Slowest rate of a worker's clock relative to true time. */
--- a/packages/daemon/src/job-host/worker-link.ts
+++ b/packages/daemon/src/job-host/worker-link.ts
@@ -46,7 +46,7 @@
   /** The worker has refused the ticket for a task. */
   ticketRefused(task: Task): void;
   /** The worker has confirmed a start. */
-  started(link: WorkerLink): void;
+  startConfirmed(link: WorkerLink): void;
   /** The readings of all runs are up to date. */
   reported(link: WorkerLink): void;
   /** The worker has stopped answering. */
@@ -88,7 +88,7 @@
 export class WorkerLink {
   private readonly lease: Lease;
   private readonly wakeSignal: WakeSignal;
-  private readonly slack = new AdaptiveTimeout();
+  private readonly pollTimeout = new AdaptiveTimeout();
   private readonly runs: LinkedRuns;
   private readonly orders: WorkerOrders;
   /** Whether the worker has reported to this leader, so that its open runs are known. */
@@ -162,8 +162,8 @@
             options.events.fenced();
           }
         },
-        started: () => {
-          options.events.started(this);
+        startConfirmed: () => {
+          options.events.startConfirmed(this);
         },
         unanswered: () => {
           this.setAnswering(false);
@@ -181,8 +181,8 @@
 
   /** Whether the worker may be assigned runs. */
   get usable(): boolean {
-    const rested = this.options.ctx.clock() >= this.pausedUntil;
-    return this.hasReported && this.isAnswering && rested && !this.closed;
+    const isPauseOver = this.options.ctx.clock() >= this.pausedUntil;
+    return this.hasReported && this.isAnswering && isPauseOver && !this.closed;
   }
 
   /**
@@ -283,7 +283,7 @@
         ? this.lease.extend(sentAt, this.options.horizon())
         : undefined,
       waitMs: isSure ? this.pollWaitMs(left) : 0,
-      slackMs: this.slack.ms,
+      slackMs: this.pollTimeout.ms,
     };
     const sent = { at: sentAt, order };
     // A late answer still reports ends, and shows that the worker is running.
@@ -382,7 +382,9 @@
   private recordAnswer({ at, order }: SentPoll): void {
     const { ctx, fence } = this.options;
     this.lastAnsweredAt = ctx.clock();
-    this.slack.record(Math.max(0, this.lastAnsweredAt - at - order.waitMs));
+    this.pollTimeout.record(
+      Math.max(0, this.lastAnsweredAt - at - order.waitMs),
+    );
     this.acknowledgedUpTo = Math.max(this.acknowledgedUpTo, order.acknowledged);
     if (this.firstAnsweredAt === Infinity) {
       this.firstAnsweredAt = this.lastAnsweredAt;
--- a/packages/daemon/src/job-host/worker-orders.test.ts
+++ b/packages/daemon/src/job-host/worker-orders.test.ts
@@ -35,7 +35,7 @@
       fenced: () => undefined,
       ticketRefused: () => undefined,
       runStarted: () => undefined,
-      started: () => undefined,
+      startConfirmed: () => undefined,
       unanswered: () => undefined,
       slow: () => {
         reports.slow += 1;
@@ -107,13 +107,13 @@
 test('a stop withdraws only the start of its own run', async () => {
   const site = new StubWorker(3);
   const { orders } = ordersTo(site);
-  const taken = site.open(1);
+  const withdrawn = site.open(1);
   site.answerMs = SLOW_MS;
   orders.start(site.open(0), site.time.clock());
-  orders.start(taken, site.time.clock());
+  orders.start(withdrawn, site.time.clock());
   orders.start(site.open(2), site.time.clock());
   await site.time.advance(100);
-  orders.stop(taken);
+  orders.stop(withdrawn);
   await site.time.advance(5_000);
   assert.deepEqual(site.sent, ['start 0#1', 'start 2#1']);
 });
--- a/packages/daemon/src/job-host/worker-orders.ts
+++ b/packages/daemon/src/job-host/worker-orders.ts
@@ -34,7 +34,7 @@
   /** A run is known to have started. */
   runStarted(run: Run): void;
   /** The worker has confirmed a start. */
-  started(): void;
+  startConfirmed(): void;
   /** The worker did not answer. */
   unanswered(): void;
   /** The worker is slow to answer orders: starts wait too long in the queue. */
@@ -264,7 +264,7 @@
           run.progress.confirmed = true;
         }
         events.runStarted(run);
-        events.started();
+        events.startConfirmed();
         return;
       case 'rejected':
         if (res.why === 'fenced' && !this.closed) {
