--- a/packages/daemon/src/job-host/append-again.ts
+++ b/packages/daemon/src/job-host/append-again.ts
@@ -1,72 +1,73 @@
-/** A stamped append that is sent again while an earlier try is still under way. */
+/** A hedged append: it is sent again while earlier attempts are still in flight. */
 import type { Millis } from '@paddlewind/domain';
 import type { AppendResult } from '@paddlewind/ports/jobs';
 
-import { within } from './caller-view.js';
+import { withTimeout } from './caller-view.js';
 import type { HostContext } from './context.js';
 
-/** Most tries under way: each has its own connection, of which a host has few. */
-const MAX_UNDER_WAY = 4;
+/** Each attempt takes a connection of its own, and a host has few. */
+const MAX_ATTEMPTS_IN_FLIGHT = 4;
 
-/** An append is sent again once it takes this many times as long as the last one: the log may be slow. */
+/** Hedge only after this multiple of the duration of the last append, since the log may be slow. */
 export const SLOW_FACTOR = 2;
 
-/** How a stamped append is sent again. */
-export interface AppendAgainOptions {
-  /** Time without an answer after which it is. */
+/** When an append is hedged. */
+export interface HedgedAppendOptions {
+  /** Time without an answer after which the append is sent again. */
   readonly everyMs: Millis;
-  /** Whether it is no more. */
+  /** Returns true once the append must not be sent again. */
   readonly stopped: () => boolean;
 }
 
 /**
- * Appends until a try is answered, and sends it again each time that none was for `everyMs`; resolves
- * sooner when no try is under way any more. The stamp makes it one append, however many are carried out.
+ * Appends records and sends the append again every `everyMs` until an attempt is answered. Resolves
+ * earlier if no attempt is in flight any more. The writer stamp makes the log append the records
+ * once, however many attempts it carries out.
  *
- * A try that a silent log has swallowed ends only with its timeout of 1.5 s; a new one is answered as soon
- * as the log is back, which is 0.45 s later at the most.
+ * An attempt that a silent log has dropped ends only with its timeout of 1.5 s. A later attempt is
+ * answered as soon as the log is back, at most 0.45 s later.
  */
 export async function appendAgain(
   ctx: HostContext,
   append: () => Promise<AppendResult>,
-  { everyMs, stopped }: AppendAgainOptions,
+  { everyMs, stopped }: HedgedAppendOptions,
 ): Promise<AppendResult> {
-  const tries = new Tries();
-  tries.add(append());
+  const attempts = new Attempts();
+  attempts.add(append());
   for (;;) {
-    const result = await within(ctx, tries.outcome, everyMs);
+    const result = await withTimeout(ctx, attempts.result, everyMs);
     if (result !== undefined) {
       return result;
     }
-    if (tries.underWay < MAX_UNDER_WAY && !stopped()) {
-      tries.add(append());
+    if (attempts.inFlight < MAX_ATTEMPTS_IN_FLIGHT && !stopped()) {
+      attempts.add(append());
     }
   }
 }
 
-/** Tries of one append. */
-class Tries {
-  /** The first answer that settles the append, or that of the last try once none is under way. */
-  readonly outcome: Promise<AppendResult>;
-  underWay = 0;
-  private mayBeThere = false;
+/** The attempts of one append. */
+class Attempts {
+  /** The first conclusive result, or the result of the last attempt once none is in flight. */
+  readonly result: Promise<AppendResult>;
+  inFlight = 0;
+  private mayBeAppended = false;
   private settle!: (result: AppendResult) => void;
 
   constructor() {
-    this.outcome = new Promise(resolve => {
+    this.result = new Promise(resolve => {
       this.settle = resolve;
     });
   }
 
-  add(trying: Promise<AppendResult>): void {
-    this.underWay += 1;
-    void trying.then(result => {
-      this.underWay -= 1;
-      this.take(result);
+  add(attempt: Promise<AppendResult>): void {
+    this.inFlight += 1;
+    void attempt.then(result => {
+      this.inFlight -= 1;
+      this.handleResult(result);
     });
   }
 
-  private take(result: AppendResult): void {
+  private handleResult(result: AppendResult): void {
     switch (result.kind) {
       case 'appended':
       case 'fenced':
@@ -74,14 +75,14 @@
         this.settle(result);
         return;
       case 'unknown':
-        this.mayBeThere = true;
+        this.mayBeAppended = true;
         break;
       case 'refused':
         break;
     }
-    if (this.underWay === 0) {
+    if (this.inFlight === 0) {
       const { reason } = result;
-      this.settle({ kind: this.mayBeThere ? 'unknown' : 'refused', reason });
+      this.settle({ kind: this.mayBeAppended ? 'unknown' : 'refused', reason });
     }
   }
 }
--- a/packages/daemon/src/job-host/append-twice.ts
+++ b/packages/daemon/src/job-host/append-twice.ts
@@ -1,56 +1,56 @@
-/** An append to the inbox that is sent once more when the answer is late. */
+/** An append to the inbox that is sent a second time when the answer is late. */
 import type { Millis } from '@paddlewind/domain';
 import type { AppendResult, JobLog } from '@paddlewind/ports/jobs';
 
-import { within } from './caller-view.js';
+import { withTimeout } from './caller-view.js';
 import type { HostContext } from './context.js';
 
-/** Time after which an append is sent once more where nothing is known of how fast the log is. */
-export const SECOND_TRY_MS: Millis = 450;
+/** Delay before the second attempt when the speed of the log is not known. */
+export const HEDGE_DELAY_MS: Millis = 450;
 
-/** How an append is repeated. */
-export interface AppendTwiceOptions {
-  /** Time after which it is sent once more. */
-  readonly secondTryMs?: Millis;
-  /** Called when the first one breaks off. */
-  readonly brokenOff?: () => void;
+/** When an append is sent a second time. */
+export interface HedgeOnceOptions {
+  /** Time without an answer after which the second attempt is sent. */
+  readonly hedgeDelayMs?: Millis;
+  /** Called when the connection of the first attempt breaks. */
+  readonly onConnectionBroken?: () => void;
 }
 
 /**
- * Appends records, which a reader takes in once however often they are there. An answer that is lost
- * costs a second append, not the request.
+ * Appends records to the inbox, with a second attempt when the answer is late or lost. Readers
+ * apply duplicate records only once, so a lost answer costs a second append and not the request.
  */
-export async function appendTwice(
+export async function appendHedgedOnce(
   ctx: HostContext,
   jobLog: JobLog,
   records: readonly Uint8Array[],
   {
-    secondTryMs = SECOND_TRY_MS,
-    brokenOff = () => undefined,
-  }: AppendTwiceOptions = {},
+    hedgeDelayMs = HEDGE_DELAY_MS,
+    onConnectionBroken = () => undefined,
+  }: HedgeOnceOptions = {},
 ): Promise<AppendResult> {
   const first = jobLog.append('inbox', records);
-  const early = await within(ctx, first, secondTryMs);
-  if (early !== undefined && early.kind !== 'unknown') {
-    return early;
+  const firstResult = await withTimeout(ctx, first, hedgeDelayMs);
+  if (firstResult !== undefined && firstResult.kind !== 'unknown') {
+    return firstResult;
   }
-  if (early !== undefined) {
-    brokenOff();
+  if (firstResult !== undefined) {
+    onConnectionBroken();
   }
-  const late = await eitherAppended(first, jobLog.append('inbox', records));
-  return late.kind === 'appended'
-    ? late
+  const result = await firstSuccessOf(first, jobLog.append('inbox', records));
+  return result.kind === 'appended'
+    ? result
     : { kind: 'unknown', reason: 'the log did not answer in time' };
 }
 
-/** Resolves with the first append that was carried out, or with the last outcome. */
-async function eitherAppended(
+/** Resolves with the first append that succeeded, or with the last result if both failed. */
+async function firstSuccessOf(
   first: Promise<AppendResult>,
   second: Promise<AppendResult>,
 ): Promise<AppendResult> {
-  const earlier = await Promise.race([first, second]);
-  if (earlier.kind === 'appended') {
-    return earlier;
+  const winner = await Promise.race([first, second]);
+  if (winner.kind === 'appended') {
+    return winner;
   }
   const [a, b] = await Promise.all([first, second]);
   return a.kind === 'appended' ? a : b;
--- a/packages/daemon/src/job-host/caller-view.ts
+++ b/packages/daemon/src/job-host/caller-view.ts
@@ -1,51 +1,54 @@
-/** What a host knows of jobs when callers ask. */
+/** The state of jobs as a host reports it to callers. */
 import type { Instant, Millis } from '@paddlewind/domain';
 import type { InboxRecord, JobState } from '@paddlewind/domain/jobs';
 
 import { pause, type HostContext } from './context.js';
 
-/** What is known of a job. */
+/** State of a job as reported to a caller. */
 export type StatusResult =
   | ({ readonly kind: 'known' } & JobState)
   | { readonly kind: 'no_such_job' }
   | { readonly kind: 'unavailable' };
 
-/** Whether a job was accepted, as far as that can be told. */
-export type FoundJob = 'known' | 'unknown' | 'unavailable';
+/** Whether a job was accepted; `unavailable` if that could not be determined. */
+export type JobLookup = 'known' | 'unknown' | 'unavailable';
 
-/** A host's copy of what was asked for and decided, from the journal or from its summary. */
+/** A host's copy of submissions and decisions, read from the journal or from the summary. */
 export interface CallerView {
-  /** Monotonic time at which the log last answered. */
+  /** Monotonic time of the last answer from the log. */
   readonly contactAt: Instant;
-  /** Whether all that the log keeps has been read once. */
+  /** Whether everything that the log keeps has been read once. */
   readonly isComplete: boolean;
-  /** Number of jobs that are not over. */
+  /** Number of unfinished jobs. */
   readonly openJobs: number;
-  /** Monotonic time as of which all that callers asked for is known. */
+  /** Monotonic time up to which all submissions and cancellations are known. */
   readonly inboxKnownAsOf: Instant;
-  /** Whether a job is known without reading on. */
+  /** Whether a job is known without reading from the log. */
   has(job: string): boolean;
-  /** Tells whether a job was accepted, as of a moment after the call. */
-  find(job: string): Promise<FoundJob>;
-  /** Tells a job's state as of a moment after the call. */
+  /** Returns whether a job was accepted, as of a moment after the call. */
+  find(job: string): Promise<JobLookup>;
+  /** Returns a job's state as of a moment after the call. */
   status(job: string): Promise<StatusResult>;
-  /** Number of accepted jobs of a queue of which nothing has begun; undefined while that can't be known. */
+  /**
+   * Returns the number of accepted jobs of a queue that have not started; undefined if it can't be
+   * determined.
+   */
   queueLength(queue: string): Promise<number | undefined>;
-  /** Takes in a record that this host has appended to the inbox. */
-  noteOwn(record: InboxRecord, offset: number): void;
-  /** Reads what callers asked for to its end; false when the log did not answer. */
+  /** Applies a record that this host has appended to the inbox. */
+  applyOwnAppend(record: InboxRecord, offset: number): void;
+  /** Reads the inbox to its end; false if the log did not answer. */
   readInbox(): Promise<boolean>;
 }
 
-/** Time after which an unknown outcome is told: below half of what callers wait. */
-export const GIVE_UP_MS: Millis = 1_300;
-/** Age of a host's copy from which it is read on before a queue's length is told. */
-export const LENGTH_REREAD_MS: Millis = 700;
-/** Oldest copy in which a queue's length may be counted; the users allow 2 s. */
-export const LENGTH_AGE_MS: Millis = 1_900;
+/** Time after which an outcome is reported as unknown: less than half of the time that callers wait. */
+export const ANSWER_TIMEOUT_MS: Millis = 1_300;
+/** Age of a host's copy above which it is refreshed before a queue length is returned. */
+export const QUEUE_LENGTH_REFRESH_AGE_MS: Millis = 700;
+/** Maximum age of the copy that a queue length is counted in; callers accept 2 s. */
+export const MAX_QUEUE_LENGTH_AGE_MS: Millis = 1_900;
 
-/** Resolves with the outcome of `work`, or with undefined after `span`. */
-export function within<T>(
+/** Resolves with the result of `work`, or with undefined after `span`. */
+export function withTimeout<T>(
   ctx: HostContext,
   work: Promise<T>,
   span: Millis,
@@ -53,11 +56,11 @@
   return Promise.race([work, pause(ctx, span).then(() => undefined)]);
 }
 
-/** Looks for a job after each of `reads` in turn; a read that fails leaves it open whether there is one. */
+/** Looks for a job, reading more with each of `reads` in turn; `unavailable` if a read fails. */
 export async function findByReading(
   has: () => boolean,
   reads: readonly (() => Promise<boolean>)[],
-): Promise<FoundJob> {
+): Promise<JobLookup> {
   for (const read of reads) {
     if (has()) {
       return 'known';
@@ -69,38 +72,38 @@
   return has() ? 'known' : 'unknown';
 }
 
-/** How a view tells a job's state. */
-export interface StatusSteps {
+/** How a view determines a job's state. */
+export interface StatusLookup {
   readonly ctx: HostContext;
-  readonly find: () => Promise<FoundJob>;
-  /** Whether the state that is known is the last one. */
-  readonly isSettled: () => boolean;
-  /** Brings the state up to date; false when that can't be done. */
-  readonly isUpToDate: () => Promise<boolean>;
-  /** The state as it is known; undefined when the job was forgotten meanwhile. */
-  readonly newest: () => JobState | undefined;
+  readonly find: () => Promise<JobLookup>;
+  /** Whether the known state is final. */
+  readonly isFinal: () => boolean;
+  /** Refreshes the state; false if that failed. */
+  readonly refresh: () => Promise<boolean>;
+  /** Returns the known state; undefined if the job was removed meanwhile. */
+  readonly currentState: () => JobState | undefined;
 }
 
-/** Tells a job's state as of a moment after the call. */
-export async function tellStatus({
+/** Returns a job's state as of a moment after the call. */
+export async function lookUpStatus({
   ctx,
   find,
-  isSettled,
-  isUpToDate,
-  newest,
-}: StatusSteps): Promise<StatusResult> {
-  const found = await find();
-  if (found === 'unavailable') {
+  isFinal,
+  refresh,
+  currentState,
+}: StatusLookup): Promise<StatusResult> {
+  const lookup = await find();
+  if (lookup === 'unavailable') {
     ctx.meters.refused('status', 'log_away');
   }
-  if (found !== 'known') {
-    return { kind: found === 'unknown' ? 'no_such_job' : 'unavailable' };
+  if (lookup !== 'known') {
+    return { kind: lookup === 'unknown' ? 'no_such_job' : 'unavailable' };
   }
-  if (!isSettled() && !(await isUpToDate())) {
+  if (!isFinal() && !(await refresh())) {
     ctx.meters.refused('status', 'unrecorded');
     return { kind: 'unavailable' };
   }
-  const state = newest();
+  const state = currentState();
   return state === undefined
     ? { kind: 'unavailable' }
     : { kind: 'known', ...state };
--- a/packages/daemon/src/job-host/config-follower.ts
+++ b/packages/daemon/src/job-host/config-follower.ts
@@ -1,35 +1,35 @@
-/** Follows the operator's configuration; it never goes back to an older version. */
+/** Follows the operator's configuration; never goes back to an older version. */
 import type { Millis } from '@paddlewind/domain';
 import type { ConfigFeed, OperatorConfig } from '@paddlewind/ports/jobs';
 
 import { pause, type HostContext } from './context.js';
 
 /**
- * Longest wait for a newer configuration in one read. A read that a cut has swallowed must be given
- * up and repeated within the 3 s after which a host counts as connected again.
+ * Longest wait for a newer configuration in one read. A read that was lost to a network partition
+ * has to time out and be repeated within the 3 s after which a host counts as connected again.
  */
 const CONFIG_WAIT_MS: Millis = 1_500;
-/** Pause before the configuration is asked for again while the log does not answer. */
+/** Pause between reads while the log does not answer. */
 const CONFIG_RETRY_MS: Millis = 200;
 
-/** Keeps the newest configuration that was read. */
+/** Keeps the newest configuration read so far. */
 export class ConfigFollower {
   private newest: OperatorConfig | undefined;
-  /** Why the entry that was read last can't be used; undefined when it can. */
+  /** Why the last entry read can't be used; undefined if it can. */
   private unreadable: string | undefined;
 
-  /** Creates a follower that knows no configuration yet. */
+  /** Creates a follower without a configuration. */
   constructor(
     private readonly ctx: HostContext,
     private readonly feed: ConfigFeed,
   ) {}
 
-  /** The newest configuration, undefined before the first. */
+  /** The newest configuration; undefined before the first. */
   get config(): OperatorConfig | undefined {
     return this.newest;
   }
 
-  /** Follows the feed for as long as the process runs. */
+  /** Follows the feed for the lifetime of the process. */
   async follow(): Promise<void> {
     for (;;) {
       const found = await this.feed.next(CONFIG_WAIT_MS);
@@ -37,14 +37,14 @@
         this.noteUnreadable('reason' in found ? found.reason : undefined);
       }
       if (found.kind === 'value') {
-        this.take(found.value);
+        this.apply(found.value);
       } else {
         await pause(this.ctx, CONFIG_RETRY_MS);
       }
     }
   }
 
-  /** The version that was in force stays so while the newest entry can't be read. */
+  /** Records that the newest entry can't be read; the configuration in force stays in force. */
   private noteUnreadable(reason: string | undefined): void {
     if (reason === this.unreadable) {
       return;
@@ -56,7 +56,7 @@
     }
   }
 
-  private take(found: OperatorConfig): void {
+  private apply(found: OperatorConfig): void {
     if (this.newest !== undefined && found.version <= this.newest.version) {
       return;
     }
--- a/packages/daemon/src/job-host/context.ts
+++ b/packages/daemon/src/job-host/context.ts
@@ -1,4 +1,4 @@
-/** What every part of the job host is given. */
+/** Dependencies shared by all parts of the job host. */
 import type { Clock, Millis, Random, Schedule } from '@paddlewind/domain';
 import type { Logger } from 'pino';
 
--- a/packages/daemon/src/job-host/duty.ts
+++ b/packages/daemon/src/job-host/duty.ts
@@ -1,9 +1,10 @@
 /**
- * Whether a host reads every decision and stands by to lead, or reads only what callers are told.
+ * The role of a host: a standby reads the whole journal and may lead, a follower of the summary
+ * reads only the states that are reported to callers.
  *
- * All stand by until the leader names those that are to. What reading the journal takes, in bytes and in
- * processor time, grows with the work of the fleet: on a fleet of 97 hosts it was most of what the hosts
- * spent.
+ * All hosts are standbys until the leader names its standbys. The cost of reading the journal, in
+ * bytes and processor time, grows with the work of the fleet: on a fleet of 97 hosts it was most of
+ * what the hosts spent.
  */
 import type { Instant, Millis } from '@paddlewind/domain';
 import { encodeRecord, STANDBYS } from '@paddlewind/domain/jobs';
@@ -20,106 +21,118 @@
   VOLUNTEER_EVERY_MS,
 } from './timing.js';
 
-/** What a host's duty depends on. */
-export interface DutyOptions {
+/** What the role of a host depends on. */
+export interface HostRoleOptions {
   readonly ctx: HostContext;
-  /** Appends an offer to the inbox; whether it arrives is seen by whom the leader names. */
+  /**
+   * Appends an offer to the inbox. Whether it arrived shows only in the standbys that the leader
+   * names.
+   */
   readonly appendOffer: (records: readonly Uint8Array[]) => Promise<unknown>;
   readonly replica: Replica;
   readonly summary: SummaryFollower;
-  /** Processors of this host. */
+  /** Number of processors of this host. */
   readonly cores: number;
-  /** Where other hosts reach this one. */
+  /** Address at which other hosts reach this one. */
   readonly peerAddress: string;
 }
 
-/** The duty of one host. */
+/** The role of one host. */
 export class Duty {
-  private observing = false;
-  /** Whether the summary was asked for a leader since the process started. */
-  private hasAsked = false;
-  private readAt: Instant = -Infinity;
-  private offersAt: Instant;
-  /** Whether fewer hosts stand by than should, as far as this host has seen. */
-  private sawVacancy = false;
-  private readonly patience: Millis;
+  private followingSummary = false;
+  /** Whether this process has tried to read the leader from the summary. */
+  private hasTriedSummary = false;
+  private summaryReadAt: Instant = -Infinity;
+  private nextOfferAt: Instant;
+  /** Whether the summary last read showed fewer standbys than there should be. */
+  private hadVacancy = false;
+  private readonly leaderTimeoutMs: Millis;
 
-  /** Creates the duty of a host that has read nothing. */
-  constructor(private readonly options: DutyOptions) {
+  /** Creates the role of a host that has read nothing. */
+  constructor(private readonly options: HostRoleOptions) {
     const { ctx } = options;
-    this.patience = SUMMARY_SILENCE_MS + this.delay();
-    this.offersAt = ctx.clock() + this.delay();
+    this.leaderTimeoutMs = SUMMARY_SILENCE_MS + this.randomDelay();
+    this.nextOfferAt = ctx.clock() + this.randomDelay();
   }
 
-  /** Whether this host reads the summary in place of the journal. */
-  get isObserving(): boolean {
-    return this.observing;
+  /** Whether this host reads the summary instead of the journal. */
+  get isFollowingSummary(): boolean {
+    return this.followingSummary;
   }
 
-  /** Takes one turn; resolves with whether this host leaves the journal unread. */
+  /**
+   * Updates the role; resolves with true if this host follows the summary and does not read the
+   * journal.
+   */
   async observes(): Promise<boolean> {
-    if (this.observing) {
-      await this.observe();
-    } else if (this.isDismissed()) {
-      await this.tryToObserve();
+    if (this.followingSummary) {
+      await this.followSummary();
+    } else if (this.isReleased()) {
+      await this.tryToFollowSummary();
     }
-    if (this.isWanted()) {
+    if (this.shouldOffer()) {
       this.offer();
     }
-    return this.observing;
+    return this.followingSummary;
   }
 
-  private async observe(): Promise<void> {
+  private async followSummary(): Promise<void> {
     const { ctx, summary } = this.options;
-    if (ctx.clock() - this.readAt >= SUMMARY_READ_EVERY_MS) {
-      this.readAt = ctx.clock();
+    if (ctx.clock() - this.summaryReadAt >= SUMMARY_READ_EVERY_MS) {
+      this.summaryReadAt = ctx.clock();
       await summary.refresh();
     }
-    if (!this.mayObserve()) {
-      ctx.log.info({ leads: summary.leads }, 'duty: reads the journal');
-      this.observing = false;
+    if (!this.mayFollowSummary()) {
+      ctx.log.info({ leads: summary.leaderInfo }, 'duty: reads the journal');
+      this.followingSummary = false;
     }
   }
 
-  private async tryToObserve(): Promise<void> {
+  private async tryToFollowSummary(): Promise<void> {
     const { ctx, replica, summary } = this.options;
-    this.hasAsked = true;
-    if ((await summary.refresh()) && this.mayObserve()) {
-      ctx.log.info({ leads: summary.leads }, 'duty: reads the summary');
-      this.observing = true;
-      this.readAt = ctx.clock();
+    this.hasTriedSummary = true;
+    if ((await summary.refresh()) && this.mayFollowSummary()) {
+      ctx.log.info({ leads: summary.leaderInfo }, 'duty: reads the summary');
+      this.followingSummary = true;
+      this.summaryReadAt = ctx.clock();
       replica.reset();
     }
   }
 
-  /** Whether the leader has chosen others to stand by, or may have before this process started. */
-  private isDismissed(): boolean {
+  /**
+   * Whether the leader has named other hosts as standbys, or may have done so before this process
+   * started.
+   */
+  private isReleased(): boolean {
     const { ctx, replica } = this.options;
     const { standbys, claim } = replica.state;
-    if (!this.hasAsked) {
+    if (!this.hasTriedSummary) {
       return true;
     }
     return (
       standbys !== undefined &&
       !standbys.includes(ctx.host) &&
       claim.host !== ctx.host &&
-      this.isLed()
+      this.hasLiveLeader()
     );
   }
 
-  /** Silence counts up to the last read only: a host that was cut off need not read the whole journal. */
-  private mayObserve(): boolean {
+  /**
+   * Whether the summary shows a live leader that has not named this host. Silence counts only up to
+   * the last read, so that a host that was cut off does not have to read the whole journal.
+   */
+  private mayFollowSummary(): boolean {
     const { ctx, summary } = this.options;
-    const { leads, knownAsOf, leaderHeardAt } = summary;
+    const { leaderInfo, knownAsOf, leaderReceivedAt } = summary;
     return (
-      leads !== undefined &&
-      leads.host !== ctx.host &&
-      !leads.standbys.includes(ctx.host) &&
-      knownAsOf - leaderHeardAt < this.patience
+      leaderInfo !== undefined &&
+      leaderInfo.host !== ctx.host &&
+      !leaderInfo.standbys.includes(ctx.host) &&
+      knownAsOf - leaderReceivedAt < this.leaderTimeoutMs
     );
   }
 
-  private isLed(): boolean {
+  private hasLiveLeader(): boolean {
     const { ctx, replica } = this.options;
     return (
       replica.isComplete &&
@@ -128,24 +141,24 @@
     );
   }
 
-  /** Whether this host is to offer itself now: it stands by, or too few do. */
-  private isWanted(): boolean {
+  /** Whether this host should offer itself as a standby now: it is one, or there are too few. */
+  private shouldOffer(): boolean {
     const { ctx, summary } = this.options;
     const now = ctx.clock();
-    if (!this.observing) {
-      return this.isLed() && now >= this.offersAt;
+    if (!this.followingSummary) {
+      return this.hasLiveLeader() && now >= this.nextOfferAt;
     }
-    const isVacant = (summary.leads?.standbys.length ?? 0) < STANDBYS;
-    if (isVacant && !this.sawVacancy) {
-      this.offersAt = now + this.delay();
+    const isVacant = (summary.leaderInfo?.standbys.length ?? 0) < STANDBYS;
+    if (isVacant && !this.hadVacancy) {
+      this.nextOfferAt = now + this.randomDelay();
     }
-    this.sawVacancy = isVacant;
-    return isVacant && now >= this.offersAt;
+    this.hadVacancy = isVacant;
+    return isVacant && now >= this.nextOfferAt;
   }
 
   private offer(): void {
     const { ctx, cores, peerAddress } = this.options;
-    this.offersAt = ctx.clock() + VOLUNTEER_EVERY_MS;
+    this.nextOfferAt = ctx.clock() + VOLUNTEER_EVERY_MS;
     const record = encodeRecord({
       kind: 'volunteer',
       host: ctx.host,
@@ -155,10 +168,10 @@
     void this.options.appendOffer([record]);
   }
 
-  /** Large hosts come first. */
-  private delay(): Millis {
+  /** Returns a random delay; large hosts act first. */
+  private randomDelay(): Millis {
     const { ctx, cores } = this.options;
-    const first = cores < LEADER_CORES ? DUTY_SPREAD_MS : 0;
-    return first + ctx.random() * DUTY_SPREAD_MS;
+    const baseDelay = cores < LEADER_CORES ? DUTY_SPREAD_MS : 0;
+    return baseDelay + ctx.random() * DUTY_SPREAD_MS;
   }
 }
--- a/packages/daemon/src/job-host/group-append.ts
+++ b/packages/daemon/src/job-host/group-append.ts
@@ -1,46 +1,46 @@
-/** Appends together what is asked for while an append is under way. */
+/** Combines the records that arrive during an append into the next one. */
 import type { Millis } from '@paddlewind/domain';
 import type { AppendResult, JobLog } from '@paddlewind/ports/jobs';
 
 import { SLOW_FACTOR } from './append-again.js';
-import { appendTwice, SECOND_TRY_MS } from './append-twice.js';
-import { within } from './caller-view.js';
+import { appendHedgedOnce, HEDGE_DELAY_MS } from './append-twice.js';
+import { withTimeout } from './caller-view.js';
 import type { HostContext } from './context.js';
 
-/** Records of one request, and who waits for their outcome. */
-interface Waiting {
+/** Records of one request, and the callback that gets their result. */
+interface PendingAppend {
   readonly records: readonly Uint8Array[];
   readonly settle: (result: AppendResult) => void;
 }
 
-/** Most records of one append: with 2 KB each it stays far below the log's limit. */
-const MAX_RECORDS = 400;
+/** At 2 KB per record an append of this many stays far below the log's limit. */
+const MAX_BATCH_RECORDS = 400;
 
-/** Time after which the next append is sent though the last was not answered: its answer may be lost. */
-const LONGEST_TURN_MS: Millis = 250;
+/** Time without an answer after which the next batch is sent, since the answer may be lost. */
+const MAX_TURN_MS: Millis = 250;
 
 /**
- * Some appends a second to the inbox at the most. The log takes the appends of a partition one after the other: at the
- * 200 ms each that they take while it is slow, five callers a second are accepted one by one, and all
- * that come together.
+ * Limits the inbox to a few appends a second. The log carries out the appends of a partition one
+ * after the other: at 200 ms each, as when the log is slow, five callers a second would be served
+ * one by one, but any number in batches.
  */
-export class GroupAppend {
-  private waiting: Waiting[] = [];
-  private isBusy = false;
-  /** Time that the newest append took. */
-  private answerMs: Millis = 0;
+export class AppendBatcher {
+  private pending: PendingAppend[] = [];
+  private isSending = false;
+  /** Duration of the last append. */
+  private lastAppendMs: Millis = 0;
 
-  /** Creates a group that appends to the inbox of `jobLog`. */
+  /** Creates a batcher that appends to the inbox of `jobLog`. */
   constructor(
     private readonly ctx: HostContext,
     private readonly jobLog: JobLog,
   ) {}
 
-  /** Appends records with the next append; all of it share its outcome. */
+  /** Appends records with the next batch; all requests of a batch share its result. */
   append(records: readonly Uint8Array[]): Promise<AppendResult> {
     return new Promise(settle => {
-      this.waiting.push({ records, settle });
-      if (!this.isBusy) {
+      this.pending.push({ records, settle });
+      if (!this.isSending) {
         void this.appendAll();
       }
     });
@@ -48,16 +48,20 @@
 
   private async appendAll(): Promise<void> {
     const { ctx } = this;
-    this.isBusy = true;
-    for (let group = this.next(); group.length > 0; group = this.next()) {
-      const records = group.flatMap(waiting => waiting.records);
-      const told = group;
+    this.isSending = true;
+    for (
+      let batch = this.nextBatch();
+      batch.length > 0;
+      batch = this.nextBatch()
+    ) {
+      const records = batch.flatMap(pending => pending.records);
+      const current = batch;
       const appending = this.appendOnce(records).then(result => {
-        settleAll(told, result);
+        settleAll(current, result);
       });
-      await within(ctx, appending, LONGEST_TURN_MS);
+      await withTimeout(ctx, appending, MAX_TURN_MS);
     }
-    this.isBusy = false;
+    this.isSending = false;
   }
 
   private async appendOnce(
@@ -65,35 +69,43 @@
   ): Promise<AppendResult> {
     const { ctx, jobLog } = this;
     const sentAt = ctx.clock();
-    // While the log is slow, a second append of each would take twice the time that it has.
-    const secondTryMs = Math.max(SECOND_TRY_MS, SLOW_FACTOR * this.answerMs);
-    const result = await appendTwice(ctx, jobLog, records, { secondTryMs });
+    // On a slow log, sending each append twice would need twice the time that the log has.
+    const secondTryMs = Math.max(
+      HEDGE_DELAY_MS,
+      SLOW_FACTOR * this.lastAppendMs,
+    );
+    const result = await appendHedgedOnce(ctx, jobLog, records, {
+      hedgeDelayMs: secondTryMs,
+    });
     if (result.kind === 'appended') {
-      this.answerMs = ctx.clock() - sentAt;
+      this.lastAppendMs = ctx.clock() - sentAt;
     }
     return result;
   }
 
-  private next(): Waiting[] {
+  private nextBatch(): PendingAppend[] {
     let count = 0;
-    const end = this.waiting.findIndex(({ records }) => {
+    const end = this.pending.findIndex(({ records }) => {
       count += records.length;
-      return count > MAX_RECORDS;
+      return count > MAX_BATCH_RECORDS;
     });
-    return this.waiting.splice(0, end < 0 ? Infinity : Math.max(1, end));
+    return this.pending.splice(0, end < 0 ? Infinity : Math.max(1, end));
   }
 }
 
-/** Gives each its own part of the offsets. */
-function settleAll(group: readonly Waiting[], result: AppendResult): void {
+/** Passes the result on; each request gets its own range of offsets. */
+function settleAll(
+  batch: readonly PendingAppend[],
+  result: AppendResult,
+): void {
   if (result.kind !== 'appended') {
-    group.forEach(({ settle }) => {
+    batch.forEach(({ settle }) => {
       settle(result);
     });
     return;
   }
   let { offset } = result;
-  for (const { records, settle } of group) {
+  for (const { records, settle } of batch) {
     const nextOffset = offset + records.length;
     settle({ kind: 'appended', offset, nextOffset });
     offset = nextOffset;
--- a/packages/daemon/src/job-host/http-front.ts
+++ b/packages/daemon/src/job-host/http-front.ts
@@ -1,4 +1,4 @@
-/** A plain HTTP server for callers: bounded bodies, and an end that loses no request. */
+/** A plain HTTP server for callers, with bounded bodies and a graceful shutdown. */
 import {
   createServer,
   type IncomingMessage,
@@ -10,7 +10,7 @@
 
 import { splitAddress } from '../listening.js';
 
-/** A caller's request, read whole. */
+/** A caller's request with its whole body. */
 export interface CallerRequest {
   readonly method: string;
   readonly host: string;
@@ -19,48 +19,47 @@
   readonly body: Buffer;
 }
 
-/** The answer to a caller. */
+/** The response to a caller. */
 export interface CallerAnswer {
   readonly status: number;
   readonly headers?: Record<string, string>;
   readonly body?: string;
 }
 
-/** Answers requests. */
+/** Handles requests. */
 export type Handler = (req: CallerRequest) => Promise<CallerAnswer>;
 
 /** A listening server. */
 export interface HttpFront {
   readonly port: number;
-  /** Answers what is under way, closes idle connections and stops; resolves when all are closed. */
+  /** Completes requests in flight, closes idle connections and stops; resolves when all are closed. */
   close(): Promise<void>;
 }
 
-/** What a front is given. */
-export interface HttpFrontOptions {
+/** Options of the server. */
+export interface CallerServerOptions {
   /** `ip:port`. */
   readonly address: string;
   readonly maxBodyBytes: () => number;
   readonly handle: Handler;
   readonly failed: (err: unknown) => void;
-  /** Told of each answer, with the time since the request's head was read. */
+  /** Called after each response with the time since the head of the request was read. */
   readonly answered?: (method: string, status: number, span: Millis) => void;
   /** Monotonic. */
   readonly clock: Clock;
 }
 
-/** How long an idle connection is kept, in milliseconds. */
-const IDLE_MS = 60_000;
+const KEEP_ALIVE_TIMEOUT_MS = 60_000;
 
-/** Begins to listen. */
+/** Starts listening. */
 export async function startHttpFront(
-  options: HttpFrontOptions,
+  options: CallerServerOptions,
 ): Promise<HttpFront> {
   let closing = false;
   const server = createServer((req, res) => {
     void serve(req, res);
   });
-  server.keepAliveTimeout = IDLE_MS;
+  server.keepAliveTimeout = KEEP_ALIVE_TIMEOUT_MS;
   await listen(server, options.address);
 
   async function serve(
@@ -110,7 +109,7 @@
   });
 }
 
-/** Returns undefined when the body is larger than allowed. */
+/** Returns undefined if the body is larger than `maxBytes`. */
 async function readBody(
   req: IncomingMessage,
   maxBytes: number,
--- a/packages/daemon/src/job-host/inbox-sender.test.ts
+++ b/packages/daemon/src/job-host/inbox-sender.test.ts
@@ -12,7 +12,7 @@
 
 import type { CallerView } from './caller-view.js';
 import { testContext } from './context.fixture.test.js';
-import { GroupAppend } from './group-append.js';
+import { AppendBatcher } from './group-append.js';
 import { InboxSender } from './inbox-sender.js';
 import { jobOf, Simulation } from './simulation.fixture.test.js';
 
@@ -109,7 +109,7 @@
   const time = createVirtualTime();
   const log = new MemoryJobLog({ ...time, random: () => 0.5 });
   log.appendMs = SLOW_APPEND_MS;
-  const group = new GroupAppend(testContext(time), log.connect('h'));
+  const group = new AppendBatcher(testContext(time), log.connect('h'));
   const appends = Array.from({ length: 50 }, () => group.append(RECORD));
   await time.advance(3 * SLOW_APPEND_MS);
   const offsets = (await Promise.all(appends)).map(found =>
@@ -125,7 +125,7 @@
   const time = createVirtualTime();
   const log = new MemoryJobLog({ ...time, random: () => 0.5 });
   log.appendMs = 600;
-  const group = new GroupAppend(testContext(time), log.connect('h'));
+  const group = new AppendBatcher(testContext(time), log.connect('h'));
   for (let at = 0; at < 8; at += 1) {
     void group.append(RECORD);
     await time.advance(700);
--- a/packages/daemon/src/job-host/inbox-sender.ts
+++ b/packages/daemon/src/job-host/inbox-sender.ts
@@ -1,87 +1,93 @@
-/** Brings what callers ask for into the inbox, through the leader where that can be. */
+/** Appends callers' requests to the inbox, through the leader when possible. */
 import type { Instant, Millis } from '@paddlewind/domain';
 import type { AppendResult, JobLog } from '@paddlewind/ports/jobs';
 
-import { appendTwice } from './append-twice.js';
+import { appendHedgedOnce } from './append-twice.js';
 import type { CallerView } from './caller-view.js';
 import { pause, type HostContext } from './context.js';
 import { CONTACT_LOST_MS, INBOX_RETRY_MS } from './timing.js';
 
-/** How long appends go straight to the log after the leader did not take one. */
-const LEADER_REST_MS: Millis = 2_000;
+/** Time for which appends go directly to the log after the leader failed to append one. */
+const LEADER_BACKOFF_MS: Millis = 2_000;
 
-/** Appends records to the inbox, together with those of others. */
+/** Appends records to the inbox in a batch with those of other callers. */
 export type Appender = (
   records: readonly Uint8Array[],
 ) => Promise<AppendResult>;
 
-/** What a sender is given. */
+/** Options of the sender. */
 export interface InboxSenderOptions {
   readonly ctx: HostContext;
   readonly jobLog: JobLog;
   readonly view: () => CallerView;
-  /** Who appends for all hosts at present; undefined where this host is to append by itself. */
+  /**
+   * Returns the function that appends through the leader; undefined if this host has to append by
+   * itself.
+   */
   readonly leader: () => Appender | undefined;
 }
 
 /** Appends to the inbox for callers of this host. */
 export class InboxSender {
-  /** Whether an append to the inbox broke off and the inbox could not be read since. */
-  private inDoubt = false;
-  /** Until when the leader is not asked. */
-  private directUntil: Instant = -Infinity;
+  /** Whether an append to the inbox was interrupted and the inbox has not been read since. */
+  private awaitsInboxRead = false;
+  /** Time until which the leader is bypassed. */
+  private bypassLeaderUntil: Instant = -Infinity;
 
   /** Creates a sender that trusts the leader and the log. */
   constructor(private readonly options: InboxSenderOptions) {}
 
-  /** Appends records; whoever reads the inbox takes the same job in once, however often it is there. */
+  /** Appends records; readers of the inbox apply a duplicate record only once. */
   async append(records: readonly Uint8Array[]): Promise<AppendResult> {
     const { ctx, jobLog, view } = this.options;
-    const lost = ctx.clock() - view().contactAt > CONTACT_LOST_MS;
-    if (lost || this.inDoubt) {
+    const isDisconnected = ctx.clock() - view().contactAt > CONTACT_LOST_MS;
+    if (isDisconnected || this.awaitsInboxRead) {
       const reason = 'the log does not answer this host';
       return { kind: 'refused', reason };
     }
-    const taken = await this.throughLeader(records);
-    if (taken?.kind === 'appended') {
-      return taken;
+    const viaLeader = await this.appendThroughLeader(records);
+    if (viaLeader?.kind === 'appended') {
+      return viaLeader;
     }
-    const own = await appendTwice(ctx, jobLog, records, {
-      brokenOff: () => {
-        void this.doubt();
+    const direct = await appendHedgedOnce(ctx, jobLog, records, {
+      onConnectionBroken: () => {
+        void this.refuseUntilInboxRead();
       },
     });
-    // What the leader may have appended was not refused, whatever became of the second append.
-    const mayBeThere = taken?.kind === 'unknown' && own.kind !== 'appended';
-    return mayBeThere ? taken : own;
+    // The leader may have appended the records, so the result can't be a refusal whatever the
+    // second append returned.
+    const mayBeAppended =
+      viaLeader?.kind === 'unknown' && direct.kind !== 'appended';
+    return mayBeAppended ? viaLeader : direct;
   }
 
-  private async throughLeader(
+  private async appendThroughLeader(
     records: readonly Uint8Array[],
   ): Promise<AppendResult | undefined> {
     const { ctx, leader } = this.options;
     const append = leader();
-    if (append === undefined || ctx.clock() < this.directUntil) {
+    if (append === undefined || ctx.clock() < this.bypassLeaderUntil) {
       return undefined;
     }
     const result = await append(records);
     if (result.kind !== 'appended') {
-      this.directUntil = ctx.clock() + LEADER_REST_MS;
+      this.bypassLeaderUntil = ctx.clock() + LEADER_BACKOFF_MS;
       ctx.log.info({ result }, 'inbox: the leader did not take a record');
     }
     return result;
   }
 
   /**
-   * An append broke off, as when the log resets connections: until the inbox can be read, callers are
-   * told at once to come back. They were not run, so that they may ask again; the outcome of an append
-   * that is tried stays unknown, and on some they don't ask again: 448 of 5,800 on a day of 29 hosts.
+   * Refuses requests until the inbox can be read, after an append was interrupted (for example when
+   * the log resets connections). A refused caller knows that nothing was recorded and may retry. If
+   * the append were tried, its outcome would stay unknown, and callers don't retry all of those:
+   * 448 of 5,800 on a day of 29 hosts.
    */
-  private async doubt(): Promise<void> {
-    if (this.inDoubt) {
+  private async refuseUntilInboxRead(): Promise<void> {
+    if (this.awaitsInboxRead) {
       return;
     }
-    this.inDoubt = true;
+    this.awaitsInboxRead = true;
     const { ctx, view } = this.options;
     const since = ctx.clock();
     while (view().inboxKnownAsOf <= since) {
@@ -89,6 +95,6 @@
         await pause(ctx, INBOX_RETRY_MS);
       }
     }
-    this.inDoubt = false;
+    this.awaitsInboxRead = false;
   }
 }
--- a/packages/daemon/src/job-host/job-service.ts
+++ b/packages/daemon/src/job-host/job-service.ts
@@ -1,4 +1,4 @@
-/** What callers ask of a host: submit, state, cancel and the length of a queue. */
+/** The operations that a host offers to callers: submit, status, cancel and queue length. */
 import type { Instant } from '@paddlewind/domain';
 import {
   askedSizeOf,
@@ -9,49 +9,49 @@
 import type { AppendResult } from '@paddlewind/ports/jobs';
 
 import {
-  GIVE_UP_MS,
-  within,
+  ANSWER_TIMEOUT_MS,
+  withTimeout,
   type CallerView,
   type StatusResult,
 } from './caller-view.js';
 import type { HostContext } from './context.js';
 import type { InboxSender } from './inbox-sender.js';
 
-/** What became of a submission or a cancellation. */
+/** Outcome of a submission or a cancellation. */
 export type ChangeResult =
   | { readonly kind: 'recorded' }
   | { readonly kind: 'no_such_job' }
-  /** Nothing was recorded, nor will be. */
+  /** Nothing was or will be recorded. */
   | { readonly kind: 'refused'; readonly reason: string }
-  /** It may be recorded. */
+  /** It may have been recorded. */
   | { readonly kind: 'unknown'; readonly reason: string };
 
-/** Time before the caller's deadline at which an outcome that is still unknown is told. */
+/** Time before the caller's deadline at which an outcome that is still unknown is reported. */
 const ANSWER_MARGIN_MS = 300;
 
-/** The service that entry hosts offer to callers. */
+/** The service that hosts offer to callers. */
 export class JobService {
-  /** Creates the service; `view` is what this host knows at present. */
+  /** Creates the service; `view` returns the current copy of the state of jobs. */
   constructor(
     private readonly ctx: HostContext,
     private readonly inbox: InboxSender,
     private readonly view: () => CallerView,
   ) {}
 
-  /** Accepts a job once it is recorded; a repeat changes nothing. */
+  /** Accepts a job once it is recorded; submitting it again changes nothing. */
   async submit(job: JobSpec, deadline: Instant): Promise<ChangeResult> {
     if (this.view().has(job.id)) {
       return { kind: 'recorded' };
     }
     const atWall = this.ctx.wallClock();
-    return this.change({ kind: 'submit', job, atWall }, job.id, deadline);
+    return this.recordChange({ kind: 'submit', job, atWall }, job.id, deadline);
   }
 
-  /** Cancels a job once that is recorded. */
+  /** Cancels a job; resolves once the cancellation is recorded. */
   async cancel(job: string, deadline: Instant): Promise<ChangeResult> {
     switch (await this.view().find(job)) {
       case 'known':
-        return this.change({ kind: 'cancel', job }, job, deadline);
+        return this.recordChange({ kind: 'cancel', job }, job, deadline);
       case 'unknown':
         return { kind: 'no_such_job' };
       case 'unavailable':
@@ -59,48 +59,61 @@
     }
   }
 
-  /** Tells a job's state as of a moment after the call. */
+  /** Returns a job's state as of a moment after the call. */
   status(job: string): Promise<StatusResult> {
     return this.view().status(job);
   }
 
-  /** Number of accepted jobs of a queue of which nothing has begun; undefined while that can't be known. */
+  /**
+   * Returns the number of accepted jobs of a queue that have not started; undefined if it can't be
+   * determined.
+   */
   queueLength(queue: string): Promise<number | undefined> {
     return this.view().queueLength(queue);
   }
 
-  private async change(
+  private async recordChange(
     record: InboxRecord,
     job: string,
     deadline: Instant,
   ): Promise<ChangeResult> {
     const result = await this.append(record, deadline);
-    const asked = record.kind === 'submit' ? askedFor(record.job) : {};
+    const jobFields = record.kind === 'submit' ? logFieldsOf(record.job) : {};
     this.ctx.log.info(
-      { job, ...asked, change: record.kind, result },
+      { job, ...jobFields, change: record.kind, result },
       'jobs: answered',
     );
     return result;
   }
 
-  /** Tells soon when the outcome stays unknown. */
+  /** Appends a record and reports an unknown outcome before the caller gives up. */
   private async append(
     record: InboxRecord,
     deadline: Instant,
   ): Promise<ChangeResult> {
     const { ctx } = this;
     const now = ctx.clock();
-    const giveUpAt = Math.min(deadline - ANSWER_MARGIN_MS, now + GIVE_UP_MS);
-    const work = this.inbox.append([encodeRecord(record)]);
-    const result = await within(ctx, work, Math.max(0, giveUpAt - now));
+    const timeoutAt = Math.min(
+      deadline - ANSWER_MARGIN_MS,
+      now + ANSWER_TIMEOUT_MS,
+    );
+    const appending = this.inbox.append([encodeRecord(record)]);
+    const result = await withTimeout(
+      ctx,
+      appending,
+      Math.max(0, timeoutAt - now),
+    );
     return result === undefined
       ? { kind: 'unknown', reason: 'the log did not answer in time' }
-      : this.settle(record, result);
+      : this.toChangeResult(record, result);
   }
 
-  private settle(record: InboxRecord, result: AppendResult): ChangeResult {
+  private toChangeResult(
+    record: InboxRecord,
+    result: AppendResult,
+  ): ChangeResult {
     if (result.kind === 'appended') {
-      this.view().noteOwn(record, result.offset);
+      this.view().applyOwnAppend(record, result.offset);
       return { kind: 'recorded' };
     }
     if (result.kind === 'unknown') {
@@ -111,7 +124,7 @@
   }
 }
 
-/** What the log tells of a job that a caller asks for. */
-function askedFor(job: JobSpec): Record<string, unknown> {
+/** Returns the fields that the log line shows for a submitted job. */
+function logFieldsOf(job: JobSpec): Record<string, unknown> {
   return { queue: job.terms.queue, ...askedSizeOf(job) };
 }
--- a/packages/daemon/src/job-host/link-meters.ts
+++ b/packages/daemon/src/job-host/link-meters.ts
@@ -1,4 +1,4 @@
-/** Metrics of what the connections of a host carry. */
+/** Metrics of the traffic on the connections of a host. */
 import { Counter, type Registry } from 'prom-client';
 
 /** Bytes in each direction so far. */
@@ -7,13 +7,16 @@
   readonly received: number;
 }
 
-/** Registers the bytes to and from peers of each kind; they are counted when the metrics are asked for. */
+/**
+ * Registers a counter of the bytes to and from peers of each kind, updated when the metrics are
+ * scraped.
+ */
 export function registerLinkUse<K extends string>(
   registry: Registry,
   kinds: readonly K[],
   total: (kind: K) => BytesSoFar,
 ): void {
-  const told = new Map<K, BytesSoFar>();
+  const lastTotals = new Map<K, BytesSoFar>();
   const bytes: Counter = new Counter({
     name: 'paddlewind_jobs_link_bytes_total',
     help: 'Bytes on connections that this host has opened, by what is at the other end, and direction.',
@@ -22,10 +25,13 @@
     collect: () => {
       for (const peer of kinds) {
         const { sent, received } = total(peer);
-        const before = told.get(peer) ?? { sent: 0, received: 0 };
-        told.set(peer, { sent, received });
-        bytes.inc({ peer, direction: 'sent' }, sent - before.sent);
-        bytes.inc({ peer, direction: 'received' }, received - before.received);
+        const previous = lastTotals.get(peer) ?? { sent: 0, received: 0 };
+        lastTotals.set(peer, { sent, received });
+        bytes.inc({ peer, direction: 'sent' }, sent - previous.sent);
+        bytes.inc(
+          { peer, direction: 'received' },
+          received - previous.received,
+        );
       }
     },
   });
--- a/packages/daemon/src/job-host/loop-delay.test.ts
+++ b/packages/daemon/src/job-host/loop-delay.test.ts
@@ -5,7 +5,7 @@
 import type { Millis } from '@paddlewind/domain';
 import { pino } from 'pino';
 
-import { LOOP_SAMPLE_EVERY_MS, watchLoop } from './loop-delay.js';
+import { LOOP_SAMPLE_INTERVAL_MS, watchLoop } from './loop-delay.js';
 
 interface Line {
   readonly msg: string;
@@ -63,7 +63,7 @@
     loop.fire(late);
   }
   assert.deepEqual(loop.delays, [0, 3, 700, 0]);
-  assert.equal(loop.now, 4 * LOOP_SAMPLE_EVERY_MS + 703);
+  assert.equal(loop.now, 4 * LOOP_SAMPLE_INTERVAL_MS + 703);
 });
 
 test('a timer that fires early is not late', () => {
--- a/packages/daemon/src/job-host/loop-delay.ts
+++ b/packages/daemon/src/job-host/loop-delay.ts
@@ -1,28 +1,28 @@
 /**
- * Samples how late timers of the process fire, and tells when its loop was held up. Node's own monitor
- * of the loop costs less, but drops the sample after each reset, and only shows the longest without.
+ * Samples the delay of the event loop and logs when it was blocked. Node's own event-loop monitor
+ * costs less, but drops the sample after each reset, and without resets shows only the maximum.
  */
 import type { Clock, Millis, Schedule } from '@paddlewind/domain';
 import type { Logger } from 'pino';
 
-/** Time between samples, in milliseconds: the leader plans as often without an event. */
-export const LOOP_SAMPLE_EVERY_MS: Millis = 250;
-/** Delay over which a line is written, in milliseconds: a fifth of the age at which the inbox is stale. */
-export const LOOP_HELD_UP_MS: Millis = 500;
-/** Shortest time between two lines, in milliseconds. */
-const TELL_EVERY_MS: Millis = 1_000;
+/** Time between samples: as often as the leader plans when there is no event. */
+export const LOOP_SAMPLE_INTERVAL_MS: Millis = 250;
+/** Delay above which a warning is logged: a fifth of the age at which the inbox counts as stale. */
+export const LOOP_DELAY_WARNING_MS: Millis = 500;
+/** Shortest time between two warnings. */
+const WARNING_INTERVAL_MS: Millis = 1_000;
 
-/** What the watch on the loop is given. */
-export interface LoopWatch {
+/** Options of the event-loop monitor. */
+export interface LoopMonitorOptions {
   /** Monotonic. */
   readonly clock: Clock;
   readonly schedule: Schedule;
   readonly log: Logger;
-  /** Takes each sample: how late the timer fired. */
+  /** Called with each sample: how late the timer fired. */
   readonly delayed: (delay: Millis) => void;
 }
 
-/** Schedules by a timer that doesn't keep the process alive. */
+/** Schedules `task` with a timer that doesn't keep the process alive. */
 export function scheduleInBackground(
   delay: Millis,
   task: () => void,
@@ -34,36 +34,36 @@
 }
 
 /**
- * Samples until the returned function is called. A loop that was held up for some time is seen as late
- * by that time or by up to `LOOP_SAMPLE_EVERY_MS` less.
+ * Samples until the returned function is called. The delay that a sample shows may be shorter than
+ * the time for which the loop was blocked, by at most `LOOP_SAMPLE_EVERY_MS`.
  */
-export function watchLoop(watch: LoopWatch): () => void {
-  const { clock, schedule, log, delayed } = watch;
-  let toldAt = -Infinity;
-  let untold = 0;
-  let cancel = sample();
+export function watchLoop(options: LoopMonitorOptions): () => void {
+  const { clock, schedule, log, delayed } = options;
+  let warnedAt = -Infinity;
+  let suppressed = 0;
+  let cancel = scheduleSample();
 
-  function sample(): () => void {
-    const dueAt = clock() + LOOP_SAMPLE_EVERY_MS;
-    return schedule(LOOP_SAMPLE_EVERY_MS, () => {
+  function scheduleSample(): () => void {
+    const dueAt = clock() + LOOP_SAMPLE_INTERVAL_MS;
+    return schedule(LOOP_SAMPLE_INTERVAL_MS, () => {
       const now = clock();
       const delay = Math.max(0, now - dueAt);
       delayed(delay);
-      if (delay > LOOP_HELD_UP_MS) {
-        tell(delay, now);
+      if (delay > LOOP_DELAY_WARNING_MS) {
+        warn(delay, now);
       }
-      cancel = sample();
+      cancel = scheduleSample();
     });
   }
 
-  function tell(delayMs: Millis, now: number): void {
-    if (now - toldAt < TELL_EVERY_MS) {
-      untold += 1;
+  function warn(delayMs: Millis, now: number): void {
+    if (now - warnedAt < WARNING_INTERVAL_MS) {
+      suppressed += 1;
       return;
     }
-    log.warn({ delayMs, untold }, 'daemon: the loop was held up');
-    toldAt = now;
-    untold = 0;
+    log.warn({ delayMs, untold: suppressed }, 'daemon: the loop was held up');
+    warnedAt = now;
+    suppressed = 0;
   }
 
   return () => {
--- a/packages/daemon/src/job-host/metered-ports.ts
+++ b/packages/daemon/src/job-host/metered-ports.ts
@@ -1,16 +1,20 @@
-/** Ports whose calls are counted and timed. */
+/** Wrappers of ports that count and time their calls. */
 import type { Clock } from '@paddlewind/domain';
 import type { AdvicePort, JobLog, WorkerPort } from '@paddlewind/ports/jobs';
 
 import type { Dependency, JobMeters } from './meters.js';
 
 /** Times calls to one dependency. */
-type Timed = <T extends { readonly kind: string }>(
+type TimeCall = <T extends { readonly kind: string }>(
   call: string,
   result: Promise<T>,
 ) => Promise<T>;
 
-function timed(dependency: Dependency, meters: JobMeters, clock: Clock): Timed {
+function callTimer(
+  dependency: Dependency,
+  meters: JobMeters,
+  clock: Clock,
+): TimeCall {
   return async (call, result) => {
     const sentAt = clock();
     const found = await result;
@@ -19,27 +23,27 @@
   };
 }
 
-/** Counts calls to the log. */
+/** Wraps the log with metrics. */
 export function meterLog(log: JobLog, meters: JobMeters, clock: Clock): JobLog {
-  const time = timed('log', meters, clock);
+  const time = callTimer('log', meters, clock);
   return {
     append: (stream, records, stamp) =>
       time(`append ${stream}`, log.append(stream, records, stamp)),
     read: (stream, from, limits) => {
-      // A read that waits tells nothing of how fast the log is.
+      // A long-polling read says nothing about the speed of the log.
       const call = limits.waitMs > 0 ? `wait ${stream}` : `read ${stream}`;
       return time(call, log.read(stream, from, limits));
     },
   };
 }
 
-/** Counts calls to workers. */
+/** Wraps the worker port with metrics. */
 export function meterWorkers(
   port: WorkerPort,
   meters: JobMeters,
   clock: Clock,
 ): WorkerPort {
-  const time = timed('worker', meters, clock);
+  const time = callTimer('worker', meters, clock);
   return {
     start: (worker, order) => time('start', port.start(worker, order)),
     stop: (worker, order) => time('stop', port.stop(worker, order)),
@@ -53,13 +57,13 @@
   };
 }
 
-/** Counts calls to the advice service. */
+/** Wraps the advice service with metrics. */
 export function meterAdvice(
   port: AdvicePort,
   meters: JobMeters,
   clock: Clock,
 ): AdvicePort {
-  const time = timed('advice', meters, clock);
+  const time = callTimer('advice', meters, clock);
   return {
     ask: (step, workers, timeoutMs) =>
       time('ask', port.ask(step, workers, timeoutMs)),
--- a/packages/daemon/src/job-host/meters.ts
+++ b/packages/daemon/src/job-host/meters.ts
@@ -1,4 +1,4 @@
-/** Metrics of a job host; docs/OPERATIONS.md tells what to look at. */
+/** Metrics of a job host; docs/OPERATIONS.md explains how to read them. */
 import type { Millis } from '@paddlewind/domain';
 import type {
   FleetAccount,
@@ -7,37 +7,41 @@
 } from '@paddlewind/domain/jobs';
 import { Counter, Gauge, Histogram, type Registry } from 'prom-client';
 
-/** Whose answers a call waits for. */
+/** The dependency that a call waits for. */
 export type Dependency = 'log' | 'worker' | 'advice';
 
 /** Why a run was ordered to stop. */
 export type StopReason = 'needless' | 'stalled' | 'slowed' | 'leaving';
 
 /**
- * Why a start that was decided on is not sent: it has waited for too long, its job is over, nobody needs
- * the run, what it was decided on is too old, or its worker does not answer or leaves.
+ * Why a planned start was not sent: it waited too long, its job has finished, the run is not needed
+ * any more, the state it was planned from is too old, or its worker does not answer or is leaving.
  */
 export type StartGivenUp = 'late' | 'over' | 'needless' | 'stale' | 'worker';
 
 /**
- * Why all runs of a worker were given up: it has started again or another one answered, it did not answer until its lease had
- * ended, or it had left the registry before this leader took over.
+ * Why all runs of a worker were abandoned: it restarted or another worker answered, it did not
+ * answer until its lease had expired, or it was removed from the registry before this leader took
+ * over.
  */
 export type WorkerGivenUp = 'replaced' | 'unanswered' | 'unregistered';
 
-/** What a caller asked for that was refused; changes that are refused are counted among the requests. */
+/**
+ * Kinds of caller requests that are counted when refused; refused changes are counted among the
+ * requests.
+ */
 export type RefusedRequest = 'queue_length' | 'status';
 
 /**
- * Why a request was refused: the log does not answer, what this host has read is too old, or the
- * leader's decisions were not recorded in time.
+ * Why a request was refused: the log does not answer, this host's copy is too old, or the leader's
+ * decisions were not recorded in time.
  */
 export type RefusalReason = 'log_away' | 'stale' | 'unrecorded';
 
-/** What other writers' entries are about. */
+/** What the unreadable entries are about. */
 export type UnreadableKind = 'worker' | 'config';
 
-/** What a job host counts. */
+/** Metrics recorded by a job host. */
 export interface JobMeters {
   /** A caller's request was answered with an HTTP status after `span`. */
   readonly answered: (method: string, status: number, span: Millis) => void;
@@ -48,67 +52,67 @@
     outcome: string,
     span: Millis,
   ) => void;
-  /** The leader decided on a record of the journal. */
+  /** The leader decided on a journal record. */
   readonly decided: (kind: JournalRecord['kind']) => void;
-  /** A run has ended; `lost` with its worker. */
+  /** A run ended; `lost` if it ended with its worker. */
   readonly ended: (how: RunEnd | 'lost') => void;
-  /** All runs of a worker, one or more, were given up. */
+  /** All runs of a worker, one or more, were abandoned. */
   readonly workerGivenUp: (reason: WorkerGivenUp) => void;
-  /** A worker has started again under its id. */
+  /** A worker restarted under its id. */
   readonly workerRestarted: () => void;
-  /** A run that a worker had listed as at work is listed no more, and no end of it was. */
+  /** A worker stopped listing a run as active without having listed its end. */
   readonly runMissing: () => void;
-  /** A worker no longer lists `count` ends that it has not listed to this leader. */
+  /** A worker no longer lists `count` ends that it has never listed to this leader. */
   readonly endsMissing: (count: number) => void;
-  /** A task is given up, and its job has failed with it: workers were lost under its runs. */
+  /** A task was abandoned and its job failed, since workers were lost while running it. */
   readonly taskGivenUp: () => void;
   /** A run was ordered to stop. */
   readonly stopped: (reason: StopReason) => void;
-  /** A start was sent `wait` after its decision, when the leader's reading of the inbox was `inboxAge` old. */
+  /** A start was sent `wait` after its decision, with a copy of the inbox that was `inboxAge` old. */
   readonly startSent: (wait: Millis, inboxAge: Millis) => void;
-  /** Another host was to send a start for this one, which leads. */
+  /** The leader asked another host to send a start. */
   readonly startRelayed: (outcome: string) => void;
-  /** Another host has taken starts, `tookMs` after they were sent. */
+  /** Another host accepted starts `tookMs` after they were sent. */
   readonly startsTaken: (tookMs: Millis) => void;
-  /** A start that was decided on is not sent. */
+  /** A planned start was dropped. */
   readonly startGivenUp: (reason: StartGivenUp) => void;
-  /** A caller's request was refused; nothing was recorded of it. */
+  /** A caller's request was refused; nothing was recorded. */
   readonly refused: (what: RefusedRequest, why: RefusalReason) => void;
   /** A timer of the process fired late by `delay`. */
   readonly loopDelayed: (delay: Millis) => void;
-  /** `count` entries of this kind, written by others, can't be read at present. */
+  /** `count` entries of this kind, written by others, currently can't be read. */
   readonly unreadable: (what: UnreadableKind, count: number) => void;
-  /** A record of a stream of the log can't be read and is passed over. */
+  /** A record of a stream of the log can't be read and was skipped. */
   readonly unreadableRecord: (stream: string) => void;
-  /** A loop of the host has failed and is run again. */
+  /** A loop of the host failed and is run again. */
   readonly loopFailed: (loop: string) => void;
-  /** The leader has accounted for its fleet; the account of a host that does not lead is empty. */
+  /** The leader has computed the account of its fleet; the account is empty on hosts that do not lead. */
   readonly accounted: (account: FleetAccount) => void;
 }
 
-/** What is read when the metrics are asked for. */
+/** Values read when the metrics are scraped. */
 export interface JobGauges {
-  /** Epoch in which this host leads; 0 while it does not. */
+  /** Epoch in which this host leads; 0 if it does not. */
   readonly epoch: () => number;
   readonly ready: () => boolean;
   /** Version of the configuration in force; 0 before the first. */
   readonly configVersion: () => number;
-  /** Jobs that are not over, as far as this host has read. */
+  /** Unfinished jobs in this host's copy. */
   readonly openJobs: () => number;
-  /** Open runs by worker, as far as this host has read. */
+  /** Open runs on workers in this host's copy. */
   readonly openRuns: () => number;
 }
 
 /** Upper bounds in seconds: the log answers in 4 ms, callers wait for 3 s. */
-const SECONDS_BUCKETS = [
+const DURATION_BUCKETS_S = [
   0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 1.5, 3,
 ];
 
 /**
- * Upper bounds in seconds of how far this host is behind: nothing starts on an inbox read 2.5 s ago, and
- * a leader that the log has not confirmed for 4 s extends no lease.
+ * Upper bounds in seconds of the lag of this host: nothing starts on an inbox that was read 2.5 s
+ * ago, and a leader whose appends were not confirmed for 4 s extends no lease.
  */
-const BEHIND_BUCKETS = [
+const LAG_BUCKETS_S = [
   0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 4, 10,
 ];
 
@@ -125,25 +129,25 @@
   };
 }
 
-/** Registers what tells of entries that can't be read and of loops that fail. */
+/** Registers the metrics of unreadable entries and failing loops. */
 function createFaultMeters(
   registry: Registry,
 ): Pick<JobMeters, 'unreadable' | 'unreadableRecord' | 'loopFailed'> {
   const unreadable = new Gauge({
     name: 'paddlewind_jobs_unreadable_entries',
-    help: "Entries of other writers that can't be read, by what they are about; workers at the leader only.",
+    help: "Entries of other writers that can't be read, by subject; workers on the leader only.",
     labelNames: ['what'],
     registers: [registry],
   });
   const records = new Counter({
     name: 'paddlewind_jobs_unreadable_records_total',
-    help: "Records of the log's streams that this host could not read and passed over.",
+    help: "Records of the log's streams that this host could not read and skipped.",
     labelNames: ['stream'],
     registers: [registry],
   });
   const failures = new Counter({
     name: 'paddlewind_jobs_loop_failures_total',
-    help: 'Failures of a loop of the host, which was then run again.',
+    help: 'Failures of a loop of the host, which was then restarted.',
     labelNames: ['loop'],
     registers: [registry],
   });
@@ -160,25 +164,25 @@
   };
 }
 
-const MILLI = 1000;
+const MILLICORES_PER_CORE = 1000;
 
-/** Registers what tells who holds the fleet's processors and why tasks wait. */
+/** Registers the metrics of the use of the fleet's processors and of waiting tasks. */
 function createFleetMeters(registry: Registry): Pick<JobMeters, 'accounted'> {
   const processors = new Gauge({
     name: 'paddlewind_jobs_fleet_cores',
-    help: "Cores of the leader's fleet by what they are, are promised to or are used by; 0 on other hosts.",
+    help: "Cores of the leader's fleet by state, reservation or use; 0 on other hosts.",
     labelNames: ['what'],
     registers: [registry],
   });
   const waiting = new Gauge({
     name: 'paddlewind_jobs_waiting_tasks',
-    help: 'Tasks of the leader whose turn has come and that wait, by queue and reason.',
+    help: 'Waiting tasks of the leader that are eligible to run, by queue and reason.',
     labelNames: ['queue', 'reason'],
     registers: [registry],
   });
   const jobs = new Gauge({
     name: 'paddlewind_jobs_waiting_jobs',
-    help: 'Jobs of the leader of which tasks wait, by queue, size among these and why the first in turn waits.',
+    help: 'Jobs of the leader with waiting tasks, by queue, size among these jobs and reason of the first waiting task.',
     labelNames: ['queue', 'size', 'reason'],
     registers: [registry],
   });
@@ -188,7 +192,7 @@
     labelNames: ['queue', 'size'],
     registers: [registry],
   });
-  const tellSizes = ({ sizes }: FleetAccount): void => {
+  const setWaitingBySize = ({ sizes }: FleetAccount): void => {
     jobs.reset();
     oldest.reset();
     for (const [queue, groups] of Object.entries(sizes)) {
@@ -200,9 +204,9 @@
   };
   return {
     accounted: account => {
-      tellSizes(account);
+      setWaitingBySize(account);
       for (const [what, milli] of Object.entries(account.processors)) {
-        processors.set({ what }, milli / MILLI);
+        processors.set({ what }, milli / MILLICORES_PER_CORE);
       }
       waiting.reset();
       for (const [queue, reasons] of Object.entries(account.waiting)) {
@@ -214,7 +218,7 @@
   };
 }
 
-/** Registers what tells of workers that are lost. */
+/** Registers the metrics of lost workers. */
 function createLossMeters(
   registry: Registry,
 ): Pick<
@@ -227,23 +231,23 @@
 > {
   const workers = new Counter({
     name: 'paddlewind_jobs_workers_given_up_total',
-    help: 'Workers of which all runs were given up while this host led, by reason.',
+    help: 'Workers whose runs were all abandoned while this host led, by reason.',
     labelNames: ['reason'],
     registers: [registry],
   });
   const tasks = new Counter({
     name: 'paddlewind_jobs_tasks_given_up_total',
-    help: 'Tasks that were given up while this host led, since workers were lost under their runs.',
+    help: 'Tasks that were abandoned while this host led, since workers were lost while running them.',
     registers: [registry],
   });
   const restarts = new Counter({
     name: 'paddlewind_jobs_workers_restarted_total',
-    help: 'Workers that were seen to start again under their ids while this host led.',
+    help: 'Workers that restarted under their ids while this host led.',
     registers: [registry],
   });
   const missingRuns = new Counter({
     name: 'paddlewind_jobs_runs_missing_total',
-    help: 'Runs that a worker had listed as at work and lists no more, without an end.',
+    help: 'Runs that a worker listed as active and stopped listing without an end.',
     registers: [registry],
   });
   const missingEnds = new Counter({
@@ -280,46 +284,46 @@
   | 'loopDelayed'
 >;
 
-/** Registers what tells how far this host is behind, and what it turns down. */
+/** Registers the metrics of the lag of this host and of what it refuses or drops. */
 function createLagMeters(registry: Registry): LagMeters {
-  const behind = (name: string, help: string): Histogram =>
+  const lagHistogram = (name: string, help: string): Histogram =>
     new Histogram({
       name: `paddlewind_jobs_${name}_seconds`,
       help,
-      buckets: BEHIND_BUCKETS,
+      buckets: LAG_BUCKETS_S,
       registers: [registry],
     });
-  const loopDelay = behind(
+  const loopDelay = lagHistogram(
     'loop_delay',
     'How late a timer of the process fired, sampled every 250 ms.',
   );
-  const startWait = behind(
+  const startWait = lagHistogram(
     'start_wait',
-    'Time from the decision on a start until it was sent to its worker.',
+    'Time from the planning of a start until it was sent to its worker.',
   );
-  const inboxAge = behind(
+  const inboxAge = lagHistogram(
     'start_inbox_age',
-    'Age of the reading of the inbox when a start was sent.',
+    'Age of the copy of the inbox when a start was sent.',
   );
-  const givenUp = new Counter({
+  const dropped = new Counter({
     name: 'paddlewind_jobs_starts_given_up_total',
-    help: 'Starts that were decided on and not sent, by reason.',
+    help: 'Planned starts that were not sent, by reason.',
     labelNames: ['reason'],
     registers: [registry],
   });
   const relayed = new Counter({
     name: 'paddlewind_jobs_starts_relayed_total',
-    help: 'Starts that the leader had another host send, by what became of them.',
+    help: 'Starts that the leader had another host send, by outcome.',
     labelNames: ['outcome'],
     registers: [registry],
   });
-  const taken = behind(
+  const accepted = lagHistogram(
     'starts_taken',
-    'Time until another host had taken starts: what is queued on the links between.',
+    'Time until another host had accepted starts, which shows queues on the links between.',
   );
   const refusals = new Counter({
     name: 'paddlewind_jobs_refused_total',
-    help: 'Requests of callers that were refused, by what was asked for and why.',
+    help: 'Requests of callers that were refused, by kind of request and reason.',
     labelNames: ['what', 'why'],
     registers: [registry],
   });
@@ -332,10 +336,10 @@
       relayed.inc({ outcome });
     },
     startsTaken: tookMs => {
-      taken.observe(tookMs / MS_PER_S);
+      accepted.observe(tookMs / MS_PER_S);
     },
     startGivenUp: reason => {
-      givenUp.inc({ reason });
+      dropped.inc({ reason });
     },
     refused: (what, why) => {
       refusals.inc({ what, why });
@@ -346,7 +350,7 @@
   };
 }
 
-/** Registers what tells of the work that this host does. */
+/** Registers the metrics of the work of this host. */
 function createWorkMeters(
   registry: Registry,
 ): Pick<JobMeters, 'answered' | 'called' | 'decided' | 'ended' | 'stopped'> {
@@ -355,19 +359,19 @@
     name: 'paddlewind_jobs_request_duration_seconds',
     help: 'Time until a request of a caller was answered, by method and status.',
     labelNames: ['method', 'status'],
-    buckets: SECONDS_BUCKETS,
+    buckets: DURATION_BUCKETS_S,
     registers,
   });
   const calls = new Histogram({
     name: 'paddlewind_jobs_call_duration_seconds',
     help: 'Time until a call to a dependency ended, by call and outcome.',
     labelNames: ['dependency', 'call', 'outcome'],
-    buckets: SECONDS_BUCKETS,
+    buckets: DURATION_BUCKETS_S,
     registers,
   });
   const decisions = new Counter({
     name: 'paddlewind_jobs_decisions_total',
-    help: 'Records that this host decided on while it led, by kind.',
+    help: 'Journal records that this host decided on while it led, by kind.',
     labelNames: ['kind'],
     registers,
   });
@@ -402,7 +406,7 @@
   };
 }
 
-/** Registers gauges that are read when the metrics are asked for. */
+/** Registers gauges that are read when the metrics are scraped. */
 export function registerJobGauges(registry: Registry, gauges: JobGauges): void {
   const add = (name: string, help: string, read: () => number): void => {
     new Gauge({
@@ -423,6 +427,6 @@
     'Version of the configuration in force, 0 before the first.',
     gauges.configVersion,
   );
-  add('open', 'Jobs that are not over.', gauges.openJobs);
+  add('open', 'Unfinished jobs.', gauges.openJobs);
   add('open_runs', 'Runs that have not ended.', gauges.openRuns);
 }
--- a/packages/daemon/src/job-host/relay/link-budget.test.ts
+++ b/packages/daemon/src/job-host/relay/link-budget.test.ts
@@ -10,11 +10,11 @@
 test('a budget carries what it has saved up for a second', async () => {
   const time = createVirtualTime();
   const budget = new LinkBudget(time.clock, BYTES_PER_S);
-  const taken = Array.from({ length: 12 }, () => budget.take(1_000));
+  const taken = Array.from({ length: 12 }, () => budget.tryTake(1_000));
   assert.equal(taken.filter(Boolean).length, 10);
   await time.advance(10_000);
-  assert.ok(budget.take(10_000));
-  assert.ok(!budget.take(1));
+  assert.ok(budget.tryTake(10_000));
+  assert.ok(!budget.tryTake(1));
 });
 
 // Payloads would else take their part of the link in each second of an overload, when nothing is left of it.
@@ -24,7 +24,7 @@
   let taken = 0;
   for (let at = 0; at < 200; at += 1) {
     await time.advance(50);
-    taken += budget.take(1_000) ? 1 : 0;
+    taken += budget.tryTake(1_000) ? 1 : 0;
   }
   // The second that was saved up, of twenty a second.
   assert.ok(taken <= 20, `${taken} of 200`);
@@ -34,14 +34,14 @@
   const time = createVirtualTime();
   const budget = new LinkBudget(time.clock, BYTES_PER_S);
   for (let at = 0; at < 100; at += 1) {
-    budget.take(1_000);
+    budget.tryTake(1_000);
   }
   await time.advance(2_000);
-  assert.ok(budget.take(10_000));
+  assert.ok(budget.tryTake(10_000));
 });
 
 test('a link without a limit carries everything', () => {
   const budget = new LinkBudget(createVirtualTime().clock, Infinity);
-  assert.ok(budget.take(1e12) && budget.take(1e12));
-  assert.ok(!budget.mayRunShort);
+  assert.ok(budget.tryTake(1e12) && budget.tryTake(1e12));
+  assert.ok(!budget.mayBeExceeded);
 });
--- a/packages/daemon/src/job-host/relay/link-budget.ts
+++ b/packages/daemon/src/job-host/relay/link-budget.ts
@@ -1,45 +1,52 @@
-/** Whether a host's link carries the payloads of all starts, beside the calls that only this host can make. */
+/**
+ * Decides whether a leader's link carries the payload of a start beside the calls that only the
+ * leader can make.
+ */
 import type { Clock, Instant } from '@paddlewind/domain';
 
-/** Time for which the budget may be saved up, in seconds: a burst waits no longer than that for the link. */
-const SAVED_S = 1;
+/**
+ * Time for which unused bandwidth is saved up, in seconds: a burst waits at most this long for the
+ * link.
+ */
+const MAX_SAVED_S = 1;
 const MS_PER_S = 1_000;
-/** Payloads that may be due at once: 200 starts of the largest size that callers may ask for. */
+/** Payloads that may be due at once: 200 starts of the largest size that callers may submit. */
 const BURST_BYTES = 200 * 4_000;
 
-/** A token bucket of the bytes that are asked for, whoever sends them then. */
+/** A token bucket for the payload bytes of all starts, whichever host sends them. */
 export class LinkBudget {
-  private left: number;
-  private filledAt: Instant;
+  private remainingBytes: number;
+  private refilledAt: Instant;
 
   /** Creates a full budget of `bytesPerS`, which may be infinite. */
   constructor(
     private readonly clock: Clock,
     private readonly bytesPerS: number,
   ) {
-    this.left = this.bytesPerS * SAVED_S;
-    this.filledAt = clock();
+    this.remainingBytes = this.bytesPerS * MAX_SAVED_S;
+    this.refilledAt = clock();
   }
 
-  /** Whether a burst of starts may exceed it. */
-  get mayRunShort(): boolean {
-    return this.bytesPerS * SAVED_S < BURST_BYTES;
+  /** Whether a burst of starts may exceed the budget. */
+  get mayBeExceeded(): boolean {
+    return this.bytesPerS * MAX_SAVED_S < BURST_BYTES;
   }
 
   /**
-   * Takes `bytes` out of the budget; false where it has run out. Bytes that it has no room for count as well:
-   * under a load beyond it nothing is left, where a part of each second's payloads would else be sent.
+   * Takes `bytes` out of the budget; false if they exceed it. Bytes that exceed the budget are
+   * charged as well: under sustained overload none are admitted, where otherwise a part of each
+   * second's payloads would be sent.
    */
-  take(bytes: number): boolean {
+  tryTake(bytes: number): boolean {
     if (this.bytesPerS === Infinity) {
       return true;
     }
-    const most = this.bytesPerS * SAVED_S;
+    const capacity = this.bytesPerS * MAX_SAVED_S;
     const now = this.clock();
-    const earned = ((now - this.filledAt) / MS_PER_S) * this.bytesPerS;
-    const left = Math.min(most, this.left + earned);
-    this.filledAt = now;
-    this.left = Math.max(-most, left - bytes);
-    return left >= bytes;
+    const refill = ((now - this.refilledAt) / MS_PER_S) * this.bytesPerS;
+    const remaining = Math.min(capacity, this.remainingBytes + refill);
+    this.refilledAt = now;
+    this.remainingBytes = Math.max(-capacity, remaining - bytes);
+    return remaining >= bytes;
   }
 }
--- a/packages/daemon/src/job-host/relay/link-shares.ts
+++ b/packages/daemon/src/job-host/relay/link-shares.ts
@@ -1,18 +1,21 @@
-/** What payloads that a host sends itself, while it leads, may take of its link. */
+/** Shares of a leader's link that payloads may use. */
 
-/** Part of the link for payloads while other hosts can send them. */
+/** Fraction of the link for payloads while other hosts can send them. */
 const PAYLOAD_SHARE = 1 / 8;
-/** Part of the link for all payloads where none can: looks, stops, appends and reads need the rest. */
-const ALONE_SHARE = 0.65;
+/**
+ * Fraction of the link for payloads while no other host can send them; polls, stops, appends and
+ * reads need the rest.
+ */
+const WITHOUT_RELAYS_SHARE = 0.65;
 
-/** Bytes a second of payloads; infinite where the link is. */
+/** Bandwidth of a leader's link for payloads, in bytes per second; infinite on an unlimited link. */
 export interface LinkShares {
-  /** Up to which a leader has no other host send any. */
+  /** Payload rate up to which the leader sends all starts itself. */
   readonly payloads: number;
   /** For starts that other hosts could not send. */
   readonly retries: number;
-  /** For all starts, while no other host can send any. */
-  readonly alone: number;
+  /** For all starts while no other host can send any. */
+  readonly withoutRelays: number;
 }
 
 /** Returns the shares of a link that carries `bytesPerS`. */
@@ -20,6 +23,6 @@
   return {
     payloads: bytesPerS * PAYLOAD_SHARE,
     retries: bytesPerS * PAYLOAD_SHARE,
-    alone: bytesPerS * ALONE_SHARE,
+    withoutRelays: bytesPerS * WITHOUT_RELAYS_SHARE,
   };
 }
--- a/packages/daemon/src/job-host/relay/relay-batches.ts
+++ b/packages/daemon/src/job-host/relay/relay-batches.ts
@@ -1,59 +1,65 @@
-/** Gathers starts for other hosts, and shares them among these. */
+/** Collects starts into batches and distributes them over the hosts that can send them. */
 import type { Instant, Millis } from '@paddlewind/domain';
 
 import { AnswerSlack } from '../answer-slack.js';
 import type { HostContext } from '../context.js';
 import type { RelayedOrder, RelayHost, RelayResult } from './relay-host.js';
 
-/** Time for which starts are gathered once some were sent: a call for each would take twice the bytes. */
-const GATHER_MS: Millis = 20;
-/** Time within which a host has to take starts, at the least and at the most. */
-const TAKEN_BOUNDS = { leastMs: 300, mostMs: 1_000 };
+/**
+ * Time for which starts are collected after a batch was sent: one call per start would take twice
+ * the bytes.
+ */
+const BATCH_WINDOW_MS: Millis = 20;
+/** Bounds of the time within which a host has to accept starts. */
+const ACCEPT_TIMEOUT_BOUNDS = { leastMs: 300, mostMs: 1_000 };
 
-/** What became of a start, and by which host. */
+/** Outcome of a start and the host that reported it. */
 export interface RelayedResult {
   readonly by: RelayHost;
   readonly res: RelayResult;
 }
 
-/** A start that waits to be sent with others. */
-interface Waiting extends Pick<RelayedOrder, 'start' | 'sendBy'> {
-  /** Hosts that it was given to before. */
-  readonly tried: ReadonlySet<RelayHost>;
+/** A start that waits for the next batch. */
+interface PendingStart extends Pick<RelayedOrder, 'start' | 'sendBy'> {
+  /** Hosts that were tried before. */
+  readonly triedHosts: ReadonlySet<RelayHost>;
   readonly settle: (result: RelayedResult | undefined) => void;
 }
 
-/** Starts on their way to other hosts. */
+/** Starts that other hosts are to send. */
 export class RelayBatches {
-  private waiting: Waiting[] = [];
+  private pendingStarts: PendingStart[] = [];
   private isScheduled = false;
   private sentAt: Instant = -Infinity;
-  private readonly slack = new AnswerSlack(TAKEN_BOUNDS);
+  private readonly acceptTimeout = new AnswerSlack(ACCEPT_TIMEOUT_BOUNDS);
 
-  /** Creates batches for `hosts`, which may be asked at any time. */
+  /** Creates batches for `hosts`, which may be called at any time. */
   constructor(
     private readonly ctx: HostContext,
     private readonly hosts: () => Iterable<RelayHost>,
   ) {}
 
-  /** Notes how long a host took to take starts. */
-  noteTaken(tookMs: Millis): void {
-    this.slack.note(tookMs);
+  /** Records how long a host took to accept starts. */
+  recordAccepted(tookMs: Millis): void {
+    this.acceptTimeout.note(tookMs);
   }
 
-  /** Whether there is a host that may be given starts. */
-  get hasHost(): boolean {
-    return this.usable().length > 0;
+  /** Whether any host may be given starts. */
+  get hasUsableHost(): boolean {
+    return this.usableHosts().length > 0;
   }
 
-  /** Has a host send a start, together with others; undefined where there is none beside those tried before. */
+  /**
+   * Sends a start through another host, batched with others; undefined if only hosts that were
+   * tried before are left.
+   */
   send(
     start: RelayedOrder['start'],
     sendBy: Instant,
-    tried: ReadonlySet<RelayHost>,
+    triedHosts: ReadonlySet<RelayHost>,
   ): Promise<RelayedResult | undefined> {
     return new Promise(settle => {
-      this.waiting.push({ start, sendBy, tried, settle });
+      this.pendingStarts.push({ start, sendBy, triedHosts, settle });
       this.schedule();
     });
   }
@@ -64,60 +70,65 @@
     }
     this.isScheduled = true;
     const now = this.ctx.clock();
-    const delay = Math.max(0, this.sentAt + GATHER_MS - now);
+    const delay = Math.max(0, this.sentAt + BATCH_WINDOW_MS - now);
     this.ctx.schedule(delay, () => {
       this.isScheduled = false;
       this.flush();
     });
   }
 
-  /** All that waits goes by way of one host, but for what it was given before. */
+  /** Sends all waiting starts through one host, except those that the host was given before. */
   private flush(): void {
-    const batch = this.waiting;
-    this.waiting = [];
+    const batch = this.pendingStarts;
+    this.pendingStarts = [];
     this.sentAt = this.ctx.clock();
-    const hosts = this.usable();
-    const byHost = new Map<RelayHost, Waiting[]>();
-    for (const one of batch) {
+    const hosts = this.usableHosts();
+    const byHost = new Map<RelayHost, PendingStart[]>();
+    for (const pending of batch) {
       const host = hosts.find(
-        other => !one.tried.has(other) && other.reaches(one.start.worker.id),
+        other =>
+          !pending.triedHosts.has(other) &&
+          other.reaches(pending.start.worker.id),
       );
       if (host === undefined) {
-        one.settle(undefined);
+        pending.settle(undefined);
       } else {
-        byHost.set(host, [...(byHost.get(host) ?? []), one]);
+        byHost.set(host, [...(byHost.get(host) ?? []), pending]);
       }
     }
     for (const [host, starts] of byHost) {
       void host.send(
-        starts.map(one => orderOf(one, host)),
-        this.slack.ms,
+        starts.map(pending => orderOf(pending, host)),
+        this.acceptTimeout.ms,
       );
     }
   }
 
   /**
-   * Hosts that may be given starts, the quick ones first, of these the least busy. Where most rest at once the
-   * cause is likely here, as a link that is full: they are used on, since nothing else relieves it.
+   * Returns the hosts that may be given starts, fast ones first, then the least busy. If most hosts
+   * are in backoff at once, the cause is probably on this host, such as a full link. They are used
+   * all the same, since nothing else relieves the link.
    */
-  private usable(): RelayHost[] {
-    const there = [...this.hosts()].filter(({ isThere }) => isThere);
-    const rested = there.filter(({ isUsable }) => isUsable);
-    const found =
-      2 * rested.length >= there.length
-        ? rested
-        : there.filter(({ isLastResort }) => isLastResort);
-    return found.sort(
+  private usableHosts(): RelayHost[] {
+    const available = [...this.hosts()].filter(
+      ({ isAvailable }) => isAvailable,
+    );
+    const usable = available.filter(({ isUsable }) => isUsable);
+    const candidates =
+      2 * usable.length >= available.length
+        ? usable
+        : available.filter(({ isLastResort }) => isLastResort);
+    return candidates.sort(
       (a, b) =>
         Number(a.isSlow) - Number(b.isSlow) ||
-        a.underWay - b.underWay ||
+        a.inFlight - b.inFlight ||
         a.lastUsedAt - b.lastUsedAt,
     );
   }
 }
 
 function orderOf(
-  { start, sendBy, settle }: Waiting,
+  { start, sendBy, settle }: PendingStart,
   by: RelayHost,
 ): RelayedOrder {
   return {
--- a/packages/daemon/src/job-host/relay/relay-host.ts
+++ b/packages/daemon/src/job-host/relay/relay-host.ts
@@ -1,4 +1,4 @@
-/** A leader's contact with one host that sends starts for it. */
+/** A leader's connection to one host that sends starts on its behalf. */
 import type { Instant, Millis } from '@paddlewind/domain';
 import type {
   PeerPort,
@@ -10,81 +10,88 @@
 
 import type { HostContext } from '../context.js';
 
-/** How long a host is not used for a worker that answers this one and not it. */
-const CUT_OFF_REST_MS: Millis = 3_000;
-/** Workers that do not answer a host from which on it is used for no other either. */
-const CUT_OFF_WORKERS = 4;
-/** How long a host is not used that did not answer, unless it is heard before. */
-const SILENCE_REST_MS: Millis = 1_000;
-/** How long a host is not used that has refused a start for what it says of itself. */
-const REFUSAL_REST_MS: Millis = 500;
-/** A host of which nothing was heard for this long since it was called is gone, however slow the link is. */
-const GONE_MS: Millis = 2_000;
+/** Time for which a host is not used for a worker that answers the leader but not that host. */
+const UNREACHED_WORKER_BACKOFF_MS: Millis = 3_000;
+/** Number of workers out of a host's reach from which the host is not used at all. */
+const MAX_UNREACHED_WORKERS = 4;
+/** Time for which a silent host is not used, unless it answers earlier. */
+const SILENCE_BACKOFF_MS: Millis = 1_000;
+/** Time for which a host is not used after it refused a start because of its own state. */
+const REFUSAL_BACKOFF_MS: Millis = 500;
 /**
- * How long the best bound of another clock is kept, and a host that is used for nothing is not asked for a new
- * one: a machine may have stood still since.
+ * A host counts as unavailable after it has been silent for this long since a call, however slow
+ * the link is.
  */
-const CLOCK_KEPT_MS: Millis = 2_000;
-/** A host that takes longer to take starts is given others only where all are as slow. */
-const SLOW_MS: Millis = 150;
-/** For how long it is: it may have been slow for a moment. */
-const SLOW_REST_MS: Millis = 1_000;
+const UNAVAILABLE_AFTER_MS: Millis = 2_000;
+/**
+ * Lifetime of the best bound on the other host's clock, since a machine may have been suspended
+ * meanwhile. A host that is not in use is not asked for a new bound earlier.
+ */
+const CLOCK_BOUND_LIFETIME_MS: Millis = 2_000;
+/** A host that takes longer to accept starts is given more only if all hosts are as slow. */
+const SLOW_ACCEPT_MS: Millis = 150;
+/** Time for which a host counts as slow; it may have been slow only for a moment. */
+const SLOW_BACKOFF_MS: Millis = 1_000;
 
-/** What one process of the host has told. */
+/** What is known of the process that runs on the host. */
 interface KnownProcess {
   readonly id: string;
-  /** What its clock is ahead of the one here, at the least. */
+  /** Lower bound of how far its clock is ahead of the local one. */
   readonly aheadMs: Millis;
-  /** When that was learnt. */
+  /** When that bound was determined. */
   readonly since: Instant;
 }
 
 /**
- * Why a host is not used for a while: it sends no starts; it did not answer in time; it is behind, or cut off
- * from workers. All but the first may be for a slow link here, or something else that all hosts share.
+ * Why a host is in backoff: `unable` to send starts; `silent`, without an answer in time;
+ * `impaired`, so behind the log or out of reach of workers. All but the first may have a cause that
+ * all hosts share, such as a slow link of the leader.
  */
-type RestKind = 'unable' | 'silent' | 'impaired';
+type BackoffKind = 'unable' | 'silent' | 'impaired';
 
-/** What became of a start that a host was given. */
+/** Outcome of a start that a host was given. */
 export type RelayResult = RelayOutcome | RelayFailure;
 
-/** A start for another host, and who is told what becomes of it. */
+/** A start for another host, and the callback that gets its outcome. */
 export interface RelayedOrder {
   readonly start: Omit<RelayedStart, 'sendBy'>;
-  /** Latest time by the clock here at which it is sent. */
+  /** Latest time on the local clock at which it may be sent. */
   readonly sendBy: Instant;
   readonly settle: (res: RelayResult) => void;
 }
 
-/** What a relay host is given. */
+/** Dependencies of the connection to a host. */
 export interface RelayHostOptions {
   readonly ctx: HostContext;
   readonly peers: PeerPort;
   readonly epoch: number;
   readonly host: string;
   readonly address: string;
-  /** The host has taken starts, `tookMs` after they were sent. */
-  readonly taken: (starts: number, tookMs: Millis) => void;
-  /** It has not taken them in time. */
-  readonly late: () => void;
+  /** Called when the host has accepted starts, `tookMs` after they were sent. */
+  readonly onAccepted: (starts: number, tookMs: Millis) => void;
+  /** Called when the host has not accepted starts in time. */
+  readonly onLate: () => void;
 }
 
-/** A host that sends starts for this one, which leads. */
+/** A host that sends starts on behalf of the leader. */
 export class RelayHost {
   private known: KnownProcess | undefined;
-  private restsUntil: Instant = -Infinity;
-  private restKind: RestKind = 'unable';
-  private heardAt: Instant = -Infinity;
-  /** When it was first called of which it has said nothing since; undefined where it has answered all calls. */
+  private backoffUntil: Instant = -Infinity;
+  private backoffKind: BackoffKind = 'unable';
+  private answeredAt: Instant = -Infinity;
+  /**
+   * When the first call was made that the host has not answered; undefined if it has answered all
+   * calls.
+   */
   private unansweredSince: Instant | undefined;
-  private isAsking = false;
-  /** Until when it is not used for a worker, by the worker's id. */
-  private readonly cutOff = new Map<string, Instant>();
-  private ordersUnderWay = 0;
+  private isIdentifying = false;
+  /** Time until which the host is not used for a worker, by worker id. */
+  private readonly unreachedWorkers = new Map<string, Instant>();
+  private ordersInFlight = 0;
   private usedAt: Instant = -Infinity;
   private slowUntil: Instant = -Infinity;
 
-  /** Creates a contact to a host that was not called yet. */
+  /** Creates a connection to a host that has not been called yet. */
   constructor(private readonly options: RelayHostOptions) {}
 
   /** Name of the host. */
@@ -92,75 +99,86 @@
     return this.options.host;
   }
 
-  /** Where the host is reached. */
+  /** Address of the host. */
   get address(): string {
     return this.options.address;
   }
 
-  /** Starts at the host of which it is not known what became. */
-  get underWay(): number {
-    return this.ordersUnderWay;
+  /** Number of starts at the host whose outcome is unknown. */
+  get inFlight(): number {
+    return this.ordersInFlight;
   }
 
-  /** Whether it took long to take starts within the last second. */
+  /** Whether the host recently took long to accept starts. */
   get isSlow(): boolean {
     return this.options.ctx.clock() < this.slowUntil;
   }
 
-  /** When it was given a start last. */
+  /** When the host was last given a start. */
   get lastUsedAt(): Instant {
     return this.usedAt;
   }
 
-  /** Whether it is known which process is there, and it is not known to be gone. */
-  get isThere(): boolean {
+  /** Whether the process on the host is known and not considered unavailable. */
+  get isAvailable(): boolean {
     const { unansweredSince } = this;
     const now = this.options.ctx.clock();
-    const isGone =
-      unansweredSince !== undefined && now - unansweredSince > GONE_MS;
-    return this.known !== undefined && !isGone;
+    const isUnavailable =
+      unansweredSince !== undefined &&
+      now - unansweredSince > UNAVAILABLE_AFTER_MS;
+    return this.known !== undefined && !isUnavailable;
   }
 
-  /** Whether it may be given a start now. */
+  /** Whether the host may be given a start now. */
   get isUsable(): boolean {
-    return this.isThere && this.hasRested;
+    return this.isAvailable && this.isOutOfBackoff;
   }
 
-  /** Whether it may be given a start where most others rest as well. */
+  /** Whether the host may be given a start if most other hosts are in backoff too. */
   get isLastResort(): boolean {
-    return this.isThere && (this.hasRested || this.restKind !== 'unable');
+    return (
+      this.isAvailable && (this.isOutOfBackoff || this.backoffKind !== 'unable')
+    );
   }
 
-  /** Whether the worker answers it, as far as is known. */
+  /** Whether the host reaches a worker, as far as is known. */
   reaches(worker: string): boolean {
-    const until = this.cutOff.get(worker) ?? -Infinity;
+    const until = this.unreachedWorkers.get(worker) ?? -Infinity;
     return this.options.ctx.clock() >= until;
   }
 
-  /** Asks which process is there, unless it has answered of late: no start waits for a host that may be gone. */
+  /**
+   * Asks for the process on the host, unless it has answered recently, so that no start waits for a
+   * host that may be unavailable.
+   */
   async identify(): Promise<void> {
     const { ctx, peers, address } = this.options;
-    const isKnownOfLate = ctx.clock() - this.heardAt < CLOCK_KEPT_MS;
-    if ((this.isUsable && isKnownOfLate) || this.isAsking) {
+    const answeredRecently =
+      ctx.clock() - this.answeredAt < CLOCK_BOUND_LIFETIME_MS;
+    if ((this.isUsable && answeredRecently) || this.isIdentifying) {
       return;
     }
-    this.isAsking = true;
+    this.isIdentifying = true;
     const found = await peers.identify(address);
-    this.isAsking = false;
+    this.isIdentifying = false;
     if (found !== undefined) {
-      this.hear(found);
-    } else if (this.hasRested) {
-      this.rest('does not say which process it is', SILENCE_REST_MS, 'silent');
+      this.updateClockBound(found);
+    } else if (this.isOutOfBackoff) {
+      this.backOff(
+        'did not identify its process',
+        SILENCE_BACKOFF_MS,
+        'silent',
+      );
     }
   }
 
-  /** Has the host send starts, and tells what becomes of each. */
+  /** Has the host send starts and passes on the outcome of each. */
   async send(
     orders: readonly RelayedOrder[],
     takenWithinMs: Millis,
   ): Promise<void> {
     const { ctx, peers, epoch, address } = this.options;
-    // Only a host that is known is given starts; no process has an empty name.
+    // Only a host whose process is known is given starts; no process has an empty name.
     const { id: process = '', aheadMs = 0 } = this.known ?? {};
     const sentAt = ctx.clock();
     const open = new Map(orders.entries());
@@ -168,11 +186,11 @@
       const order = open.get(at);
       if (order !== undefined) {
         open.delete(at);
-        this.ordersUnderWay -= 1;
+        this.ordersInFlight -= 1;
         order.settle(res);
       }
     };
-    this.ordersUnderWay += orders.length;
+    this.ordersInFlight += orders.length;
     this.usedAt = sentAt;
     const starts = orders.map(({ start, sendBy }) => {
       const latest = Math.min(sentAt + takenWithinMs, sendBy);
@@ -184,44 +202,48 @@
       {
         takenWithinMs,
         taken: by => {
-          this.hear(by);
-          this.noteTaken(orders.length, ctx.clock() - sentAt);
+          this.updateClockBound(by);
+          this.recordAccepted(orders.length, ctx.clock() - sentAt);
         },
         told: (at, outcome) => {
-          this.note(outcome);
+          this.handleOutcome(outcome);
           settle(at, outcome);
         },
       },
     );
-    const failure = res.kind === 'failed' ? res : UNTOLD;
+    const failure = res.kind === 'failed' ? res : NO_OUTCOME;
     if (res.kind === 'failed') {
-      this.noteFailure(res, sentAt);
+      this.handleFailure(res, sentAt);
     }
     for (const at of [...open.keys()]) {
       settle(at, failure);
     }
   }
 
-  /** Notes that a worker answers this host and not the other one. */
-  noteCutOff(worker: string): void {
+  /** Records that a worker answers the leader but not this host. */
+  recordUnreachedWorker(worker: string): void {
     const now = this.options.ctx.clock();
-    this.cutOff.set(worker, now + CUT_OFF_REST_MS);
-    for (const [id, until] of this.cutOff) {
+    this.unreachedWorkers.set(worker, now + UNREACHED_WORKER_BACKOFF_MS);
+    for (const [id, until] of this.unreachedWorkers) {
       if (until <= now) {
-        this.cutOff.delete(id);
+        this.unreachedWorkers.delete(id);
       }
     }
-    if (this.cutOff.size >= CUT_OFF_WORKERS) {
-      this.rest('workers do not answer it', CUT_OFF_REST_MS, 'impaired');
+    if (this.unreachedWorkers.size >= MAX_UNREACHED_WORKERS) {
+      this.backOff(
+        'workers do not answer it',
+        UNREACHED_WORKER_BACKOFF_MS,
+        'impaired',
+      );
     }
   }
 
-  private rest(reason: string, span: Millis, kind: RestKind): void {
+  private backOff(reason: string, span: Millis, kind: BackoffKind): void {
     const { ctx, host } = this.options;
     const until = ctx.clock() + span;
-    if (until > this.restsUntil) {
-      this.restsUntil = until;
-      this.restKind = kind;
+    if (until > this.backoffUntil) {
+      this.backoffUntil = until;
+      this.backoffKind = kind;
       ctx.log.info(
         { by: host, reason, restMs: span },
         'relay: a host is given no starts for a while',
@@ -229,67 +251,71 @@
     }
   }
 
-  private get hasRested(): boolean {
-    return this.options.ctx.clock() >= this.restsUntil;
+  private get isOutOfBackoff(): boolean {
+    return this.options.ctx.clock() >= this.backoffUntil;
   }
 
-  private noteTaken(starts: number, tookMs: Millis): void {
-    if (tookMs > SLOW_MS) {
-      this.slowUntil = this.options.ctx.clock() + SLOW_REST_MS;
+  private recordAccepted(starts: number, tookMs: Millis): void {
+    if (tookMs > SLOW_ACCEPT_MS) {
+      this.slowUntil = this.options.ctx.clock() + SLOW_BACKOFF_MS;
     }
-    this.options.taken(starts, tookMs);
+    this.options.onAccepted(starts, tookMs);
   }
 
-  /** A start that came late tells of the way to the host, and one for another process of what is there now. */
-  private note(outcome: RelayOutcome): void {
+  /**
+   * Handles the outcome of a start. A late start says something about the path to the host, not
+   * about the host; one for another process shows only that the process has changed.
+   */
+  private handleOutcome(outcome: RelayOutcome): void {
     if (outcome.kind !== 'refused') {
       return;
     }
     if (outcome.why === 'late') {
-      this.options.late();
+      this.options.onLate();
     } else if (outcome.why !== 'other_process') {
       const kind = outcome.why === 'unknown_job' ? 'impaired' : 'unable';
-      this.rest(outcome.why, REFUSAL_REST_MS, kind);
+      this.backOff(outcome.why, REFUSAL_BACKOFF_MS, kind);
     }
   }
 
-  private noteFailure(res: RelayFailure, sentAt: Instant): void {
+  private handleFailure(res: RelayFailure, sentAt: Instant): void {
     if (res.outcome === 'unknown') {
-      this.options.late();
+      this.options.onLate();
     }
-    if (this.heardAt >= sentAt) {
+    if (this.answeredAt >= sentAt) {
       return;
     }
     this.unansweredSince ??= sentAt;
     const kind = res.outcome === 'unknown' ? 'silent' : 'unable';
-    this.rest(res.reason, SILENCE_REST_MS, kind);
+    this.backOff(res.reason, SILENCE_BACKOFF_MS, kind);
   }
 
   /**
-   * An answer was given before it arrived: the host's clock is ahead by at least as much as it seems. Of several
-   * bounds the largest tells the most, which came with the quickest answer.
+   * Updates the bound on the host's clock. The answer was given before it arrived, so the clock is
+   * ahead by at least the difference. The largest bound is the tightest; it comes from the fastest
+   * answer.
    */
-  private hear({ process, clock }: PeerProcess): void {
+  private updateClockBound({ process, clock }: PeerProcess): void {
     const now = this.options.ctx.clock();
-    this.heardAt = now;
+    this.answeredAt = now;
     this.unansweredSince = undefined;
-    if (this.restKind === 'silent') {
-      this.restsUntil = -Infinity;
+    if (this.backoffKind === 'silent') {
+      this.backoffUntil = -Infinity;
     }
     const aheadMs = clock - now;
     const { known } = this;
     const isBetter =
       known?.id !== process ||
       aheadMs >= known.aheadMs ||
-      now - known.since > CLOCK_KEPT_MS;
+      now - known.since > CLOCK_BOUND_LIFETIME_MS;
     if (isBetter) {
       this.known = { id: process, aheadMs, since: now };
     }
   }
 }
 
-const UNTOLD: RelayFailure = {
+const NO_OUTCOME: RelayFailure = {
   kind: 'failed',
   outcome: 'unknown',
-  reason: 'the host did not tell what became of it',
+  reason: 'the host reported no outcome',
 };
--- a/packages/daemon/src/job-host/relay/relay-window.test.ts
+++ b/packages/daemon/src/job-host/relay/relay-window.test.ts
@@ -11,7 +11,7 @@
 /** A window that has seen an answer without a queue. */
 function seenQuick(): RelayWindow {
   const window = new RelayWindow(BYTES_PER_S);
-  window.noteTaken(0, QUICK_MS, 0);
+  window.recordAccepted(0, QUICK_MS, 0);
   return window;
 }
 
@@ -24,11 +24,11 @@
 // Else starts that can't be taken in time are sent again, beside those that could be.
 test('the window shrinks with starts that are taken late, once for each queue', () => {
   const window = seenQuick();
-  window.noteTaken(10, QUEUED_MS, 1_000);
+  window.recordAccepted(10, QUEUED_MS, 1_000);
   assert.equal(window.size, 70);
-  window.noteTaken(10, QUEUED_MS, 1_200);
+  window.recordAccepted(10, QUEUED_MS, 1_200);
   assert.equal(window.size, 70);
-  window.noteLate(1_400);
+  window.recordLate(1_400);
   assert.equal(window.size, 49);
   assert.ok(window.isNarrow(1_500));
   assert.ok(!window.isNarrow(4_000));
@@ -37,18 +37,18 @@
 test('the window never closes', () => {
   const window = seenQuick();
   for (let at = 1; at < 50; at += 1) {
-    window.noteLate(at * 1_000);
+    window.recordLate(at * 1_000);
   }
   assert.equal(window.size, 8);
 });
 
 test('the window grows back with starts that are taken at once', () => {
   const window = seenQuick();
-  window.noteLate(1_000);
+  window.recordLate(1_000);
   const narrow = window.size;
-  window.noteTaken(100, QUICK_MS, 1_050);
+  window.recordAccepted(100, QUICK_MS, 1_050);
   assert.equal(window.size, narrow + 10);
-  window.noteTaken(5_000, QUICK_MS, 1_100);
+  window.recordAccepted(5_000, QUICK_MS, 1_100);
   assert.equal(window.size, 200);
   assert.ok(!window.isNarrow(1_150));
 });
@@ -57,9 +57,9 @@
 test('a host that is slow alone tells of no queue on the link of the leader', () => {
   const window = seenQuick();
   for (let at = 100; at < 10_000; at += 100) {
-    window.noteTaken(5, QUICK_MS, at);
-    window.noteTaken(5, QUEUED_MS, at + 50);
-    window.noteLate(at + 60);
+    window.recordAccepted(5, QUICK_MS, at);
+    window.recordAccepted(5, QUEUED_MS, at + 50);
+    window.recordLate(at + 60);
   }
   assert.equal(window.size, 149);
 });
@@ -68,7 +68,7 @@
 test('a way that is long tells of no queue', () => {
   const window = new RelayWindow(BYTES_PER_S);
   for (let at = 0; at < 10; at += 1) {
-    window.noteTaken(10, QUEUED_MS, at * 1_000);
+    window.recordAccepted(10, QUEUED_MS, at * 1_000);
   }
   assert.equal(window.size, 110);
 });
--- a/packages/daemon/src/job-host/relay/relay-window.ts
+++ b/packages/daemon/src/job-host/relay/relay-window.ts
@@ -1,73 +1,74 @@
-/** How many starts are under way at a time by way of other hosts. */
+/** Limits the number of starts in flight through other hosts. */
 import type { Instant, Millis } from '@paddlewind/domain';
 
-/** Most starts under way, also so that a round of planning stays short. */
-const MOST = 200;
-/** Fewest: with these the link is tried at any time. */
-const FEWEST = 8;
-/** Bytes of a start on its way to another host. */
+/** Maximum size, which also keeps planning rounds short. */
+const MAX_SIZE = 200;
+/** Minimum size, so that the link is always probed. */
+const MIN_SIZE = 8;
+/** Size of a start on its way to another host. */
 const RELAYED_BYTES = 150;
-/** Time for which the first starts may keep the link busy. */
-const FIRST_BURST_MS: Millis = 100;
-/** What the window grows by with each start that is taken at once. */
-const GROWTH = 0.1;
-/** What is left of it when one is taken late. */
-const SHRINK = 0.7;
+/** Time for which the first starts may occupy the link. */
+const INITIAL_BURST_MS: Millis = 100;
+/** Growth of the window per start that is accepted promptly. */
+const GROWTH_PER_START = 0.1;
+/** Factor by which the window shrinks when a start is accepted late. */
+const SHRINK_FACTOR = 0.7;
 /**
- * Starts that are taken late within this time show the same queue on the link, unless some were taken at once:
- * a queue on the leader's own link holds all of them up.
+ * Late starts within this time count as one event, unless some were accepted promptly in between: a
+ * queue on the leader's own link delays all of them.
  */
-const SAME_CAUSE_MS: Millis = 300;
-/** Starts wait for the link for this long after they were last taken late. */
-const BUSY_MS: Millis = 2_000;
-/** Beyond the quickest answer of any host an answer this much later tells of a queue. */
-const QUEUED_MS: Millis = 150;
+const SAME_EVENT_MS: Millis = 300;
+/** Time after the last late start for which starts count as waiting for the link. */
+const NARROW_MS: Millis = 2_000;
+/** Excess over the fastest answer of any host that indicates a queue on the link. */
+const QUEUEING_DELAY_MS: Millis = 150;
 const MS_PER_S = 1_000;
 
 /**
- * A window as that of a transport protocol, which goes by the time until starts are taken: what the leader's
- * link carries beside them, in either direction, is not known beforehand. Without it many starts run out of time
- * together at a peak, and what is then sent again keeps the link full.
+ * A congestion window, as in transport protocols, controlled by the time until starts are accepted,
+ * since the other traffic of the leader's link is not known in advance in either direction. Without
+ * it, many starts time out together at a peak, and retries keep the link full.
  */
 export class RelayWindow {
   private width: number;
-  private quickestMs: Millis = Infinity;
+  private fastestMs: Millis = Infinity;
   private shrunkAt: Instant = -Infinity;
-  private takenAtOnceAt: Instant = -Infinity;
+  private promptAt: Instant = -Infinity;
 
   /** Creates a window for a link that carries `bytesPerS`, which may be infinite. */
   constructor(bytesPerS: number) {
-    const burst = ((bytesPerS / MS_PER_S) * FIRST_BURST_MS) / RELAYED_BYTES;
-    this.width = Math.min(MOST, Math.max(FEWEST, burst));
+    const initialStarts =
+      ((bytesPerS / MS_PER_S) * INITIAL_BURST_MS) / RELAYED_BYTES;
+    this.width = Math.min(MAX_SIZE, Math.max(MIN_SIZE, initialStarts));
   }
 
-  /** How many starts may be under way. */
+  /** Maximum number of starts in flight. */
   get size(): number {
     return Math.floor(this.width);
   }
 
-  /** Whether starts wait for the link: it has shrunk of late, and not grown back. */
+  /** Whether starts wait for the link: the window shrank recently and has not grown back. */
   isNarrow(now: Instant): boolean {
-    return now - this.shrunkAt < BUSY_MS && this.width < MOST;
+    return now - this.shrunkAt < NARROW_MS && this.width < MAX_SIZE;
   }
 
-  /** Notes that another host has taken `starts` after `tookMs`. */
-  noteTaken(starts: number, tookMs: Millis, now: Instant): void {
-    this.quickestMs = Math.min(this.quickestMs, tookMs);
-    if (tookMs > this.quickestMs + QUEUED_MS) {
-      this.noteLate(now);
+  /** Records that another host has accepted `starts` after `tookMs`. */
+  recordAccepted(starts: number, tookMs: Millis, now: Instant): void {
+    this.fastestMs = Math.min(this.fastestMs, tookMs);
+    if (tookMs > this.fastestMs + QUEUEING_DELAY_MS) {
+      this.recordLate(now);
     } else {
-      this.takenAtOnceAt = now;
-      this.width = Math.min(MOST, this.width + GROWTH * starts);
+      this.promptAt = now;
+      this.width = Math.min(MAX_SIZE, this.width + GROWTH_PER_START * starts);
     }
   }
 
-  /** Notes that another host has not taken starts in time. */
-  noteLate(now: Instant): void {
-    const seenAt = Math.max(this.shrunkAt, this.takenAtOnceAt);
-    if (now - seenAt > SAME_CAUSE_MS) {
+  /** Records that another host has not accepted starts in time. */
+  recordLate(now: Instant): void {
+    const lastEventAt = Math.max(this.shrunkAt, this.promptAt);
+    if (now - lastEventAt > SAME_EVENT_MS) {
       this.shrunkAt = now;
-      this.width = Math.max(FEWEST, this.width * SHRINK);
+      this.width = Math.max(MIN_SIZE, this.width * SHRINK_FACTOR);
     }
   }
 }
--- a/packages/daemon/src/job-host/relay/relayed-starts.test.ts
+++ b/packages/daemon/src/job-host/relay/relayed-starts.test.ts
@@ -66,7 +66,11 @@
       peers: this.peers,
       epoch: 64,
       state: this.state,
-      shares: { payloads: linkBytesPerS, retries: Infinity, alone: Infinity },
+      shares: {
+        payloads: linkBytesPerS,
+        retries: Infinity,
+        withoutRelays: Infinity,
+      },
     });
     void this.starts.begin();
   }
--- a/packages/daemon/src/job-host/relay/relayed-starts.ts
+++ b/packages/daemon/src/job-host/relay/relayed-starts.ts
@@ -1,7 +1,8 @@
 /**
- * Starts of a leader whose link can't carry the payload of each. A job's payload is in the log, which the
- * hosts that stand by read anyway: for what is beyond the link's budget one of them is told which run is to
- * begin where, and sends the order. Decisions, fences and ends of leases stay the leader's own.
+ * Sends the starts of a leader whose link can't carry all payloads. Standbys read the payloads of
+ * jobs from the log anyway, so for starts beyond the link's budget the leader only tells a standby
+ * which run to start on which worker, and the standby sends the start command. Decisions, fences
+ * and ends of leases remain with the leader.
  */
 import type { Millis } from '@paddlewind/domain';
 import {
@@ -19,23 +20,23 @@
 
 import { pause, type HostContext } from '../context.js';
 import { LinkBudget } from './link-budget.js';
-import { LinkPace } from './link-pace.js';
+import { LinkPacer } from './link-pace.js';
 import type { LinkShares } from './link-shares.js';
 import { RelayBatches, type RelayedResult } from './relay-batches.js';
 import { RelayHost, type RelayResult } from './relay-host.js';
 import { RelayWindow } from './relay-window.js';
 import type { StartLimits, StartResult, StartSender } from './start-sender.js';
 
-/** How often hosts are looked for that could send starts, and asked who they are. */
-const IDENTIFY_EVERY_MS: Millis = 500;
-/** Bytes of a start that the leader sends itself, beside the job's payload. */
-const OWN_START_BYTES = 300;
-/** Hosts that a start is given to, one after the other, before the leader sends it. */
-const MOST_TRIES = 2;
+/** Interval at which standbys are looked up and asked for their process. */
+const IDENTIFY_INTERVAL_MS: Millis = 500;
+/** Size of a start that the leader sends itself, without the job's payload. */
+const DIRECT_START_BYTES = 300;
+/** Number of hosts that are tried in turn before the leader sends the start itself. */
+const MAX_RELAY_ATTEMPTS = 2;
 
 const NOT_WANTED = { kind: 'not_wanted' } as const;
 
-/** What relayed starts are given. */
+/** Dependencies and settings of relayed starts. */
 export interface RelayedStartsOptions {
   readonly ctx: HostContext;
   readonly port: WorkerPort;
@@ -45,24 +46,24 @@
   readonly shares: LinkShares;
 }
 
-/** What is known of a start once other hosts were to send it. */
-interface Attempts {
-  /** What is certain; undefined where the leader has to send it. */
+/** What is known of a start after other hosts were asked to send it. */
+interface RelayAttempts {
+  /** The conclusive result; undefined if the leader has to send the start itself. */
   readonly result: StartResult | undefined;
-  /** Whether one of the hosts may have begun the run, or may still. */
-  readonly mayBegin: boolean;
-  /** The host that a worker did not answer. */
-  readonly unanswered: RelayHost | undefined;
+  /** Whether one of the hosts may have started the run or may still start it. */
+  readonly mayStart: boolean;
+  /** The host that got no answer from the worker. */
+  readonly unreachedFrom: RelayHost | undefined;
 }
 
-/** Sends starts itself while its link carries them, and has others send the rest. */
+/** Sends starts directly while the link carries them, and the rest through other hosts. */
 export class RelayedStarts implements StartSender {
   private readonly hosts = new Map<string, RelayHost>();
   private readonly budget: LinkBudget;
   /** For starts that other hosts could not send. */
-  private readonly retries: LinkPace;
-  /** For all starts, while no other host can send any. */
-  private readonly alone: LinkPace;
+  private readonly retryPacer: LinkPacer;
+  /** For all starts while no other host can send any. */
+  private readonly directPacer: LinkPacer;
   private readonly window: RelayWindow;
   private readonly batches: RelayBatches;
   private closed = false;
@@ -71,53 +72,55 @@
   constructor(private readonly options: RelayedStartsOptions) {
     const { ctx, shares } = options;
     this.budget = new LinkBudget(ctx.clock, shares.payloads);
-    this.retries = new LinkPace(ctx, shares.retries);
-    this.alone = new LinkPace(ctx, shares.alone);
-    this.window = new RelayWindow(shares.alone);
+    this.retryPacer = new LinkPacer(ctx, shares.retries);
+    this.directPacer = new LinkPacer(ctx, shares.withoutRelays);
+    this.window = new RelayWindow(shares.withoutRelays);
     this.batches = new RelayBatches(ctx, () => this.hosts.values());
   }
 
-  /** Keeps in touch with the hosts that stand by where payloads may exceed what the link carries. */
+  /** Stays in contact with the standbys if payloads may exceed the capacity of the link. */
   async begin(): Promise<void> {
-    while (!this.closed && this.budget.mayRunShort) {
+    while (!this.closed && this.budget.mayBeExceeded) {
       this.updateHosts();
       for (const host of this.hosts.values()) {
         void host.identify();
       }
-      await pause(this.options.ctx, IDENTIFY_EVERY_MS);
+      await pause(this.options.ctx, IDENTIFY_INTERVAL_MS);
     }
   }
 
-  /** Looks for other hosts no more. */
+  /** Stops looking for other hosts. */
   close(): void {
     this.closed = true;
   }
 
   /** Whether starts wait for the link. */
   get isBusy(): boolean {
-    return this.batches.hasHost
+    return this.batches.hasUsableHost
       ? this.window.isNarrow(this.options.ctx.clock())
-      : this.alone.isBusy;
+      : this.directPacer.hasWaitingStarts;
   }
 
-  /** How many starts the link carries soon. */
+  /** Number of starts that the link can carry soon. */
   get mostStarts(): number {
-    return this.batches.hasHost ? this.window.size : this.alone.mostStarts;
+    return this.batches.hasUsableHost
+      ? this.window.size
+      : this.directPacer.maxStarts;
   }
 
-  /** Sends a start, by way of another host where this one's link has no room for it. */
+  /** Sends a start, through another host if it exceeds the budget of the local link. */
   async send(
     worker: WorkerAddress,
     order: StartOrder,
     limits: StartLimits,
   ): Promise<StartResult> {
-    if (this.budget.take(bytesOf(order))) {
+    if (this.budget.tryTake(bytesOf(order))) {
       return this.options.port.start(worker, order);
     }
-    if (!this.batches.hasHost) {
-      return this.sendOwn(this.alone, worker, order, limits);
+    if (!this.batches.hasUsableHost) {
+      return this.sendDirectly(this.directPacer, worker, order, limits);
     }
-    const { result, mayBegin, unanswered } = await this.sendByOthers(
+    const { result, mayStart, unreachedFrom } = await this.sendThroughHosts(
       worker,
       order,
       limits,
@@ -125,17 +128,22 @@
     if (result !== undefined) {
       return result;
     }
-    // A worker that has the run already accepts it once more.
-    const own = await this.sendOwn(this.retries, worker, order, limits);
-    if (own.kind === 'accepted') {
-      unanswered?.noteCutOff(worker.id);
+    // A worker that already has the run accepts it again.
+    const direct = await this.sendDirectly(
+      this.retryPacer,
+      worker,
+      order,
+      limits,
+    );
+    if (direct.kind === 'accepted') {
+      unreachedFrom?.recordUnreachedWorker(worker.id);
     }
-    return mayBegin ? afterAnother(own) : own;
+    return mayStart ? combineWithRelayed(direct) : direct;
   }
 
-  /** Sends a start itself, when it is its turn. */
-  private async sendOwn(
-    pace: LinkPace,
+  /** Sends a start directly when it is its turn. */
+  private async sendDirectly(
+    pacer: LinkPacer,
     worker: WorkerAddress,
     order: StartOrder,
     { isWanted }: StartLimits,
@@ -143,45 +151,45 @@
     if (!isWanted()) {
       return NOT_WANTED;
     }
-    const hasTurn = await pace.admit(bytesOf(order));
+    const hasTurn = await pacer.admit(bytesOf(order));
     return hasTurn && isWanted()
       ? this.options.port.start(worker, order)
       : NOT_WANTED;
   }
 
-  /** Has other hosts send a start, one after the other, until it is certain what became of it. */
-  private async sendByOthers(
+  /** Has other hosts send a start, one after the other, until the result is conclusive. */
+  private async sendThroughHosts(
     worker: WorkerAddress,
     order: StartOrder,
     { isWanted, sendBy }: StartLimits,
-  ): Promise<Attempts> {
+  ): Promise<RelayAttempts> {
     const { task, run, leaseUntil, fence, checkpoint, ticket } = order;
     const relayed = { task, run, leaseUntil, fence, checkpoint, ticket };
     const tried = new Set<RelayHost>();
-    let mayBegin = false;
+    let mayStart = false;
     const { clock } = this.options.ctx;
-    while (tried.size < MOST_TRIES && isWanted() && clock() < sendBy) {
+    while (tried.size < MAX_RELAY_ATTEMPTS && isWanted() && clock() < sendBy) {
       const start = { worker, order: relayed };
       const found = await this.batches.send(start, sendBy, tried);
       if (found === undefined) {
         break;
       }
-      this.tell(worker, order, found);
+      this.logOutcome(worker, order, found);
       const { by, res } = found;
       tried.add(by);
-      if (res.kind === 'sent' && isCertain(res.result)) {
-        const result = mayBegin ? afterAnother(res.result) : res.result;
-        return { result, mayBegin, unanswered: undefined };
+      if (res.kind === 'sent' && isConclusive(res.result)) {
+        const result = mayStart ? combineWithRelayed(res.result) : res.result;
+        return { result, mayStart, unreachedFrom: undefined };
       }
-      mayBegin ||= mayBeginAfter(res);
+      mayStart ||= mayHaveStarted(res);
       if (res.kind === 'sent') {
-        return { result: undefined, mayBegin, unanswered: by };
+        return { result: undefined, mayStart, unreachedFrom: by };
       }
     }
-    return { result: undefined, mayBegin, unanswered: undefined };
+    return { result: undefined, mayStart, unreachedFrom: undefined };
   }
 
-  private tell(
+  private logOutcome(
     worker: WorkerAddress,
     { task, run }: StartOrder,
     { by, res }: RelayedResult,
@@ -197,20 +205,20 @@
 
   private updateHosts(): void {
     const { ctx, state } = this.options;
-    const there = reachableStandbys(state, ctx.host, ctx.clock());
+    const standbys = reachableStandbys(state, ctx.host, ctx.clock());
     for (const [host, { address }] of this.hosts) {
-      if (there.get(host) !== address) {
+      if (standbys.get(host) !== address) {
         this.hosts.delete(host);
       }
     }
-    for (const [host, address] of there) {
+    for (const [host, address] of standbys) {
       if (!this.hosts.has(host)) {
-        this.hosts.set(host, this.contactOf(host, address));
+        this.hosts.set(host, this.connectTo(host, address));
       }
     }
   }
 
-  private contactOf(host: string, address: string): RelayHost {
+  private connectTo(host: string, address: string): RelayHost {
     const { ctx, peers, epoch } = this.options;
     const { batches, window } = this;
     return new RelayHost({
@@ -219,25 +227,25 @@
       epoch,
       host,
       address,
-      taken: (starts, tookMs) => {
+      onAccepted: (starts, tookMs) => {
         ctx.meters.startsTaken(tookMs);
-        batches.noteTaken(tookMs);
-        window.noteTaken(starts, tookMs, ctx.clock());
+        batches.recordAccepted(tookMs);
+        window.recordAccepted(starts, tookMs, ctx.clock());
       },
-      late: () => {
-        window.noteLate(ctx.clock());
+      onLate: () => {
+        window.recordLate(ctx.clock());
       },
     });
   }
 }
 
-/** Whether nothing is left open: the run has begun, or was turned down and can't begin. */
-function isCertain({ kind }: OrderResult): boolean {
+/** Whether the outcome is settled: the run has started, or was refused and can't start. */
+function isConclusive({ kind }: OrderResult): boolean {
   return kind === 'accepted' || kind === 'rejected' || kind === 'replaced';
 }
 
-/** Whether the other host may have begun the run, or may still. */
-function mayBeginAfter(res: RelayResult): boolean {
+/** Whether the other host may have started the run or may still start it. */
+function mayHaveStarted(res: RelayResult): boolean {
   switch (res.kind) {
     case 'sent':
       return res.result.kind === 'unknown';
@@ -249,26 +257,27 @@
 }
 
 function bytesOf({ payload }: StartOrder): number {
-  return OWN_START_BYTES + payload.length;
+  return DIRECT_START_BYTES + payload.length;
 }
 
 /**
- * What is known of a start that was sent again after another host may have sent it: only that a run was
- * accepted, or what ends the link. A run that is refused as old may have begun and ended.
+ * Combines the result of a start with an earlier attempt through another host whose outcome is
+ * unknown. Only an accepted run and results that end the link to the worker are conclusive; a run
+ * that is refused as superseded may have started and ended.
  */
-function afterAnother(own: StartResult): StartResult {
-  const isFenced = own.kind === 'rejected' && own.why === 'fenced';
-  switch (own.kind) {
+function combineWithRelayed(direct: StartResult): StartResult {
+  const isFenced = direct.kind === 'rejected' && direct.why === 'fenced';
+  switch (direct.kind) {
     case 'accepted':
     case 'replaced':
     case 'unknown':
     case 'unsure':
-      return own;
+      return direct;
     case 'not_wanted':
       return { kind: 'unsure', reason: 'another host may have sent it' };
     case 'not_run':
-      return { kind: 'unknown', reason: own.reason };
+      return { kind: 'unknown', reason: direct.reason };
     case 'rejected':
-      return isFenced ? own : { kind: 'unsure', reason: own.why };
+      return isFenced ? direct : { kind: 'unsure', reason: direct.why };
   }
 }
--- a/packages/daemon/src/job-host/relay/start-relay.test.ts
+++ b/packages/daemon/src/job-host/relay/start-relay.test.ts
@@ -65,7 +65,7 @@
         }),
     },
     port: () => this.port,
-    follows: () => this.follows,
+    isFollowing: () => this.follows,
   });
 
   /** Time that a worker takes to answer, by its id. */
@@ -104,7 +104,7 @@
   /** Takes starts, and returns what became of each. */
   async takeAll(batch: RelayBatch): Promise<string[]> {
     const told: string[] = [];
-    const taking = this.relay.take(batch, (at, outcome) => {
+    const taking = this.relay.sendBatch(batch, (at, outcome) => {
       assert.equal(told[at], undefined);
       told[at] = wordOf(outcome);
     });
@@ -146,7 +146,7 @@
   };
   const told: { at: number; word: string; after: number }[] = [];
   const cameAt = site.time.clock();
-  const taking = site.relay.take(
+  const taking = site.relay.sendBatch(
     site.batch([slow, START, unknown]),
     (at, outcome) => {
       const after = site.time.clock() - cameAt;
@@ -228,9 +228,9 @@
   const site = new RelaySite();
   site.submit();
   await site.take(site.batch());
-  site.relay.forgetUnused();
+  site.relay.closeIdleConnections();
   assert.deepEqual(site.forgotten, []);
   await site.time.advance(60_000);
-  site.relay.forgetUnused();
+  site.relay.closeIdleConnections();
   assert.deepEqual(site.forgotten, ['w']);
 });
--- a/packages/daemon/src/job-host/relay/start-relay.ts
+++ b/packages/daemon/src/job-host/relay/start-relay.ts
@@ -1,4 +1,4 @@
-/** Sends starts to workers for the leader, whose link can't carry them all. */
+/** Sends starts to workers on behalf of a leader whose link can't carry them all. */
 import type { Instant, Millis } from '@paddlewind/domain';
 import { isOver } from '@paddlewind/domain/jobs';
 import type {
@@ -14,45 +14,45 @@
 import type { HostContext } from '../context.js';
 import type { Replica } from '../replica.js';
 
-/** Connections to a worker that was sent nothing for this long are closed. */
-const FORGET_WORKER_MS: Millis = 30_000;
-/** Base in which the name of a process is written. */
-const NAME_BASE = 36;
+/** Idle time after which connections to a worker are closed. */
+const IDLE_CONNECTION_MS: Millis = 30_000;
+/** Radix in which the name of a process is written. */
+const PROCESS_NAME_RADIX = 36;
 
-/** What a relay is given. */
+/** Dependencies of a relay. */
 export interface StartRelayOptions {
   readonly ctx: HostContext;
   readonly replica: Pick<Replica, 'state' | 'refresh'>;
   readonly port: () => WorkerPort;
-  /** Whether this host follows the log for a leader. */
-  readonly follows: () => boolean;
+  /** Whether this host follows the journal of a leader. */
+  readonly isFollowing: () => boolean;
 }
 
-/** A worker to which a start was sent. */
+/** A worker that was sent a start. */
 interface UsedWorker {
   readonly worker: WorkerAddress;
   readonly usedAt: Instant;
 }
 
 /**
- * The part of a host that sends starts for the leader. It decides nothing and keeps nothing: fence, lease
- * and number of the run are the leader's, and the worker refuses what has been overtaken.
+ * Sends starts for the leader. It makes no decisions and stores nothing: fence, lease and run
+ * number come from the leader, and the worker refuses outdated starts.
  */
 export class StartRelay {
-  private readonly used = new Map<string, UsedWorker>();
+  private readonly usedWorkers = new Map<string, UsedWorker>();
   private port: WorkerPort | undefined;
   private process: string | undefined;
 
   /** Creates a relay that has sent nothing. */
   constructor(private readonly options: StartRelayOptions) {}
 
-  /** Sends the starts of a batch beside each other, and tells what became of each, or why it was not sent. */
-  async take(
+  /** Sends the starts of a batch concurrently and reports the outcome of each, or why it was not sent. */
+  async sendBatch(
     batch: RelayBatch,
-    told: (at: number, outcome: RelayOutcome) => void,
+    onOutcome: (at: number, outcome: RelayOutcome) => void,
   ): Promise<void> {
     const sending = batch.starts.map(async (start, at) => {
-      told(at, await this.send(batch, start));
+      onOutcome(at, await this.send(batch, start));
     });
     await Promise.all(sending);
   }
@@ -62,7 +62,7 @@
     { worker, order, sendBy }: RelayedStart,
   ): Promise<RelayOutcome> {
     const { ctx, replica } = this.options;
-    const refusal = this.whyNot(batch, sendBy);
+    const refusal = this.refusalOf(batch, sendBy);
     if (refusal !== undefined) {
       return { kind: 'refused', why: refusal };
     }
@@ -70,58 +70,61 @@
     if (!replica.state.jobs.has(job)) {
       await replica.refresh('inbox');
     }
-    const found = replica.state.jobs.get(job);
-    if (found === undefined || isOver(found)) {
+    const knownJob = replica.state.jobs.get(job);
+    if (knownJob === undefined || isOver(knownJob)) {
       return { kind: 'refused', why: 'unknown_job' };
     }
-    // Reading the log may have taken long, and told of another leader.
-    const changed = this.whyNot(batch, sendBy);
-    if (changed !== undefined) {
-      return { kind: 'refused', why: changed };
+    // Reading the log may have taken long and revealed another leader.
+    const laterRefusal = this.refusalOf(batch, sendBy);
+    if (laterRefusal !== undefined) {
+      return { kind: 'refused', why: laterRefusal };
     }
-    this.used.set(worker.id, { worker, usedAt: ctx.clock() });
+    this.usedWorkers.set(worker.id, { worker, usedAt: ctx.clock() });
     this.port ??= this.options.port();
-    const { payload } = found.spec;
+    const { payload } = knownJob.spec;
     const result = await this.port.start(worker, { ...order, payload });
     return { kind: 'sent', result };
   }
 
-  /** Tells which process this is. */
+  /** Returns the identity of this process. */
   identify(): PeerProcess {
-    return { process: this.name(), clock: this.options.ctx.clock() };
+    return { process: this.processName(), clock: this.options.ctx.clock() };
   }
 
   /** Closes connections that are no longer used. */
-  forgetUnused(): void {
+  closeIdleConnections(): void {
     const now = this.options.ctx.clock();
-    for (const [id, { worker, usedAt }] of this.used) {
-      if (now - usedAt > FORGET_WORKER_MS) {
-        this.used.delete(id);
+    for (const [id, { worker, usedAt }] of this.usedWorkers) {
+      if (now - usedAt > IDLE_CONNECTION_MS) {
+        this.usedWorkers.delete(id);
         this.port?.forget(worker);
       }
     }
   }
 
-  private whyNot(
+  private refusalOf(
     { epoch, process }: RelayBatch,
     sendBy: Instant,
   ): RelayRefusal | undefined {
-    const { ctx, replica, follows } = this.options;
-    if (process !== this.name()) {
+    const { ctx, replica, isFollowing } = this.options;
+    if (process !== this.processName()) {
       return 'other_process';
     }
     if (ctx.clock() > sendBy) {
       return 'late';
     }
-    if (!follows()) {
+    if (!isFollowing()) {
       return 'not_following';
     }
     return replica.state.claim.epoch > epoch ? 'deposed' : undefined;
   }
 
-  /** A name that no other process of this host has: each has a steady clock of its own. */
-  private name(): string {
-    this.process ??= this.options.ctx.random().toString(NAME_BASE).slice(2);
+  /** Returns a name that is unique to this process, since each process has its own monotonic clock. */
+  private processName(): string {
+    this.process ??= this.options.ctx
+      .random()
+      .toString(PROCESS_NAME_RADIX)
+      .slice(2);
     return this.process;
   }
 }
--- a/packages/daemon/src/job-host/relay/start-sender.ts
+++ b/packages/daemon/src/job-host/relay/start-sender.ts
@@ -1,4 +1,4 @@
-/** How starts reach workers. */
+/** Interface of the senders of start commands. */
 import type { Instant } from '@paddlewind/domain';
 import type {
   OrderResult,
@@ -6,33 +6,33 @@
   WorkerAddress,
 } from '@paddlewind/ports/jobs';
 
-/** What became of a start. */
+/** Result of a start command. */
 export type StartResult =
   | OrderResult
-  /** It may have been carried out, or may still be; that says nothing of whether the worker answers. */
+  /** It may have been carried out or may still be; this says nothing about whether the worker answers. */
   | { readonly kind: 'unsure'; readonly reason: string }
-  /** Nothing was done, nor will be: it was not wanted any more when it could have been sent. */
+  /** Nothing was or will be done: the start was no longer wanted when it could have been sent. */
   | { readonly kind: 'not_wanted' };
 
-/** Until when a start is of use. */
+/** Limits within which a start may be sent. */
 export interface StartLimits {
-  /** Whether it is still to be sent. */
+  /** Whether the start should still be sent. */
   readonly isWanted: () => boolean;
-  /** Latest time at which it is sent, whoever sends it: what was checked before holds until then. */
+  /** Latest time at which any host may send it; the checks made before hold until then. */
   readonly sendBy: Instant;
 }
 
-/** Sends starts to workers. */
+/** Sends start commands to workers. */
 export interface StartSender {
-  /** Gets ready to send, until it is closed. */
+  /** Keeps the sender ready until it is closed. */
   begin(): Promise<void>;
-  /** Ends what `begin` keeps up. */
+  /** Stops keeping the sender ready. */
   close(): void;
-  /** Whether starts wait for their turns. */
+  /** Whether starts wait for their turn. */
   readonly isBusy: boolean;
-  /** How many starts may be under way: more would wait for too long. */
+  /** Maximum number of starts in flight; more would wait too long. */
   readonly mostStarts: number;
-  /** Sends a start, within its limits also again. */
+  /** Sends a start, retrying within its limits. */
   send(
     worker: WorkerAddress,
     order: StartOrder,
--- a/packages/daemon/src/job-host/replica-view.ts
+++ b/packages/daemon/src/job-host/replica-view.ts
@@ -1,4 +1,4 @@
-/** What a host that reads the journal tells callers. */
+/** Answers callers on a host that reads the journal. */
 import type { Instant, Millis } from '@paddlewind/domain';
 import {
   statusOf,
@@ -8,29 +8,29 @@
 
 import {
   findByReading,
-  GIVE_UP_MS,
-  LENGTH_AGE_MS,
-  LENGTH_REREAD_MS,
-  tellStatus,
-  within,
+  ANSWER_TIMEOUT_MS,
+  MAX_QUEUE_LENGTH_AGE_MS,
+  QUEUE_LENGTH_REFRESH_AGE_MS,
+  lookUpStatus,
+  withTimeout,
   type CallerView,
-  type FoundJob,
+  type JobLookup,
   type StatusResult,
 } from './caller-view.js';
 import type { HostContext } from './context.js';
 import type { Leader } from './leader.js';
 import type { FoldedStream, Replica } from './replica.js';
 
-/** The view of the leader and of hosts that stand by. */
+/** The view of the leader and its standbys. */
 export class ReplicaView implements CallerView {
-  /** Creates the view; `leader` is this host's, while it leads. */
+  /** Creates the view; `leader` returns the leader while this host leads. */
   constructor(
     private readonly ctx: HostContext,
     private readonly replica: Replica,
     private readonly leader: () => Leader | undefined,
   ) {}
 
-  /** Monotonic time at which the log last answered. */
+  /** Monotonic time of the last answer from the log. */
   get contactAt(): Instant {
     return this.replica.contactAt;
   }
@@ -40,46 +40,46 @@
     return this.replica.isComplete;
   }
 
-  /** Number of jobs that are not over. */
+  /** Number of unfinished jobs. */
   get openJobs(): number {
     return this.replica.state.open.size;
   }
 
-  /** Monotonic time as of which the inbox is known. */
+  /** Monotonic time up to which the inbox is known. */
   get inboxKnownAsOf(): Instant {
     return this.replica.knownAsOf('inbox');
   }
 
-  /** Whether a job is known without reading on. */
+  /** Whether a job is known without reading from the log. */
   has(job: string): boolean {
     return this.replica.state.jobs.has(job);
   }
 
-  /** Looks for a job in the inbox, and then in the journal, which alone tells of old submissions. */
-  find(job: string): Promise<FoundJob> {
+  /** Looks for a job in the inbox and then in the journal, the only stream with old submissions. */
+  find(job: string): Promise<JobLookup> {
     return findByReading(
       () => this.has(job),
-      [() => this.isUpToDate('inbox'), () => this.isUpToDate('journal')],
+      [() => this.refreshInTime('inbox'), () => this.refreshInTime('journal')],
     );
   }
 
-  /** Tells a job's state as of a moment after the call. */
+  /** Returns a job's state as of a moment after the call. */
   status(job: string): Promise<StatusResult> {
     const { ctx, replica } = this;
-    return tellStatus({
+    return lookUpStatus({
       ctx,
       find: () => this.find(job),
-      // What a leader knows beyond the journal may never be recorded, also that a job is over.
-      isSettled: () => this.leader() === undefined && this.isFinal(job),
-      isUpToDate: () => this.isUpToDate('journal'),
-      newest: () => {
+      // A leader's own decisions may never be recorded, not even that a job has finished.
+      isFinal: () => this.leader() === undefined && this.isFinal(job),
+      refresh: () => this.refreshInTime('journal'),
+      currentState: () => {
         const known = replica.state.jobs.get(job);
         return known === undefined ? undefined : toldStateOf(known);
       },
     });
   }
 
-  /** Counts the jobs of a queue that wait, in a copy that is at most `LENGTH_AGE_MS` old. */
+  /** Counts the waiting jobs of a queue in a copy that is at most `LENGTH_AGE_MS` old. */
   async queueLength(queue: string): Promise<number | undefined> {
     if (!(await this.isRecent())) {
       this.ctx.meters.refused('queue_length', 'stale');
@@ -94,8 +94,8 @@
     return count;
   }
 
-  /** Takes in a record that this host has appended to the inbox. */
-  noteOwn(record: InboxRecord, offset: number): void {
+  /** Applies a record that this host has appended to the inbox. */
+  applyOwnAppend(record: InboxRecord, offset: number): void {
     this.replica.applyOwn(offset, [record]);
   }
 
@@ -104,38 +104,43 @@
     return this.replica.refresh('inbox');
   }
 
-  /** Whether this host's copy is recent enough to count in, if need be after reading on. */
+  /** Whether this host's copy is recent enough to count in; refreshes it if necessary. */
   private async isRecent(): Promise<boolean> {
     const { ctx, replica } = this;
     const age = (): Millis =>
       ctx.clock() -
       Math.min(replica.knownAsOf('inbox'), replica.knownAsOf('journal'));
-    if (this.leader() === undefined && age() <= LENGTH_REREAD_MS) {
+    if (this.leader() === undefined && age() <= QUEUE_LENGTH_REFRESH_AGE_MS) {
       return true;
     }
-    const leads = this.leader() !== undefined;
-    // A read that fails or does not end in time leaves the copy as old as it was.
-    const read = await Promise.all([
-      this.isUpToDate('inbox'),
-      this.isUpToDate('journal'),
+    const isLeader = this.leader() !== undefined;
+    // A read that fails or times out leaves the copy as old as it was.
+    const refreshed = await Promise.all([
+      this.refreshInTime('inbox'),
+      this.refreshInTime('journal'),
     ]);
-    return leads ? read.every(Boolean) : age() <= LENGTH_AGE_MS;
+    return isLeader
+      ? refreshed.every(Boolean)
+      : age() <= MAX_QUEUE_LENGTH_AGE_MS;
   }
 
-  /** Reads a stream to its end; false when that fails or takes too long. The leader knows its journal. */
-  private async isUpToDate(stream: FoldedStream): Promise<boolean> {
+  /**
+   * Reads a stream to its end; false if that fails or takes too long. A leader has its journal
+   * already and only waits until its decisions are recorded.
+   */
+  private async refreshInTime(stream: FoldedStream): Promise<boolean> {
     const { ctx, replica } = this;
-    const leading = this.leader();
-    const work =
-      leading !== undefined && stream === 'journal'
-        ? leading.recorded()
+    const leader = this.leader();
+    const refreshing =
+      leader !== undefined && stream === 'journal'
+        ? leader.recorded()
         : replica.refresh(stream);
-    return (await within(ctx, work, GIVE_UP_MS)) === true;
+    return (await withTimeout(ctx, refreshing, ANSWER_TIMEOUT_MS)) === true;
   }
 
   private isFinal(id: string): boolean {
     const job = this.replica.state.jobs.get(id);
-    const over = ['completed', 'failed'];
-    return job !== undefined && over.includes(statusOf(job));
+    const finalStatuses = ['completed', 'failed'];
+    return job !== undefined && finalStatuses.includes(statusOf(job));
   }
 }
--- a/packages/daemon/src/job-host/replica.ts
+++ b/packages/daemon/src/job-host/replica.ts
@@ -1,4 +1,4 @@
-/** A host's copy of the state of jobs, folded from inbox and journal. */
+/** A host's copy of the state of jobs, built from inbox and journal. */
 import {
   UNKNOWN_SPAN,
   type Instant,
@@ -24,44 +24,44 @@
 import { LeaseEnds } from './lease-ends.js';
 import { Portion } from './portion.js';
 
-/** Bytes asked for where only the position of the first record that is kept matters. */
-const JOIN_BYTES = 1_024;
+/** Size of a read that only locates the first record that the log still keeps. */
+const PROBE_BYTES = 1_024;
 
-/** The streams from which the state of jobs is folded. */
+/** The streams that the state of jobs is built from. */
 export type FoldedStream = 'inbox' | 'journal';
 
-/** How much of a stream a read has brought. */
-type Taken = 'all' | 'more' | 'none';
+/** How far a read has brought a stream: to its end, with more to read, or not at all. */
+type ReadProgress = 'all' | 'more' | 'none';
 
-/** How long before it is in the log a leader may have written that it leads. */
-const HEARTBEAT_DELAY_MS: Millis = 500;
+/** Longest time between the writing of a leader's heartbeat and its arrival in the log. */
+const MAX_HEARTBEAT_DELAY_MS: Millis = 500;
 
-/** When the newest heartbeat of a leader was read, and when it was not in the log yet. */
-interface HeardHeartbeat {
-  readonly at: Instant;
-  readonly after: Instant;
+/** When the newest heartbeat of a leader was read, and when it was not yet in the log. */
+interface ReceivedHeartbeat {
+  readonly readAt: Instant;
+  readonly absentAt: Instant;
 }
 
-/** The state of jobs as far as this host has read. */
+/** The state of jobs as read by this host. */
 export class Replica {
   state: JobsState = emptyJobsState();
-  /** Monotonic time at which records of the journal last arrived. */
+  /** Monotonic time at which journal records last arrived. */
   journalHeardAt: Instant;
-  /** Monotonic time at which the log last answered. */
+  /** Monotonic time of the last answer from the log. */
   contactAt: Instant = -Infinity;
-  /** Whether the log has dropped records that this copy lacks, so that it has to be read anew. */
+  /** Whether the log has dropped records that this copy lacks, so that it has to be rebuilt. */
   lostTrack = false;
 
   private readonly leaseEnds = new LeaseEnds();
-  private readonly next: Record<FoldedStream, number> = {
+  private readonly nextOffsets: Record<FoldedStream, number> = {
     inbox: 0,
     journal: 0,
   };
-  private readonly readAt: Record<FoldedStream, Instant> = {
+  private readonly readToEndAt: Record<FoldedStream, Instant> = {
     inbox: -Infinity,
     journal: -Infinity,
   };
-  private readonly portions: Record<FoldedStream, Portion> = {
+  private readonly readSizes: Record<FoldedStream, Portion> = {
     inbox: new Portion(),
     journal: new Portion(),
   };
@@ -70,16 +70,16 @@
     journal: coalesce(() => this.readToEnd('journal', 0)),
   };
   private resets = 0;
-  /** Whether the position at which reading of a stream begins is settled. */
-  private readonly joined: Record<FoldedStream, boolean> = {
+  /** Whether the offset at which reading starts is known. */
+  private readonly hasStartOffset: Record<FoldedStream, boolean> = {
     inbox: false,
     journal: false,
   };
-  /** Whether reading began after records that the log has dropped. */
+  /** Whether reading started after records that the log has dropped. */
   private trimmed = false;
-  /** Whether this host leads, so that the journal holds nothing more than what it has decided itself. */
-  private isWriter = false;
-  private heartbeat: HeardHeartbeat | undefined;
+  /** Whether this host leads, so that the journal holds nothing but its own decisions. */
+  private isLeading = false;
+  private heartbeat: ReceivedHeartbeat | undefined;
 
   /** Creates a replica that has read nothing. */
   constructor(
@@ -89,36 +89,38 @@
     this.journalHeardAt = ctx.clock();
   }
 
-  /** Offset up to which a stream was read. */
+  /** Returns the offset up to which a stream was read. */
   nextOffset(stream: FoldedStream): number {
-    return this.next[stream];
+    return this.nextOffsets[stream];
   }
 
   /**
-   * Monotonic time as of which all records of a stream are known: that at which the last read to its
-   * end was sent; `-Infinity` before the first.
+   * Returns the monotonic time up to which all records of a stream are known: when the last read to
+   * its end was sent; `-Infinity` before the first.
    */
   knownAsOf(stream: FoldedStream): Instant {
-    return this.readAt[stream];
+    return this.readToEndAt[stream];
   }
 
-  /** Whether all that the log keeps has been read once, so that what is not known is not there. */
+  /** Whether everything that the log keeps has been read once, so that what is unknown does not exist. */
   get isComplete(): boolean {
-    return Math.min(this.readAt.inbox, this.readAt.journal) > -Infinity;
+    return (
+      Math.min(this.readToEndAt.inbox, this.readToEndAt.journal) > -Infinity
+    );
   }
 
   /**
-   * Reads what is new, to the end of the stream; false when the log did not answer. All who ask at the
-   * same time share a read: several at once would share the link, so that none may arrive in time.
+   * Reads new records to the end of the stream; false if the log did not answer. Concurrent callers
+   * share one read: several reads at once would share the link, and none might arrive in time.
    */
   refresh(stream: FoldedStream): Promise<boolean> {
     return this.refreshes[stream]();
   }
 
-  /** Reads what is new, waiting up to `waitMs` for it; false when the log did not answer. */
+  /** Reads new records, waiting up to `waitMs` for them; false if the log did not answer. */
   async readToEnd(stream: FoldedStream, waitMs: Millis): Promise<boolean> {
     const { resets } = this;
-    if (stream === 'inbox' && !(await this.joinJournal())) {
+    if (stream === 'inbox' && !(await this.findJournalStart())) {
       return false;
     }
     let wait = waitMs;
@@ -129,37 +131,41 @@
         return false;
       }
       this.contactAt = this.ctx.clock();
-      const taken = await this.take(stream, found, sentAt);
-      if (taken !== 'more') {
-        return taken === 'all';
+      const progress = await this.applyRead(stream, found, sentAt);
+      if (progress !== 'more') {
+        return progress === 'all';
       }
       wait = 0;
     }
   }
 
   /**
-   * Settles where the journal is read from before the inbox is read. A job that is known from the inbox
-   * must not lack records of the journal, dropped meanwhile: its done tasks would begin again.
+   * Finds the first journal record before the inbox is read. If the log dropped journal records
+   * after a job was read from the inbox, the job would lack them and its completed tasks would
+   * start again.
    */
-  private async joinJournal(): Promise<boolean> {
+  private async findJournalStart(): Promise<boolean> {
     const { resets } = this;
-    if (this.joined.journal) {
+    if (this.hasStartOffset.journal) {
       return true;
     }
-    const limits = { waitMs: 0, maxBytes: JOIN_BYTES };
+    const limits = { waitMs: 0, maxBytes: PROBE_BYTES };
     const found = await this.jobLog.read('journal', 0, limits);
     if (this.resets !== resets || found.kind === 'unavailable') {
       return false;
     }
-    this.join('journal', found.kind === 'trimmed' ? found.firstOffset : 0);
+    this.setStartOffset(
+      'journal',
+      found.kind === 'trimmed' ? found.firstOffset : 0,
+    );
     return true;
   }
 
-  /** Settles where a stream is read from, unless that is settled already. */
-  private join(stream: FoldedStream, firstOffset: number): void {
-    if (!this.joined[stream]) {
-      this.joined[stream] = true;
-      this.next[stream] = firstOffset;
+  /** Sets the offset at which reading of a stream starts, unless it is set already. */
+  private setStartOffset(stream: FoldedStream, firstOffset: number): void {
+    if (!this.hasStartOffset[stream]) {
+      this.hasStartOffset[stream] = true;
+      this.nextOffsets[stream] = firstOffset;
       this.trimmed ||= firstOffset > 0;
       if (stream === 'journal' && firstOffset === 0) {
         this.leaseEnds.noteBeginning();
@@ -174,43 +180,43 @@
     waitMs: Millis,
   ): Promise<ReadResult> {
     const { ctx, jobLog } = this;
-    const portion = this.portions[stream];
-    const from = this.next[stream];
-    const maxBytes = portion.bytes;
+    const readSize = this.readSizes[stream];
+    const from = this.nextOffsets[stream];
+    const maxBytes = readSize.bytes;
     const sentAt = ctx.clock();
     const found = await jobLog.read(stream, from, { waitMs, maxBytes });
     const took = ctx.clock() - sentAt;
     if (found.kind === 'unavailable') {
-      portion.noteFailure();
+      readSize.noteFailure();
       ctx.log.warn(
         { stream, from, maxBytes, took, reason: found.reason },
         'replica: a read failed',
       );
     } else if (found.kind === 'records' && found.endOffset > from) {
-      portion.noteAnswer(took - waitMs, sizeOf(found.records));
+      readSize.noteAnswer(took - waitMs, sizeOf(found.records));
     }
     return found;
   }
 
-  /** Whether this copy began with the first records that were ever written. */
+  /** Whether this copy includes the first records ever written. */
   get knowsBeginning(): boolean {
     return !this.trimmed;
   }
 
   /**
-   * Monotonic time by which every lease that leaders before the present one gave to a worker has ended;
-   * infinite for one that the present leader has reached.
+   * Returns the monotonic time by which all leases that earlier leaders gave to a worker have
+   * ended; infinite for a worker that the current leader has reached.
    */
   earlierLeaseEnd(worker: string): Instant {
     const id = workerOf(worker);
     const reachedIn = this.state.reachedIn.get(id);
-    // Of a leader whose claim is gone it is not known which one it is.
+    // Epoch 0: the claim of that leader was dropped, so it is unknown which leader it was.
     return this.leaseEnds.endFor(id, reachedIn === 0 ? undefined : reachedIn);
   }
 
   /**
-   * Returns what this host, which leads or claims in `epoch`, hands on of the ends of leases: its own hold
-   * for `heldMs`. Undefined while it may not know of all leaders.
+   * Returns the ends of leases that this host, which leads or claims in `epoch`, hands over; its
+   * own leases hold for `heldMs`. Undefined if it may not know of all leaders.
    */
   handedLeases(epoch: number, heldMs: Millis): HandedLeases | undefined {
     return this.leaseEnds.handedBy(epoch, heldMs, this.ctx.clock());
@@ -221,21 +227,21 @@
     if (this.heartbeat === undefined) {
       return UNKNOWN_SPAN;
     }
-    const { at, after } = this.heartbeat;
+    const { readAt, absentAt } = this.heartbeat;
     return {
-      from: Math.floor(now - at),
-      to: Math.ceil(now - after) + HEARTBEAT_DELAY_MS,
+      from: Math.floor(now - readAt),
+      to: Math.ceil(now - absentAt) + MAX_HEARTBEAT_DELAY_MS,
     };
   }
 
-  /** Takes in records of the inbox that this host has appended itself. */
+  /** Applies inbox records that this host has appended itself. */
   applyOwn(offset: number, records: readonly InboxRecord[]): void {
     this.contactAt = this.ctx.clock();
-    // Before the first read of the inbox it is not settled where this copy begins.
-    if (!this.joined.inbox || offset !== this.next.inbox) {
+    // Before the first read of the inbox its start offset is unknown.
+    if (!this.hasStartOffset.inbox || offset !== this.nextOffsets.inbox) {
       return;
     }
-    this.next.inbox += records.length;
+    this.nextOffsets.inbox += records.length;
     this.state.now = this.contactAt;
     for (const record of records) {
       applyInbox(this.state, record);
@@ -243,110 +249,115 @@
   }
 
   /**
-   * Notes that this host leads: until `reset` nothing more of the journal is taken in. A read that was under
-   * way, or waited for its turn, may bring what the leader has written since, and applied when it decided it: a
-   * start that is applied twice is a run that never ends, and its task does not run again.
+   * Records that this host leads: journal records are ignored until `reset`. A read that is in
+   * flight or queued may return what the leader has written since and has applied already. A start
+   * that is applied twice is a run that never ends, and its task does not run again.
    */
   becomeWriter(): void {
-    this.isWriter = true;
+    this.isLeading = true;
   }
 
-  /** Notes that this host, which leads, has written the journal up to `nextOffset`. */
+  /** Records that this host, the leader, has written the journal up to `nextOffset`. */
   wroteJournal(nextOffset: number): void {
-    this.next.journal = nextOffset;
+    this.nextOffsets.journal = nextOffset;
     this.journalHeardAt = this.ctx.clock();
     this.contactAt = this.journalHeardAt;
   }
 
-  /** Forgets everything, to be read again. */
+  /** Discards the copy so that it is read from scratch. */
   reset(): void {
     this.resets += 1;
     this.state = emptyJobsState();
-    this.next.inbox = 0;
-    this.next.journal = 0;
-    this.readAt.inbox = -Infinity;
-    this.readAt.journal = -Infinity;
-    this.joined.inbox = false;
-    this.joined.journal = false;
+    this.nextOffsets.inbox = 0;
+    this.nextOffsets.journal = 0;
+    this.readToEndAt.inbox = -Infinity;
+    this.readToEndAt.journal = -Infinity;
+    this.hasStartOffset.inbox = false;
+    this.hasStartOffset.journal = false;
     this.trimmed = false;
-    this.isWriter = false;
+    this.isLeading = false;
     this.lostTrack = false;
     this.heartbeat = undefined;
     this.journalHeardAt = this.ctx.clock();
   }
 
-  private async take(
+  private async applyRead(
     stream: FoldedStream,
     found: Exclude<ReadResult, { kind: 'unavailable' }>,
     sentAt: Instant,
-  ): Promise<Taken> {
-    if (stream === 'journal' && this.isWriter) {
+  ): Promise<ReadProgress> {
+    if (stream === 'journal' && this.isLeading) {
       return 'none';
     }
-    if (found.kind === 'trimmed' && this.joined[stream]) {
-      // What they changed of the jobs known here is told nowhere else.
+    if (found.kind === 'trimmed' && this.hasStartOffset[stream]) {
+      // The changes that the dropped records made to known jobs can't be read anywhere else.
       this.lostTrack = true;
       return 'none';
     }
     if (found.kind === 'trimmed') {
-      // What matters of them is restated in the journal.
+      // The leader restates in the journal what is still needed of dropped records.
       const { firstOffset } = found;
       this.ctx.log.warn(
         { stream, firstOffset },
-        'replica: older records are gone',
+        'replica: older records were dropped',
       );
-      this.join(stream, firstOffset);
+      this.setStartOffset(stream, firstOffset);
       return 'more';
     }
-    this.join(stream, 0);
+    this.setStartOffset(stream, 0);
     if (stream === 'inbox') {
-      this.takeInbox(found.offset, found.records);
-    } else if (!(await this.takeJournal(found.offset, found.records))) {
+      this.applyInboxRecords(found.offset, found.records);
+    } else if (!(await this.applyJournalRecords(found.offset, found.records))) {
       return 'none';
     }
-    if (this.next[stream] < found.endOffset) {
+    if (this.nextOffsets[stream] < found.endOffset) {
       return 'more';
     }
-    this.readAt[stream] = Math.max(this.readAt[stream], sentAt);
+    this.readToEndAt[stream] = Math.max(this.readToEndAt[stream], sentAt);
     return 'all';
   }
 
-  private takeInbox(offset: number, records: readonly Uint8Array[]): void {
+  private applyInboxRecords(
+    offset: number,
+    records: readonly Uint8Array[],
+  ): void {
     this.state.now = this.ctx.clock();
-    for (const bytes of records.slice(Math.max(0, this.next.inbox - offset))) {
-      this.next.inbox += 1;
+    for (const bytes of records.slice(
+      Math.max(0, this.nextOffsets.inbox - offset),
+    )) {
+      this.nextOffsets.inbox += 1;
       const record = decodeInbox(bytes);
       if (record === undefined) {
-        this.noteUnreadable('inbox', this.next.inbox - 1);
+        this.noteUnreadable('inbox', this.nextOffsets.inbox - 1);
       } else {
         applyInbox(this.state, record);
       }
     }
   }
 
-  /** Takes in nothing, and returns false, while jobs that the journal names can't be read. */
-  private async takeJournal(
+  /** Applies journal records. Applies nothing and returns false if they name jobs that can't be read. */
+  private async applyJournalRecords(
     offset: number,
     records: readonly Uint8Array[],
   ): Promise<boolean> {
     const { resets } = this;
     const decoded = records.map(decodeJournal);
-    const known = decoded.every(
-      record => record === undefined || this.isKnown(record),
+    const allJobsKnown = decoded.every(
+      record => record === undefined || this.isJobKnown(record),
     );
-    if (!known && !(await this.refresh('inbox'))) {
+    if (!allJobsKnown && !(await this.refresh('inbox'))) {
       return false;
     }
-    if (this.resets !== resets || this.isWriter) {
+    if (this.resets !== resets || this.isLeading) {
       return false;
     }
     this.state.now = this.ctx.clock();
     for (const record of decoded.slice(
-      Math.max(0, this.next.journal - offset),
+      Math.max(0, this.nextOffsets.journal - offset),
     )) {
-      this.next.journal += 1;
+      this.nextOffsets.journal += 1;
       if (record === undefined) {
-        this.noteUnreadable('journal', this.next.journal - 1);
+        this.noteUnreadable('journal', this.nextOffsets.journal - 1);
         continue;
       }
       if (!applyJournal(this.state, record) && !this.trimmed) {
@@ -362,18 +373,18 @@
       this.journalHeardAt = now;
     }
     if (decoded.some(record => record?.kind === 'heartbeat')) {
-      this.heartbeat = { at: now, after: this.readAt.journal };
+      this.heartbeat = { readAt: now, absentAt: this.readToEndAt.journal };
     }
     return true;
   }
 
-  /** A record of another version is passed over: what it says is not known here, the rest is. */
+  /** Skips a record of another version: its content stays unknown, all other records are applied. */
   private noteUnreadable(stream: FoldedStream, offset: number): void {
     this.ctx.meters.unreadableRecord(stream);
     this.ctx.log.error({ stream, offset }, 'replica: a record can not be read');
   }
 
-  private isKnown(record: JournalRecord): boolean {
+  private isJobKnown(record: JournalRecord): boolean {
     if (record.kind === 'begun') {
       return this.state.jobs.has(record.job);
     }
--- a/packages/daemon/src/job-host/simulation.fixture.test.ts
+++ b/packages/daemon/src/job-host/simulation.fixture.test.ts
@@ -225,7 +225,7 @@
       maxLeaseMs: this.maxLeaseMs,
       cores,
       linkShares: this.relaysAll
-        ? { payloads: 1, retries: Infinity, alone: Infinity }
+        ? { payloads: 1, retries: Infinity, withoutRelays: Infinity }
         : linkSharesOf(this.linkBytesPerS),
       retentionMs: RETENTION_MS,
       statusMs: STATUS_MS,
--- a/packages/daemon/src/job-host/start-job-host.ts
+++ b/packages/daemon/src/job-host/start-job-host.ts
@@ -1,4 +1,4 @@
-/** Puts the parts of a job host together. */
+/** Assembles the parts of a job host. */
 import type { Millis } from '@paddlewind/domain';
 import { forgetOver, openRunsOf } from '@paddlewind/domain/jobs';
 import type {
@@ -19,7 +19,7 @@
 import { ConfigFollower } from './config-follower.js';
 import { pause, type HostContext } from './context.js';
 import { Duty } from './duty.js';
-import { GroupAppend } from './group-append.js';
+import { AppendBatcher } from './group-append.js';
 import { InboxSender, type Appender } from './inbox-sender.js';
 import { JobService } from './job-service.js';
 import { keepRunning } from './keep-running.js';
@@ -41,7 +41,7 @@
   LEADER_SILENCE_MS,
 } from './timing.js';
 
-/** What a job host is given. */
+/** Dependencies and settings of a job host. */
 export interface JobHostOptions {
   readonly ctx: HostContext;
   readonly jobLog: JobLog;
@@ -50,16 +50,16 @@
   readonly workerPort: () => WorkerPort;
   readonly advicePort: () => AdvicePort;
   readonly peers: PeerPort;
-  /** Where other hosts reach this one. */
+  /** Address at which other hosts reach this one. */
   readonly peerAddress: string;
   readonly maxLeaseMs: Millis;
-  /** Processors of this host. */
+  /** Number of processors of this host. */
   readonly cores: number;
-  /** What starts may take of the link of this host, while it leads. */
+  /** Bandwidth that starts may use on this host's link while it leads. */
   readonly linkShares: LinkShares;
-  /** How long the log keeps records. */
+  /** Retention time of the log. */
   readonly retentionMs: Millis;
-  /** How long the state of a job that is over can be asked for. */
+  /** Time for which the state of a finished job can be queried. */
   readonly statusMs: Millis;
 }
 
@@ -70,31 +70,31 @@
   readonly appendForPeer: (
     records: readonly Uint8Array[],
   ) => Promise<AppendResult>;
-  /** Tells another host which process this is. */
+  /** Returns the identity of this process for another host. */
   readonly identifyForPeer: () => PeerProcess;
-  /** Sends starts for another host, which leads, and tells what becomes of each. */
+  /** Sends starts on behalf of the leader and reports the outcome of each. */
   readonly relayForPeer: (
     batch: RelayBatch,
-    told: (at: number, outcome: RelayOutcome) => void,
+    onOutcome: (at: number, outcome: RelayOutcome) => void,
   ) => Promise<void>;
-  /** The newest configuration, undefined before the first. */
+  /** The newest configuration; undefined before the first. */
   readonly config: () => OperatorConfig | undefined;
   /** Whether callers should be sent here. */
   readonly ready: () => boolean;
-  /** What is read when the metrics are asked for. */
+  /** Values read when the metrics are scraped. */
   readonly gauges: JobGauges;
-  /** Hands the leadership over; resolves when another host leads or `waitMs` have passed. */
+  /** Hands over the leadership; resolves when another host leads or after `waitMs`. */
   readonly handOver: (waitMs: Millis) => Promise<void>;
 }
 
 /** Starts following the configuration and the journal. */
 export function startJobHost(options: JobHostOptions): JobHost {
   const runtime = new HostRuntime(options);
-  runtime.begin();
+  runtime.start();
   return runtime;
 }
 
-/** The parts of a host, and which of them are in use at present. */
+/** The parts of a host, and which of them are currently in use. */
 class HostRuntime implements JobHost {
   readonly service: JobService;
   readonly gauges: JobGauges;
@@ -102,10 +102,10 @@
   private readonly jobLog: JobLog;
   private readonly replica: Replica;
   private readonly summary: SummaryFollower;
-  private readonly duty: Duty;
-  private readonly group: GroupAppend;
+  private readonly role: Duty;
+  private readonly batcher: AppendBatcher;
   private readonly relay: StartRelay;
-  private readonly follower: ConfigFollower;
+  private readonly configFollower: ConfigFollower;
   private readonly replicaView: ReplicaView;
   private readonly summaryView: SummaryView;
   private leader: Leader | undefined;
@@ -122,12 +122,12 @@
       ctx,
       jobLog,
       view,
-      leader: () => this.appender(),
+      leader: () => this.inboxAppender(),
     });
     this.jobLog = jobLog;
     this.replica = replica;
     this.summary = summary;
-    this.duty = new Duty({
+    this.role = new Duty({
       ctx,
       replica,
       summary,
@@ -135,40 +135,41 @@
       peerAddress,
       appendOffer: records => inbox.append(records),
     });
-    this.group = new GroupAppend(ctx, jobLog);
+    this.batcher = new AppendBatcher(ctx, jobLog);
     this.relay = new StartRelay({
       ctx,
       replica,
       port: () => meterWorkers(options.workerPort(), ctx.meters, ctx.clock),
-      follows: () => this.follows(),
+      isFollowing: () => this.isFollowingLeader(),
     });
-    this.follower = new ConfigFollower(ctx, options.configFeed);
+    this.configFollower = new ConfigFollower(ctx, options.configFeed);
     this.replicaView = new ReplicaView(ctx, replica, () => this.leader);
     this.summaryView = new SummaryView(ctx, summary);
     this.service = new JobService(ctx, inbox, view);
     this.gauges = {
       epoch: () => this.epoch,
       ready: this.ready,
-      configVersion: () => this.follower.config?.version ?? 0,
+      configVersion: () => this.configFollower.config?.version ?? 0,
       openJobs: () => this.view().openJobs,
       openRuns: () => openRunsOf(replica.state),
     };
   }
 
-  begin(): void {
+  start(): void {
     const { ctx } = this.options;
-    void keepRunning(ctx, 'config', () => this.follower.follow());
-    void keepRunning(ctx, 'leadership', () => this.takeTurns());
-    void keepRunning(ctx, 'forget', () => this.forget());
+    void keepRunning(ctx, 'config', () => this.configFollower.follow());
+    void keepRunning(ctx, 'leadership', () => this.followAndLead());
+    void keepRunning(ctx, 'forget', () => this.forgetFinished());
   }
 
-  readonly config = (): OperatorConfig | undefined => this.follower.config;
+  readonly config = (): OperatorConfig | undefined =>
+    this.configFollower.config;
 
   readonly ready = (): boolean => {
     const { isComplete, contactAt } = this.view();
     return (
       !this.stopping &&
-      this.follower.config !== undefined &&
+      this.configFollower.config !== undefined &&
       isComplete &&
       this.options.ctx.clock() - contactAt < CONTACT_LOST_MS
     );
@@ -179,14 +180,14 @@
   ): Promise<AppendResult> =>
     this.leader === undefined
       ? Promise.resolve({ kind: 'refused', reason: 'this host does not lead' })
-      : this.group.append(records);
+      : this.batcher.append(records);
 
   readonly identifyForPeer = (): PeerProcess => this.relay.identify();
 
   readonly relayForPeer = (
     batch: RelayBatch,
-    told: (at: number, outcome: RelayOutcome) => void,
-  ): Promise<void> => this.relay.take(batch, told);
+    onOutcome: (at: number, outcome: RelayOutcome) => void,
+  ): Promise<void> => this.relay.sendBatch(batch, onOutcome);
 
   readonly handOver = async (waitMs: Millis): Promise<void> => {
     this.stopping = true;
@@ -197,60 +198,67 @@
     }
   };
 
-  /** Whether this host reads the journal of a leader, and has read all of it once. */
-  private follows(): boolean {
+  /** Whether this host reads the journal of a leader and has read all of it once. */
+  private isFollowingLeader(): boolean {
     return (
       !this.stopping &&
       this.leader === undefined &&
-      !this.duty.isObserving &&
+      !this.role.isFollowingSummary &&
       this.replica.isComplete
     );
   }
 
-  /** Who appends to the inbox for all hosts: the leader, as long as it is heard of. */
-  private appender(): Appender | undefined {
+  /**
+   * Returns the function that appends to the inbox for all hosts: that of the leader, while its
+   * records arrive.
+   */
+  private inboxAppender(): Appender | undefined {
     const { ctx, peers } = this.options;
     const { state, journalHeardAt } = this.replica;
     if (this.leader !== undefined) {
-      return records => this.group.append(records);
+      return records => this.batcher.append(records);
     }
-    const isHeard = ctx.clock() - journalHeardAt < LEADER_SILENCE_MS;
-    const followed = isHeard ? state.leaderAddress : undefined;
-    const address = this.duty.isObserving
-      ? this.summary.leads?.address
-      : followed;
+    const isLeaderActive = ctx.clock() - journalHeardAt < LEADER_SILENCE_MS;
+    const journalLeader = isLeaderActive ? state.leaderAddress : undefined;
+    const address = this.role.isFollowingSummary
+      ? this.summary.leaderInfo?.address
+      : journalLeader;
     return address === undefined
       ? undefined
       : records => peers.append(address, records);
   }
 
-  /** A host that begins to read the journal tells what the summary says until it has read all. */
+  /**
+   * Returns the current view. A host that has started to read the journal answers from the summary
+   * until it has read all of the journal.
+   */
   private view(): CallerView {
-    const isReading = this.leader === undefined && !this.replica.isComplete;
-    return this.duty.isObserving || (isReading && this.summary.isComplete)
+    const isCatchingUp = this.leader === undefined && !this.replica.isComplete;
+    return this.role.isFollowingSummary ||
+      (isCatchingUp && this.summary.isComplete)
       ? this.summaryView
       : this.replicaView;
   }
 
-  private async forget(): Promise<void> {
+  private async forgetFinished(): Promise<void> {
     const { ctx, statusMs } = this.options;
     for (;;) {
       await pause(ctx, FORGET_EVERY_MS);
       const now = ctx.clock();
       forgetOver(this.replica.state, now, now - statusMs);
       this.summary.summary.forgetOver(now - statusMs);
-      this.relay.forgetUnused();
+      this.relay.closeIdleConnections();
     }
   }
 
-  private async takeTurns(): Promise<void> {
-    const { options, jobLog, replica, duty } = this;
+  private async followAndLead(): Promise<void> {
+    const { options, jobLog, replica, role } = this;
     while (!this.stopping) {
       const claim = await awaitLeadership({
         ctx: options.ctx,
         jobLog,
         replica,
-        duty,
+        duty: role,
         cores: options.cores,
         stopped: () => this.stopping,
       });
@@ -265,11 +273,14 @@
       this.epoch = 0;
       replica.reset();
     }
-    await this.stayInTouch();
+    await this.keepReading();
   }
 
-  /** A host that stops answers on the connections that are open, for as long as the log answers it. */
-  private async stayInTouch(): Promise<never> {
+  /**
+   * Keeps reading while the host stops, so that it can answer on open connections as long as the
+   * log answers.
+   */
+  private async keepReading(): Promise<never> {
     for (;;) {
       await this.view().readInbox();
       await pause(this.options.ctx, FOLLOW_EVERY_MS);
--- a/packages/daemon/src/job-host/summary-follower.ts
+++ b/packages/daemon/src/job-host/summary-follower.ts
@@ -1,4 +1,4 @@
-/** What a host that does not read the journal knows of jobs and of who leads. */
+/** Reads the summary: the state of jobs and the leader, for hosts that do not read the journal. */
 import type { Instant } from '@paddlewind/domain';
 import {
   decodeInbox,
@@ -13,54 +13,57 @@
 import type { HostContext } from './context.js';
 import { Portion } from './portion.js';
 
-/** Bytes asked for where only the position of the first record that is kept matters. */
+/** Size of a read that only locates the first record that the log still keeps. */
 const PROBE_BYTES = 1_024;
-/** Records read back from the end for the newest whole snapshot, and again as many times as many. */
-const SNAPSHOTS_BACK = 4;
+/**
+ * Number of records from the end that the search for the newest complete snapshot starts with, and
+ * the factor by which it grows.
+ */
+const SNAPSHOT_SEARCH_FACTOR = 4;
 
-/** What a read of one stream to its end brought. */
-type Brought =
+/** Result of reading one stream to its end. */
+type StreamRead =
   | { readonly kind: 'all'; readonly nextOffset: number }
   | { readonly kind: 'trimmed'; readonly firstOffset: number }
   | { readonly kind: 'unavailable' };
 
-/** A submission that the leader may not have summed up yet. */
-interface Submitted {
+/** A submission that the summary may not include yet. */
+interface PendingSubmission {
   readonly queue: string;
   readonly offset: number;
 }
 
-/** Who leads, as the summary tells. */
-export interface Leads {
+/** The leader according to the summary. */
+export interface LeaderInfo {
   readonly epoch: number;
   readonly host: string;
   readonly address: string;
   readonly standbys: readonly string[];
 }
 
-/** Follows the summary, and the end of the inbox where that is asked for. */
+/** Follows the summary and, on request, the end of the inbox. */
 export class SummaryFollower {
   summary = new Summary();
-  /** The newest leader that the summary tells of. */
-  leads: Leads | undefined;
+  /** The newest leader in the summary. */
+  leaderInfo: LeaderInfo | undefined;
   /** Monotonic time at which a leader's records last arrived. */
-  leaderHeardAt: Instant = -Infinity;
-  /** Monotonic time at which the log last answered. */
+  leaderReceivedAt: Instant = -Infinity;
+  /** Monotonic time of the last answer from the log. */
   contactAt: Instant = -Infinity;
-  /** Monotonic time as of which the summary is known; `-Infinity` before the first read to its end. */
+  /** Monotonic time up to which the summary is known; `-Infinity` before the first read to its end. */
   knownAsOf: Instant = -Infinity;
-  /** Monotonic time as of which all submissions are known. */
+  /** Monotonic time up to which all submissions are known. */
   inboxKnownAsOf: Instant = -Infinity;
-  /** Reads the summary to its end; false when the log did not answer, or there is no whole snapshot. */
+  /** Reads the summary to its end; false if the log did not answer or there is no complete snapshot. */
   readonly refresh = coalesce(() => this.readSummary());
-  /** Reads the submissions that are not summed up yet; false when that can't be done. */
+  /** Reads the submissions that the summary does not include yet; false if that failed. */
   readonly refreshInbox = coalesce(() => this.readInbox());
 
-  private readonly portion = new Portion();
-  /** Position from which the summary is read on; undefined until a snapshot has settled it. */
+  private readonly readSize = new Portion();
+  /** Offset of the next summary record to read; undefined until a snapshot was read. */
   private next: number | undefined;
   private nextInbox = 0;
-  private readonly submitted = new Map<string, Submitted>();
+  private readonly pendingSubmissions = new Map<string, PendingSubmission>();
 
   /** Creates a follower that has read nothing. */
   constructor(
@@ -68,45 +71,52 @@
     private readonly jobLog: JobLog,
   ) {}
 
-  /** Whether there is a summary, and all of it has been read once. */
+  /** Whether there is a summary and all of it has been read once. */
   get isComplete(): boolean {
-    return this.leads !== undefined && this.knownAsOf > -Infinity;
+    return this.leaderInfo !== undefined && this.knownAsOf > -Infinity;
   }
 
   /** Whether a job is known. */
   has(job: string): boolean {
-    return this.summary.statusOf(job) !== undefined || this.submitted.has(job);
+    return (
+      this.summary.statusOf(job) !== undefined ||
+      this.pendingSubmissions.has(job)
+    );
   }
 
-  /** Number of jobs of a queue that wait, submissions that are not summed up included. */
+  /** Returns the number of waiting jobs of a queue, including submissions not yet in the summary. */
   waitingIn(queue: string): number {
     let count = this.summary.waitingIn(queue);
-    for (const [job, found] of this.submitted) {
+    for (const [job, found] of this.pendingSubmissions) {
       const isNew = this.summary.statusOf(job) === undefined;
       count += Number(isNew && found.queue === queue);
     }
     return count;
   }
 
-  /** Notes a submission at `offset` of the inbox. */
+  /** Records a submission at `offset` of the inbox. */
   noteSubmitted(record: InboxRecord, offset: number): void {
     this.contactAt = this.ctx.clock();
     if (record.kind === 'submit' && offset >= this.summary.inboxUpTo) {
       const { queue } = record.job.terms;
-      this.submitted.set(record.job.id, { queue, offset });
+      this.pendingSubmissions.set(record.job.id, { queue, offset });
     }
   }
 
   private async readSummary(): Promise<boolean> {
     const sentAt = this.ctx.clock();
-    this.next ??= await this.begin();
+    this.next ??= await this.readNewestSnapshot();
     if (this.next === undefined) {
       return false;
     }
-    const found = await this.readOn('summary', this.next, (record, offset) => {
-      this.next = offset + 1;
-      this.take(decodeSummary(record));
-    });
+    const found = await this.readStream(
+      'summary',
+      this.next,
+      (record, offset) => {
+        this.next = offset + 1;
+        this.apply(decodeSummary(record));
+      },
+    );
     if (found.kind === 'trimmed') {
       this.reset();
     }
@@ -117,18 +127,18 @@
     return true;
   }
 
-  /** Reads the newest whole snapshot; undefined when there is none though there should be. */
-  private async begin(): Promise<number | undefined> {
-    const kept = await this.keptSnapshots();
-    if (kept === undefined) {
+  /** Reads the newest complete snapshot; undefined if there should be one but none was found. */
+  private async readNewestSnapshot(): Promise<number | undefined> {
+    const bounds = await this.keptSnapshots();
+    if (bounds === undefined) {
       return undefined;
     }
-    const { first, end } = kept;
+    const { first, end } = bounds;
     if (end === 0) {
-      // Without any snapshot so far the summary begins with all jobs.
+      // As long as there was no snapshot, the summary holds all jobs from its start.
       return 0;
     }
-    for (let back = SNAPSHOTS_BACK; ; back *= SNAPSHOTS_BACK) {
+    for (let back = SNAPSHOT_SEARCH_FACTOR; ; back *= SNAPSHOT_SEARCH_FACTOR) {
       const from = Math.max(first, end - back);
       const next = await this.readSnapshots(from);
       if (next !== undefined || from === first) {
@@ -137,7 +147,7 @@
     }
   }
 
-  /** Returns the position of the first record of snapshots that is kept, and their end. */
+  /** Returns the offsets of the first snapshot record that is kept and of the end of the stream. */
   private async keptSnapshots(): Promise<
     { readonly first: number; readonly end: number } | undefined
   > {
@@ -153,13 +163,16 @@
       : undefined;
   }
 
-  /** Takes in the snapshots from an offset on; returns where the last whole one ends in the summary. */
+  /**
+   * Applies the snapshots from an offset on; returns the summary offset at which to continue after
+   * the last complete one.
+   */
   private async readSnapshots(from: number): Promise<number | undefined> {
     let next: number | undefined;
     let parts = 0;
-    const found = await this.readOn('snapshot', from, bytes => {
+    const found = await this.readStream('snapshot', from, bytes => {
       const record = decodeSummary(bytes);
-      this.take(record);
+      this.apply(record);
       if (record?.kind === 'snapshot') {
         parts = record.part === 0 ? 1 : parts + 1;
         next = parts === record.parts ? record.summaryUpTo : next;
@@ -171,7 +184,7 @@
   private async readInbox(): Promise<boolean> {
     const sentAt = this.ctx.clock();
     const from = Math.max(this.nextInbox, this.summary.inboxUpTo);
-    const found = await this.readOn('inbox', from, (bytes, offset) => {
+    const found = await this.readStream('inbox', from, (bytes, offset) => {
       this.nextInbox = offset + 1;
       const record = decodeInbox(bytes);
       if (record !== undefined) {
@@ -185,54 +198,54 @@
     return true;
   }
 
-  private take(record: SummaryRecord | undefined): void {
+  private apply(record: SummaryRecord | undefined): void {
     const now = this.ctx.clock();
     switch (record?.kind) {
       case 'leads':
-        if (record.epoch >= (this.leads?.epoch ?? 0)) {
-          this.leads = record;
-          this.leaderHeardAt = now;
+        if (record.epoch >= (this.leaderInfo?.epoch ?? 0)) {
+          this.leaderInfo = record;
+          this.leaderReceivedAt = now;
         }
         return;
       case 'rows':
-        this.leaderHeardAt = now;
-        this.takeRows(record);
+        this.leaderReceivedAt = now;
+        this.applyRows(record);
         return;
       case 'snapshot':
-        this.takeRows(record);
+        this.applyRows(record);
         return;
       case undefined:
         return;
     }
   }
 
-  private takeRows({
+  private applyRows({
     rows,
     inboxUpTo,
   }: Extract<SummaryRecord, { kind: 'rows' | 'snapshot' }>): void {
     this.summary.apply(rows, this.ctx.clock());
     this.summary.inboxUpTo = inboxUpTo;
-    for (const [job, { offset }] of this.submitted) {
+    for (const [job, { offset }] of this.pendingSubmissions) {
       if (offset < inboxUpTo) {
-        this.submitted.delete(job);
+        this.pendingSubmissions.delete(job);
       }
     }
   }
 
   /** Reads a stream from `from` to its end. */
-  private async readOn(
+  private async readStream(
     stream: JobStream,
     from: number,
-    take: (record: Uint8Array, offset: number) => void,
-  ): Promise<Brought> {
-    const { ctx, jobLog, portion } = this;
+    applyRecord: (record: Uint8Array, offset: number) => void,
+  ): Promise<StreamRead> {
+    const { ctx, jobLog, readSize } = this;
     let next = from;
     for (;;) {
-      const maxBytes = portion.bytes;
+      const maxBytes = readSize.bytes;
       const sentAt = ctx.clock();
       const found = await jobLog.read(stream, next, { waitMs: 0, maxBytes });
       if (found.kind === 'unavailable') {
-        portion.noteFailure();
+        readSize.noteFailure();
         return found;
       }
       this.contactAt = ctx.clock();
@@ -241,9 +254,9 @@
       }
       const { records, endOffset } = found;
       const bytes = records.reduce((sum, { length }) => sum + length, 0);
-      portion.noteAnswer(ctx.clock() - sentAt, bytes);
+      readSize.noteAnswer(ctx.clock() - sentAt, bytes);
       for (const record of records) {
-        take(record, next);
+        applyRecord(record, next);
         next += 1;
       }
       if (next >= endOffset) {
@@ -252,7 +265,10 @@
     }
   }
 
-  /** Records that this host lacks are gone: begins anew with a snapshot. */
+  /**
+   * Discards the summary after the log has dropped unread records, so that the next read starts
+   * from a snapshot.
+   */
   private reset(): void {
     this.summary = new Summary();
     this.next = undefined;
--- a/packages/daemon/src/job-host/summary-view.ts
+++ b/packages/daemon/src/job-host/summary-view.ts
@@ -1,16 +1,16 @@
-/** What a host that does not read the journal tells callers. */
+/** Answers callers on a host that does not read the journal. */
 import type { Instant } from '@paddlewind/domain';
 import type { InboxRecord } from '@paddlewind/domain/jobs';
 
 import {
   findByReading,
-  GIVE_UP_MS,
-  LENGTH_AGE_MS,
-  LENGTH_REREAD_MS,
-  tellStatus,
-  within,
+  ANSWER_TIMEOUT_MS,
+  MAX_QUEUE_LENGTH_AGE_MS,
+  QUEUE_LENGTH_REFRESH_AGE_MS,
+  lookUpStatus,
+  withTimeout,
   type CallerView,
-  type FoundJob,
+  type JobLookup,
   type StatusResult,
 } from './caller-view.js';
 import type { HostContext } from './context.js';
@@ -18,13 +18,13 @@
 
 /** The view of hosts that read the summary. */
 export class SummaryView implements CallerView {
-  /** Creates the view on what `follower` has read. */
+  /** Creates a view of what `follower` has read. */
   constructor(
     private readonly ctx: HostContext,
     private readonly follower: SummaryFollower,
   ) {}
 
-  /** Monotonic time at which the log last answered. */
+  /** Monotonic time of the last answer from the log. */
   get contactAt(): Instant {
     return this.follower.contactAt;
   }
@@ -34,72 +34,74 @@
     return this.follower.isComplete;
   }
 
-  /** Number of jobs that are not over. */
+  /** Number of unfinished jobs. */
   get openJobs(): number {
     return this.follower.summary.open;
   }
 
-  /** Monotonic time as of which all submissions are known. */
+  /** Monotonic time up to which all submissions are known. */
   get inboxKnownAsOf(): Instant {
     return this.follower.inboxKnownAsOf;
   }
 
-  /** Whether a job is known without reading on. */
+  /** Whether a job is known without reading from the log. */
   has(job: string): boolean {
     return this.follower.has(job);
   }
 
-  /** Looks for a job in the summary, and then in what the inbox holds beyond it. */
-  find(job: string): Promise<FoundJob> {
+  /** Looks for a job in the summary and then in the newer part of the inbox. */
+  find(job: string): Promise<JobLookup> {
     return findByReading(
       () => this.has(job),
       [this.follower.refresh, this.follower.refreshInbox].map(
-        read => () => this.isRead(read),
+        read => () => this.refreshInTime(read),
       ),
     );
   }
 
-  /** Tells a job's state as of a moment after the call. */
+  /** Returns a job's state as of a moment after the call. */
   status(job: string): Promise<StatusResult> {
     const { ctx, follower } = this;
-    return tellStatus({
+    return lookUpStatus({
       ctx,
       find: () => this.find(job),
-      isSettled: () => this.isFinal(job),
-      isUpToDate: () => this.isRead(follower.refresh),
-      // A submission that the leader has not summed up waits, as far as anyone may be told.
-      newest: () => follower.summary.stateOf(job) ?? { status: 'queued' },
+      isFinal: () => this.isFinal(job),
+      refresh: () => this.refreshInTime(follower.refresh),
+      // A submission that is not yet in the summary is reported as queued.
+      currentState: () => follower.summary.stateOf(job) ?? { status: 'queued' },
     });
   }
 
-  /** Counts the jobs of a queue that wait, in a copy that is at most `LENGTH_AGE_MS` old. */
+  /** Counts the waiting jobs of a queue in a copy that is at most `LENGTH_AGE_MS` old. */
   async queueLength(queue: string): Promise<number | undefined> {
     const { follower } = this;
-    if (this.age(follower.knownAsOf) > LENGTH_REREAD_MS) {
-      await this.isRead(follower.refresh);
+    if (this.age(follower.knownAsOf) > QUEUE_LENGTH_REFRESH_AGE_MS) {
+      await this.refreshInTime(follower.refresh);
     }
-    // A leader that is silent sums up nothing of what is accepted meanwhile.
-    const isLed = this.age(follower.leaderHeardAt) <= LENGTH_AGE_MS;
-    const isCounted = isLed || (await this.isRead(follower.refreshInbox));
-    if (!isCounted || this.age(follower.knownAsOf) > LENGTH_AGE_MS) {
+    // A silent leader does not add newly accepted jobs to the summary.
+    const isLed =
+      this.age(follower.leaderReceivedAt) <= MAX_QUEUE_LENGTH_AGE_MS;
+    const isCounted =
+      isLed || (await this.refreshInTime(follower.refreshInbox));
+    if (!isCounted || this.age(follower.knownAsOf) > MAX_QUEUE_LENGTH_AGE_MS) {
       this.ctx.meters.refused('queue_length', 'stale');
       return undefined;
     }
     return follower.waitingIn(queue);
   }
 
-  /** Takes in a record that this host has appended to the inbox. */
-  noteOwn(record: InboxRecord, offset: number): void {
+  /** Applies a record that this host has appended to the inbox. */
+  applyOwnAppend(record: InboxRecord, offset: number): void {
     this.follower.noteSubmitted(record, offset);
   }
 
-  /** Reads the submissions that are not summed up yet. */
+  /** Reads the submissions that the summary does not include yet. */
   readInbox(): Promise<boolean> {
     return this.follower.refreshInbox();
   }
 
-  private async isRead(read: () => Promise<boolean>): Promise<boolean> {
-    return (await within(this.ctx, read(), GIVE_UP_MS)) === true;
+  private async refreshInTime(read: () => Promise<boolean>): Promise<boolean> {
+    return (await withTimeout(this.ctx, read(), ANSWER_TIMEOUT_MS)) === true;
   }
 
   private age(since: Instant): number {
