--- a/packages/daemon/src/job-host/summary-writer.ts
+++ b/packages/daemon/src/job-host/summary-writer.ts
@@ -1,4 +1,4 @@
-/** Tells hosts that don't read the journal what the leader has recorded of each job. */
+/** Writes the summary: the recorded state of each job, for hosts that don't read the journal. */
 import type { Instant, Millis } from '@paddlewind/domain';
 import {
   encodeSummary,
@@ -22,65 +22,65 @@
   SUMMARY_EVERY_MS,
 } from './timing.js';
 
-/** Rows of one record of a snapshot: some 100 KB. */
-const SNAPSHOT_ROWS = 3_000;
+/** Rows per snapshot record, which then has about 100 KB. */
+const ROWS_PER_SNAPSHOT_RECORD = 3_000;
 
-/** What a summary is written from. */
+/** Dependencies and settings of the writer. */
 export interface SummaryWriterOptions {
   readonly ctx: HostContext;
   readonly jobLog: JobLog;
   readonly state: JobsState;
   readonly claim: WonClaim;
-  /** Where this host takes records for the inbox. */
+  /** Address at which this host accepts records for the inbox. */
   readonly peerAddress: string;
-  /** Position of the inbox up to which `state` has taken it in. */
+  /** Returns the inbox offset up to which records are applied to `state`. */
   readonly inboxUpTo: () => number;
-  /** How long the log keeps records. */
+  /** Retention time of the log. */
   readonly retentionMs: Millis;
-  /** How long the state of a job that is over can be asked for. */
+  /** Time for which the state of a finished job can be queried. */
   readonly statusMs: Millis;
 }
 
-/** Rows of all jobs that changed up to a moment. */
-export interface SummaryCut {
+/** Rows of the jobs that changed since the previous cut. */
+export interface SummaryChanges {
   readonly rows: readonly SummaryRow[];
   readonly inboxUpTo: number;
 }
 
-type AppendTo = 'summary' | 'snapshot';
+type SummaryStream = 'summary' | 'snapshot';
 
 /** Writes the summary once there are hosts that read it. */
 export class SummaryWriter {
-  private readonly alarm: Alarm;
-  private readonly told = new Summary();
-  private readonly stamps: Record<AppendTo, WriterStamp>;
+  private readonly wakeSignal: Alarm;
+  private readonly written = new Summary();
+  private readonly stamps: Record<SummaryStream, WriterStamp>;
   private rows: SummaryRow[] = [];
   private inboxUpTo = 0;
-  private toldUpTo = 0;
-  private ledAt: Instant = -Infinity;
+  private writtenUpTo = 0;
+  private leaderRecordAt: Instant = -Infinity;
   private snapshotAt: Instant = -Infinity;
-  /** Whether the rows with which this leader began are written. */
-  private isWhole = false;
+  /** Whether the rows of all jobs at the start of this leader are written. */
+  private hasAllRows = false;
   private closed = false;
 
   /** Creates a writer for the leader that won a claim. */
   constructor(private readonly options: SummaryWriterOptions) {
     const { ctx, claim } = options;
-    this.alarm = new Alarm(ctx.schedule);
+    this.wakeSignal = new Alarm(ctx.schedule);
     this.stamps = { summary: claim.nextStamp, snapshot: claim.nextStamp };
   }
 
   /**
-   * Takes out what has changed since the last cut. Its decisions are not recorded yet: `tell` it once
-   * they are, and never when they aren't.
+   * Returns what has changed since the last cut. These decisions are not recorded yet: publish the
+   * cut only once they are.
    */
-  cut(): SummaryCut | undefined {
+  cut(): SummaryChanges | undefined {
     const { state, inboxUpTo } = this.options;
     if (state.changed === undefined) {
       if (!isCrowded(state)) {
         return undefined;
       }
-      // Begins with all jobs: what earlier leaders recorded last they may not have told.
+      // Start with all jobs, since earlier leaders may not have published their last records.
       state.changed = new Set(state.jobs.values());
     }
     const rows = [...state.changed].map(rowOf);
@@ -88,21 +88,21 @@
     return { rows, inboxUpTo: inboxUpTo() };
   }
 
-  /** Tells a cut whose decisions are recorded. */
-  tell(cut: SummaryCut | undefined): void {
-    if (cut === undefined) {
+  /** Queues a cut whose decisions are recorded. */
+  tell(changes: SummaryChanges | undefined): void {
+    if (changes === undefined) {
       return;
     }
-    this.rows.push(...cut.rows);
-    this.inboxUpTo = cut.inboxUpTo;
-    this.alarm.ring();
+    this.rows.push(...changes.rows);
+    this.inboxUpTo = changes.inboxUpTo;
+    this.wakeSignal.ring();
   }
 
-  /** Writes what is told until the writer is closed. */
+  /** Writes queued rows until the writer is closed. */
   async run(): Promise<void> {
     const { ctx, state } = this.options;
     while (!this.closed) {
-      await this.alarm.wait(CLAIM_REPEAT_MS);
+      await this.wakeSignal.wait(CLAIM_REPEAT_MS);
       if (state.changed !== undefined) {
         await this.write();
         await this.writeSnapshot();
@@ -111,10 +111,10 @@
     }
   }
 
-  /** Writes nothing more. */
+  /** Stops writing. */
   close(): void {
     this.closed = true;
-    this.alarm.ring();
+    this.wakeSignal.ring();
   }
 
   private async write(): Promise<void> {
@@ -125,23 +125,23 @@
     if (rows.length > 0) {
       records.push({ kind: 'rows', inboxUpTo, rows });
     }
-    if (ctx.clock() - this.ledAt >= CLAIM_REPEAT_MS) {
-      this.ledAt = ctx.clock();
-      records.push(this.leads());
+    if (ctx.clock() - this.leaderRecordAt >= CLAIM_REPEAT_MS) {
+      this.leaderRecordAt = ctx.clock();
+      records.push(this.leaderRecord());
     }
     if (records.length === 0) {
       return;
     }
     const nextOffset = await this.append('summary', records);
     if (nextOffset !== undefined) {
-      this.toldUpTo = nextOffset;
-      this.told.apply(rows, ctx.clock());
-      this.told.inboxUpTo = inboxUpTo;
-      this.isWhole ||= rows.length > 0;
+      this.writtenUpTo = nextOffset;
+      this.written.apply(rows, ctx.clock());
+      this.written.inboxUpTo = inboxUpTo;
+      this.hasAllRows ||= rows.length > 0;
     }
   }
 
-  private leads(): SummaryRecord {
+  private leaderRecord(): SummaryRecord {
     const { ctx, claim, state, peerAddress: address } = this.options;
     const standbys = state.standbys ?? [];
     const { epoch } = claim;
@@ -151,32 +151,38 @@
   private async writeSnapshot(): Promise<void> {
     const { ctx, retentionMs, statusMs } = this.options;
     const now = ctx.clock();
-    const dueMs = Math.min(SNAPSHOT_EVERY_MS, retentionMs * RESTATE_SHARE);
-    if (!this.isWhole || now - this.snapshotAt < dueMs) {
+    const intervalMs = Math.min(SNAPSHOT_EVERY_MS, retentionMs * RESTATE_SHARE);
+    if (!this.hasAllRows || now - this.snapshotAt < intervalMs) {
       return;
     }
     this.snapshotAt = now;
-    this.told.forgetOver(now - statusMs);
-    const rows = this.told.rows();
-    const parts = Math.max(1, Math.ceil(rows.length / SNAPSHOT_ROWS));
+    this.written.forgetOver(now - statusMs);
+    const rows = this.written.rows();
+    const parts = Math.max(
+      1,
+      Math.ceil(rows.length / ROWS_PER_SNAPSHOT_RECORD),
+    );
     const records: SummaryRecord[] = Array.from(
       { length: parts },
       (_, part) => ({
         kind: 'snapshot',
         part,
         parts,
-        summaryUpTo: this.toldUpTo,
-        inboxUpTo: this.told.inboxUpTo,
-        rows: rows.slice(part * SNAPSHOT_ROWS, (part + 1) * SNAPSHOT_ROWS),
+        summaryUpTo: this.writtenUpTo,
+        inboxUpTo: this.written.inboxUpTo,
+        rows: rows.slice(
+          part * ROWS_PER_SNAPSHOT_RECORD,
+          (part + 1) * ROWS_PER_SNAPSHOT_RECORD,
+        ),
       }),
     );
-    // Who leads is told with it: a host that starts need not wait for the next time.
-    await this.append('snapshot', [this.leads(), ...records]);
+    // With the leader in the snapshot, a host that starts need not wait for the next leader record.
+    await this.append('snapshot', [this.leaderRecord(), ...records]);
   }
 
   /** Repeats an append until its outcome is known; undefined once another host leads. */
   private async append(
-    stream: AppendTo,
+    stream: SummaryStream,
     records: readonly SummaryRecord[],
   ): Promise<number | undefined> {
     const { ctx, jobLog } = this.options;
