--- a/packages/daemon/src/job-host/context.fixture.test.ts
+++ b/packages/daemon/src/job-host/context.fixture.test.ts
@@ -1,4 +1,4 @@
-/** What a part of the job host is given in a test. */
+/** Dependencies of parts of the job host in tests. */
 import type { VirtualTime } from '@paddlewind/stand-ins';
 import { pino } from 'pino';
 import { Registry } from 'prom-client';
@@ -6,7 +6,7 @@
 import type { HostContext } from './context.js';
 import { createJobMeters } from './meters.js';
 
-/** Returns the context of host `h` in virtual time, without chance and with a log that is not written. */
+/** Returns the context of host `h` in virtual time, without randomness and with a silent log. */
 export function testContext({ clock, schedule }: VirtualTime): HostContext {
   return {
     host: 'h',
--- a/packages/daemon/src/job-host/crashing-site.fixture.test.ts
+++ b/packages/daemon/src/job-host/crashing-site.fixture.test.ts
@@ -1,20 +1,20 @@
-/** A site on which a lasting job runs, and what becomes of it beside a job that brings its workers down. */
+/** A simulated deployment with a long-running job next to a job that crashes its workers. */
 import type { Millis } from '@paddlewind/domain';
 import { FaultTimes, type TaskScript } from '@paddlewind/stand-ins/jobs';
 
 import { Simulation, type TestStep } from './simulation.fixture.test.js';
 
-/** The job that lasts, and its number of tasks. */
+/** The long-running job and its number of tasks. */
 export const NEIGHBOUR = '00000000000000f1';
 export const NEIGHBOUR_TASKS = 8;
-/** The first job that brings its workers down. */
+/** The first job that crashes its workers. */
 export const CRASHER = '00000000000000f2';
 
-/** Seeds of each play. */
+/** Seeds of each scenario. */
 export const SEEDS = [1, 2, 3];
-/** How long a site is watched once such a job has come. */
+/** How long the deployment is observed after such a job was submitted. */
 export const WATCHED_MS = 60_000;
-/** Workers that a task may bring down: three, and two further starts. */
+/** Maximum number of workers that a task may crash: three, and two further starts. */
 export const MAX_CRASHES = 5;
 /** Time from a crash until the worker is back. */
 export const REVIVAL_MS = 2_500;
@@ -26,12 +26,12 @@
 /** Machines of the workers. */
 export const WORKERS = ['w1', 'w2', 'w3', 'w4', 'w5', 'w6'];
 const ENDLESS = { runMs: 10_000_000, failures: 0 };
-/** Time until a host leads and the lasting job runs. */
+/** Time until a host leads and the long-running job runs. */
 const SETTLE_MS = 4_000;
-/** How often callers ask for the state of each job. */
+/** Interval at which callers query the state of each job. */
 const ASK_EVERY_MS = 250;
 
-/** Starts six hosts and six workers of four cores; the lasting job runs on them. */
+/** Starts six hosts, six workers of four cores and the long-running job. */
 export async function siteWithNeighbours(
   seed: number,
   revivalMs?: Millis,
@@ -53,7 +53,7 @@
   return site;
 }
 
-/** Asks hosts in turn for the state of each job, as callers do. */
+/** Queries the state of each job on the hosts in turn, as callers do. */
 async function watch(site: Simulation): Promise<void> {
   for (let turn = 0; ; turn += 1) {
     await site.wait(ASK_EVERY_MS);
@@ -74,13 +74,13 @@
   }
 }
 
-/** A job whose tasks bring their workers down. */
+/** A job whose tasks crash their workers. */
 export interface Crasher {
   readonly steps: TestStep[];
   readonly script: TaskScript;
 }
 
-/** A job of one task, which brings its worker down `afterMs` after it began. */
+/** Returns a job with one task that crashes its worker `afterMs` after it started. */
 export function crasher(
   afterMs: Millis,
   step: Partial<TestStep> = {},
@@ -91,7 +91,7 @@
   };
 }
 
-/** Kills the leader every `everyMs`; it is there again soon after. */
+/** Kills the leader every `everyMs` and restarts it soon after. */
 export async function killLeaders(
   site: Simulation,
   everyMs: Millis,
--- a/packages/daemon/src/job-host/fuzz-plan.fixture.test.ts
+++ b/packages/daemon/src/job-host/fuzz-plan.fixture.test.ts
@@ -1,4 +1,4 @@
-/** Plans that fuzzing draws: jobs, faults, and when these disturb what. */
+/** Generators of random scenarios: jobs, and faults with their times. */
 import type { JobStream } from '@paddlewind/ports/jobs';
 import type { FaultTime } from '@paddlewind/stand-ins/jobs';
 import fc from 'fast-check';
@@ -11,18 +11,18 @@
 export const WORKERS = ['w1', 'w2', 'w3', 'w4'];
 /** A label that some workers have. */
 export const LABEL = 'fast';
-/** How long jobs come and faults strike, in milliseconds. */
+/** Time in which jobs are submitted and faults occur, in milliseconds. */
 export const STORM_MS = 16_000;
-/** Longest time after which the log carries out an append that was not answered. */
+/** Longest delay until the log carries out an append that it did not answer. */
 const LOSING_MS = 6_000;
-/** Time until a host that hands over has ended and starts again. */
+/** Time until a host that hands over has stopped and restarts. */
 export const STOPPED_MS = 3_500;
 
 const host = fc.constantFrom(...HOSTS);
 const worker = fc.constantFrom(...WORKERS);
 const span = fc.integer({ min: 300, max: 6_000 });
 
-/** A fault, and for how long. */
+/** A fault and its duration. */
 export type Fault =
   | { kind: 'kill' | 'freeze' | 'stop'; host: string; span: number }
   | {
@@ -116,7 +116,7 @@
   cancelAfter: fc.option(fc.integer({ min: 0, max: 5_000 }), { freq: 4 }),
 });
 
-/** Three cores of sixteen at the most each, so that all others have room in the end. */
+/** At most three cores of sixteen each, so that all other jobs find capacity in the end. */
 const lasting = fc.record({
   at: fc.integer({ min: 0, max: STORM_MS }),
   tasks: fc.integer({ min: 1, max: 3 }),
@@ -124,7 +124,7 @@
   cancelAfter: fc.option(fc.integer({ min: 0, max: 30_000 }), { freq: 2 }),
 });
 
-/** Draws plans. */
+/** Generates scenarios. */
 export const plan = fc.record({
   seed: fc.integer({ min: 1, max: 1_000_000 }),
   jobs: fc.array(job, { minLength: 2, maxLength: 8 }),
@@ -136,7 +136,7 @@
   ),
 });
 
-/** Draws spans in which the answers of a worker to looks come late, in time or beyond it. */
+/** Generates periods in which a worker answers polls late, within or beyond the timeout. */
 export const lateAnswers = fc.array(
   fc.record({
     at: fc.integer({ min: 500, max: STORM_MS }),
@@ -147,7 +147,7 @@
   { minLength: 1, maxLength: 4 },
 );
 
-/** Draws a job of which one task brings down each worker on which it begins. */
+/** Generates a job with one task that crashes each worker on which it starts. */
 export const crasher = fc.record({
   at: fc.integer({ min: 0, max: STORM_MS }),
   tasks: fc.integer({ min: 1, max: 3 }),
@@ -155,7 +155,7 @@
   kind: fc.constantFrom('plain', 'lasting', 'speculative', 'gang'),
 });
 
-/** Draws workers that start again at once or soon. */
+/** Generates workers that restart at once or soon. */
 export const soonRestarts = fc.array(
   fc.record({
     at: fc.integer({ min: 500, max: STORM_MS }),
@@ -165,21 +165,21 @@
   { minLength: 1, maxLength: 6 },
 );
 
-/** A worker that starts again soon. */
+/** A worker that restarts soon. */
 export type SoonRestart =
   typeof soonRestarts extends fc.Arbitrary<(infer T)[]> ? T : never;
 
-/** A job of which one task brings its workers down. */
+/** A job with one task that crashes its workers. */
 export type Crasher = typeof crasher extends fc.Arbitrary<infer T> ? T : never;
 
 /** Late answers of one worker. */
 export type LateAnswers =
   typeof lateAnswers extends fc.Arbitrary<(infer T)[]> ? T : never;
 
-/** What happens in a play. */
+/** A scenario. */
 export type Plan = typeof plan extends fc.Arbitrary<infer T> ? T : never;
 
-/** When a fault that strikes `at` disturbs what. */
+/** Returns when and where a fault at time `at` causes disturbances. */
 export function timeOf(at: number, found: Fault): FaultTime {
   const until = at + found.span;
   switch (found.kind) {
@@ -208,18 +208,18 @@
   }
 }
 
-/** A job that is asked for. */
+/** A job to submit. */
 export interface Request {
   readonly id: string;
   readonly at: number;
   readonly steps: TestStep[];
   readonly script: { runMs: number; failures: number; gang?: number };
   readonly cancelAfter: number | null;
-  /** Whether it is over once all its tasks are done. */
+  /** Whether it finishes once all its tasks are done. */
   readonly ends: boolean;
 }
 
-/** Returns all jobs of a plan. */
+/** Returns all jobs of a scenario. */
 export function requestsOf({
   jobs,
   gangs,
--- a/packages/daemon/src/job-host/lasting-site.fixture.test.ts
+++ b/packages/daemon/src/job-host/lasting-site.fixture.test.ts
@@ -1,20 +1,26 @@
-/** A site on which four lasting tasks run on worker w1, with room for them on two others. */
+/**
+ * A simulated deployment with four long-running tasks on worker w1 and capacity for them on two
+ * others.
+ */
 import assert from 'node:assert/strict';
 
 import type { Millis } from '@paddlewind/domain';
 
 import { Simulation } from './simulation.fixture.test.js';
 
-/** The job whose tasks last. */
+/** The job with the long-running tasks. */
 export const LASTING_JOB = '00000000000000e1';
 
 /** Number of its tasks. */
 export const LASTING_TASKS = 4;
 
-/** Longest lease that the workers accept: twice what leaders give. */
+/** Longest lease that the workers accept: twice the lease that leaders give. */
 const MAX_LEASE_MS = 10_000;
 
-/** Starts a site of `hosts`; after `settleMs` all four tasks run on w1: the first of equal workers is filled first. */
+/**
+ * Starts a deployment of `hosts`. After `settleMs` all four tasks run on w1, since the first of
+ * several equal workers is filled first.
+ */
 export async function siteWithLastingJob(
   seed: number,
   hosts: readonly string[],
--- a/packages/daemon/src/job-host/model/explore.fixture.test.ts
+++ b/packages/daemon/src/job-host/model/explore.fixture.test.ts
@@ -1,25 +1,25 @@
-/** Explores all states of the model within bounds, the nearest first. */
+/** Explores all states of the model within bounds, in breadth-first order. */
 
 import type { Instant } from '@paddlewind/domain';
 
 import {
-  FIRST_STATE,
+  INITIAL_STATE,
   TICK_MS,
   recordsOf,
-  remembered,
-  viewOf,
+  memoize,
+  taskViewOf,
   type Host,
   type State,
 } from './states.fixture.test.js';
 import { stepsFrom, type Bounds, type Step } from './steps.fixture.test.js';
-import { tidy } from './tidy.fixture.test.js';
-import { Broken } from './worker-steps.fixture.test.js';
+import { normalize } from './tidy.fixture.test.js';
+import { GuaranteeViolation } from './worker-steps.fixture.test.js';
 
-/** What an exploration has found. */
-export interface Found {
+/** Result of an exploration. */
+export interface Exploration {
   readonly states: number;
-  /** The promise that is broken first, with the steps that lead there; empty for none. */
-  readonly broken: string;
+  /** The first guarantee that was violated; empty if none was. The steps lead to that state. */
+  readonly violation: string;
   readonly steps: readonly string[];
 }
 
@@ -29,33 +29,36 @@
   readonly before: Node | undefined;
 }
 
-/** Time in milliseconds within which a task must be able to end: twice that after which a lost run is given up. */
-const ENOUGH_MS = 4 * TICK_MS;
+/**
+ * Time in milliseconds within which a task must be able to complete: twice the time after which a
+ * lost run is abandoned.
+ */
+const COMPLETION_TIME_MS = 4 * TICK_MS;
 
-/** States after which a search for the task's end is given up. */
-const MOST_TRIED = 3_000;
+/** Number of states after which the search for a completion stops. */
+const MAX_SEARCH_STATES = 3_000;
 
-/** Explores until a promise is broken or nothing new is left. */
-export function explore(bounds: Bounds): Found {
-  const first = openingOf(bounds);
+/** Explores until a guarantee is violated or no new states are left. */
+export function explore(bounds: Bounds): Exploration {
+  const first = replayOpening(bounds);
   const seen = new Set([keyOf(first.state)]);
   const ending = new Set<string>();
   let layer: Node[] = [first];
   for (let depth = 0; layer.length > 0 && depth < bounds.depth; depth += 1) {
     const next: Node[] = [];
     for (const node of layer) {
-      if (!canEnd(node.state, bounds, ending)) {
-        return foundAt(
+      if (!canComplete(node.state, bounds, ending)) {
+        return violationAt(
           node,
           seen.size,
           'the task is lost: no path leads to its end',
         );
       }
       for (const step of stepsFrom(node.state, bounds)) {
-        const after = take(step, bounds);
-        if (after instanceof Broken) {
+        const after = applyStep(step, bounds);
+        if (after instanceof GuaranteeViolation) {
           const last: Node = { ...node, name: step.name, before: node };
-          return foundAt(last, seen.size, after.message);
+          return violationAt(last, seen.size, after.message);
         }
         const key = keyOf(after);
         if (!seen.has(key)) {
@@ -66,107 +69,118 @@
     }
     layer = next;
   }
-  return { states: seen.size, broken: '', steps: [] };
+  return { states: seen.size, violation: '', steps: [] };
 }
 
-function openingOf(bounds: Bounds): Node {
+function replayOpening(bounds: Bounds): Node {
   return bounds.opening.reduce<Node>(
     (before, wanted) => {
       const step = stepsFrom(before.state, bounds).find(({ name }) =>
         name.startsWith(wanted),
       );
-      const state = step && take(step, bounds);
+      const state = step && applyStep(step, bounds);
       if (
         step === undefined ||
         state === undefined ||
-        state instanceof Broken
+        state instanceof GuaranteeViolation
       ) {
         throw new Error(`no such step: ${wanted}`);
       }
       return { state, name: step.name, before };
     },
-    { state: FIRST_STATE, name: '', before: undefined },
+    { state: INITIAL_STATE, name: '', before: undefined },
   );
 }
 
-function foundAt(node: Node, states: number, broken: string): Found {
+function violationAt(
+  node: Node,
+  states: number,
+  violation: string,
+): Exploration {
   const steps: string[] = [];
   for (let at = node; at.before !== undefined; at = at.before) {
     steps.unshift(`${at.before.state.now} ms: ${at.name}`);
   }
-  return { states, broken, steps };
+  return { states, violation, steps };
 }
 
-function take(step: Step, bounds: Bounds): State | Broken {
+function applyStep(step: Step, bounds: Bounds): State | GuaranteeViolation {
   try {
-    return tidy(step.then(), bounds);
+    return normalize(step.apply(), bounds);
   } catch (err) {
-    if (err instanceof Broken) {
+    if (err instanceof GuaranteeViolation) {
       return err;
     }
     throw err;
   }
 }
 
-const numbers = new Map<string, number>();
-const numbersOfParts = new WeakMap<object, number>();
+const idsOfTexts = new Map<string, number>();
+const idsOfParts = new WeakMap<object, number>();
 
-/** Numbers parts by what they hold; most parts of a state are those of the state before. */
-function numberOf(part: object): number {
-  return remembered(numbersOfParts, part, () => numberOfText(textOf(part)));
+/** Returns an id for the content of a part of a state; most parts are shared with the state before. */
+function idOf(part: object): number {
+  return memoize(idsOfParts, part, () => idOfText(textOf(part)));
 }
 
-function numberOfText(text: string): number {
-  const number = numbers.get(text) ?? numbers.size;
-  numbers.set(text, number);
-  return number;
+function idOfText(text: string): number {
+  const id = idsOfTexts.get(text) ?? idsOfTexts.size;
+  idsOfTexts.set(text, id);
+  return id;
 }
 
 function textOf(part: object): string {
   return 'lead' in part ? textOfHost(part as Host) : JSON.stringify(part);
 }
 
-/** What a leader has not written are the last records of its copy, so that their number tells them. */
-function textOfHost({ name, reads, lead }: Host): string {
+/** The unwritten records of a leader are the last ones of its copy, so their number identifies them. */
+function textOfHost({ name, journalReads, lead }: Host): string {
   if (lead === undefined) {
-    return `${name} ${numberOf(reads)}`;
+    return `${name} ${idOf(journalReads)}`;
   }
-  const { known, writing, batch, progress, links, ...rest } = lead;
+  const { copy, writing, batch, progress, links, ...rest } = lead;
   return [
     name,
-    ...[reads, known, progress, ...links].map(numberOf),
+    ...[journalReads, copy, progress, ...links].map(idOf),
     writing.length,
     batch.length,
     ...Object.values(rest),
   ].join(' ');
 }
 
-/** Returns a text that two states share only when they are alike. */
+/** Returns a key that is equal only for identical states. */
 function keyOf(state: State): string {
-  const { now, troubles, journal, lateAppends, cancelledAt } = state;
+  const { now, disruptions, journal, delayedAppends, cancelledAt } = state;
   const { workers, registered, messages, hosts, doneAcknowledged } = state;
-  const parts = [journal, lateAppends, messages, ...workers, ...hosts];
-  const numbered = parts.map(numberOf).join();
-  return `${numbered},${now},${troubles},${cancelledAt},${registered},${String(doneAcknowledged)}`;
+  const parts = [journal, delayedAppends, messages, ...workers, ...hosts];
+  const numbered = parts.map(idOf).join();
+  return `${numbered},${now},${disruptions},${cancelledAt},${registered},${String(doneAcknowledged)}`;
 }
 
-/** Whether a path without further trouble leads to the end of the task; `ending` keeps states from which one does. */
-function canEnd(from: State, bounds: Bounds, ending: Set<string>): boolean {
-  const until = from.now + ENOUGH_MS;
+/**
+ * Whether the task can complete without further disruption; `ending` collects states from which it
+ * can.
+ */
+function canComplete(
+  from: State,
+  bounds: Bounds,
+  ending: Set<string>,
+): boolean {
+  const until = from.now + COMPLETION_TIME_MS;
   const tried = new Set<string>();
   const search = (state: State): boolean => {
-    const key = calmKeyOf(state);
-    if (ending.has(key) || isEnd(state)) {
+    const key = keyIgnoringDisruptions(state);
+    if (ending.has(key) || isComplete(state)) {
       ending.add(key);
       return true;
     }
-    if (tried.has(key) || tried.size > MOST_TRIED) {
+    if (tried.has(key) || tried.size > MAX_SEARCH_STATES) {
       return false;
     }
     tried.add(key);
-    const found = calmSteps(state, bounds, until).some(step => {
-      const after = take(step, bounds);
-      return !(after instanceof Broken) && search(after);
+    const found = undisruptedSteps(state, bounds, until).some(step => {
+      const after = applyStep(step, bounds);
+      return !(after instanceof GuaranteeViolation) && search(after);
     });
     if (found) {
       ending.add(key);
@@ -176,32 +190,42 @@
   return search(from);
 }
 
-function calmKeyOf(state: State): string {
-  return keyOf({ ...state, troubles: 0 });
+function keyIgnoringDisruptions(state: State): string {
+  return keyOf({ ...state, disruptions: 0 });
 }
 
-/** Steps without trouble, of the newest leader only; the first host claims where there is none. */
-function calmSteps(state: State, bounds: Bounds, until: Instant): Step[] {
-  const { epoch } = viewOf(recordsOf(state.journal), false);
+/**
+ * Returns the steps without disruptions, of the newest leader only; without a leader the first host
+ * claims.
+ */
+function undisruptedSteps(
+  state: State,
+  bounds: Bounds,
+  until: Instant,
+): Step[] {
+  const { epoch } = taskViewOf(recordsOf(state.journal), false);
   const leader = state.hosts.find(({ lead }) => lead?.epoch === epoch);
   const others = state.hosts.filter(
     host => host !== (leader ?? state.hosts[0]),
   );
-  const calm: Bounds = {
+  const undisrupted: Bounds = {
     ...bounds,
     until,
     epochs: epoch + 1,
     runs: Infinity,
-    troubles: 0,
+    maxDisruptions: 0,
     cancels: false,
     releases: false,
     reads: false,
   };
-  const asides = ['the late', ...others.map(({ name }) => `${name} `)];
-  const steps = stepsFrom(state, calm).filter(
-    ({ name }) => !asides.some(aside => name.startsWith(aside)),
+  const excludedPrefixes = [
+    'the delayed',
+    ...others.map(({ name }) => `${name} `),
+  ];
+  const steps = stepsFrom(state, undisrupted).filter(
+    ({ name }) => !excludedPrefixes.some(prefix => name.startsWith(prefix)),
   );
-  // Heartbeats bring no end nearer: with them first the search would be given up before it found one.
+  // Heartbeats don't bring completion nearer: tried first, they would use up the search.
   const isHeartbeat = ({ name }: Step): boolean => name.endsWith('a heartbeat');
   return [
     ...steps.filter(step => !isHeartbeat(step)),
@@ -209,7 +233,7 @@
   ];
 }
 
-function isEnd({ journal, cancelledAt }: State): boolean {
-  const { status, run } = viewOf(recordsOf(journal), false);
+function isComplete({ journal, cancelledAt }: State): boolean {
+  const { status, run } = taskViewOf(recordsOf(journal), false);
   return status === 'done' || (cancelledAt >= 0 && run === 0);
 }
--- a/packages/daemon/src/job-host/model/leader-steps.fixture.test.ts
+++ b/packages/daemon/src/job-host/model/leader-steps.fixture.test.ts
@@ -1,4 +1,7 @@
-/** What a leader of the model does: claims, decides, records, orders, looks; after the product's rules. */
+/**
+ * The leader of the model: it claims, decides, records, sends orders and polls by the rules of the
+ * product.
+ */
 import { UNKNOWN_SPAN, type Instant } from '@paddlewind/domain';
 import type { JournalRecord, RunEnd } from '@paddlewind/domain/jobs';
 
@@ -19,28 +22,28 @@
   readToEnd,
   recordsOf,
   TASK,
-  viewOf,
+  taskViewOf,
   WORKER_NAMES,
   type Append,
   type Host,
-  type Lead,
+  type LeaderState,
   type Link,
   type Message,
   type Progress,
   type Report,
   type State,
-  type View,
+  type TaskView,
 } from './states.fixture.test.js';
-import type { Answer, Fault } from './worker-steps.fixture.test.js';
+import type { Answer, InjectedFault } from './worker-steps.fixture.test.js';
 
-/** Largest claim number of a host: numbers of two hosts are far apart. */
+/** Largest nonce of each host's claims; the nonces of the two hosts are far apart. */
 const NONCES: Record<string, number> = { A: 100, B: 200 };
 
-/** Returns the state with a host's leadership changed; undefined ends it. */
-export function withLead(
+/** Returns the state with the leadership of a host replaced; undefined ends it. */
+export function withLeader(
   state: State,
   at: number,
-  lead: Lead | undefined,
+  lead: LeaderState | undefined,
 ): State {
   return withHost(state, at, { ...hostAt(state, at), lead });
 }
@@ -56,22 +59,22 @@
   return { ...state, hosts: at === 0 ? [host, second] : [first, host] };
 }
 
-/** Returns what a leader's copy tells. */
-export function leadView({ known, cancelKnown }: Lead): View {
-  return viewOf(known, cancelKnown);
+/** Returns the task as the leader's copy shows it. */
+export function leaderView({ copy, cancelKnown }: LeaderState): TaskView {
+  return taskViewOf(copy, cancelKnown);
 }
 
 /** Returns a leader's link. */
-export function linkAt(lead: Lead, worker: number): Link {
+export function linkAt(lead: LeaderState, worker: number): Link {
   return lead.links[worker === 0 ? 0 : 1];
 }
 
 /** Returns the leader with a link changed. */
 export function withLink(
-  lead: Lead,
+  lead: LeaderState,
   worker: number,
   change: Partial<Link>,
-): Lead {
+): LeaderState {
   const [first, second] = lead.links;
   return {
     ...lead,
@@ -82,18 +85,18 @@
   };
 }
 
-/** Decides: the copy changes at once, the record waits to be written. */
-export function decide(lead: Lead, record: JournalRecord): Lead {
+/** Decides on a record: the copy changes at once, the record waits to be written. */
+export function decide(lead: LeaderState, record: JournalRecord): LeaderState {
   return {
     ...lead,
-    known: [...lead.known, record],
+    copy: [...lead.copy, record],
     batch: [...lead.batch, record],
   };
 }
 
 /** Ends the open run. */
-export function decideEnd(lead: Lead, how: RunEnd): Lead {
-  const { run } = leadView(lead);
+export function decideEnd(lead: LeaderState, how: RunEnd): LeaderState {
+  const { run } = leaderView(lead);
   const record: JournalRecord = {
     kind: 'end',
     task: TASK,
@@ -104,10 +107,10 @@
   return { ...decide(lead, record), progress: NO_PROGRESS };
 }
 
-/** The claim that a host would append now. */
+/** Returns the claim that a host would append now. */
 export function claimOf(state: State, at: number): Append {
   const host = hostAt(state, at);
-  const { epoch: before } = viewOf(recordsOf(state.journal), false);
+  const { epoch: before } = taskViewOf(recordsOf(state.journal), false);
   const epoch = before + 1;
   const nonce = NONCES[host.name] ?? 0;
   const { name } = host;
@@ -118,11 +121,11 @@
   };
 }
 
-/** The heartbeat that a leader would append now: it tells which workers do not answer. */
+/** Returns the heartbeat that a leader would append now, with the workers that do not answer. */
 export function heartbeatOf(
   state: State,
   host: Host,
-  lead: Lead,
+  lead: LeaderState,
 ): JournalRecord {
   const workers = silentWorkers(lead).flatMap(at => {
     const left = leaseOf(state, host, lead, at).endsBy - state.now;
@@ -147,21 +150,21 @@
   };
 }
 
-/** Workers that run something, and do not answer. */
-export function silentWorkers(lead: Lead): number[] {
-  const { run, at } = leadView(lead);
+/** Returns the workers that run something and do not answer. */
+export function silentWorkers(lead: LeaderState): number[] {
+  const { run, at } = leaderView(lead);
   const { verified, answering } = linkAt(lead, at);
   return run > 0 && !(verified && answering) ? [at] : [];
 }
 
-/** Time by which leases that are given after an append of `confirmedAt` have to end. */
-function horizonOf({ releasedAt }: Lead, confirmedAt: Instant): Instant {
+/** Returns the time by which leases given after an append at `confirmedAt` have to end. */
+function horizonOf({ releasedAt }: LeaderState, confirmedAt: Instant): Instant {
   const released = releasedAt < 0 ? Infinity : releasedAt + TASK_LEASE_MS;
   return Math.min(confirmedAt + LEASE_HORIZON_MS, released);
 }
 
-/** The same for leases that are given now. */
-function horizonNow(lead: Lead, fault: Fault): Instant {
+/** Returns the time by which leases given now have to end. */
+function horizonNow(lead: LeaderState, fault: InjectedFault): Instant {
   if (fault === 'unconfirmed_lease') {
     return Infinity;
   }
@@ -169,17 +172,17 @@
   return horizonOf({ ...lead, releasedAt }, lead.confirmedAt);
 }
 
-/** Takes over after a claim that the log has accepted: reads journal and inbox to their ends. */
+/** Takes over after the log has accepted a claim: reads journal and inbox to their ends. */
 export function takeOver(
   state: State,
   at: number,
   claim: Append,
-  fault: Fault,
+  fault: InjectedFault,
 ): State {
   const host = hostAt(state, at);
   const all = recordsOf(state.journal);
-  const { reads } = readToEnd(host, state);
-  const lead: Lead = {
+  const { journalReads } = readToEnd(host, state);
+  const lead: LeaderState = {
     epoch: claim.epoch,
     sequence: claim.sequence,
     confirmedAt: state.now,
@@ -187,34 +190,43 @@
     releasedAt: -1,
     inboxAt: state.now,
     cancelKnown: state.cancelledAt >= 0,
-    known: read(all, fault),
+    copy: copyOf(all, fault),
     writing: [],
     batch: [],
     progress: NO_PROGRESS,
     links: [NEW_LINK, NEW_LINK],
   };
-  return withHost(state, at, { ...host, reads, lead });
+  return withHost(state, at, { ...host, journalReads, lead });
 }
 
-/** Ends of leases are kept apart, so that copies of alike journals are alike. */
-function read(all: readonly JournalRecord[], fault: Fault): JournalRecord[] {
+/**
+ * Heartbeats are left out, since the ends of leases are kept elsewhere; so copies of equivalent
+ * journals are equal.
+ */
+function copyOf(
+  all: readonly JournalRecord[],
+  fault: InjectedFault,
+): JournalRecord[] {
   const records = all.filter(({ kind }) => kind !== 'heartbeat');
-  const lastTold = records.findLastIndex(
+  const lastDecision = records.findLastIndex(
     ({ kind }) => kind === 'start' || kind === 'end',
   );
   return fault === 'missed_record'
-    ? records.filter((_, index) => index !== lastTold)
+    ? records.filter((_, index) => index !== lastDecision)
     : records;
 }
 
-/** The append that a leader sends next, the same again until its outcome is known. */
-export function nextAppend(lead: Lead): Append {
-  const waits = lead.writing.length > 0 ? lead.writing : lead.batch;
-  return { epoch: lead.epoch, sequence: lead.sequence + 1, records: waits };
+/** Returns the leader's next append, which is repeated until its outcome is known. */
+export function nextAppend(lead: LeaderState): Append {
+  const pending = lead.writing.length > 0 ? lead.writing : lead.batch;
+  return { epoch: lead.epoch, sequence: lead.sequence + 1, records: pending };
 }
 
-/** The leader while the append is under way. */
-export function whileWriting(lead: Lead, now: Instant): Lead {
+/** Returns the leader with its append in flight. */
+export function withWriteInFlight(
+  lead: LeaderState,
+  now: Instant,
+): LeaderState {
   if (lead.writing.length > 0) {
     return lead;
   }
@@ -231,19 +243,19 @@
   };
 }
 
-/** Appends what waits and takes in the answer; a leader that is refused leads no more. */
+/** Writes the waiting records and handles the answer; a leader that is refused no longer leads. */
 export function write(
   state: State,
   at: number,
-  lead: Lead,
-  fault: Fault,
+  lead: LeaderState,
+  fault: InjectedFault,
 ): State {
   const { journal, kind } = append(state.journal, nextAppend(lead));
   if (kind !== 'appended') {
-    return withLead(state, at, undefined);
+    return withLeader(state, at, undefined);
   }
-  const writing = whileWriting(lead, state.now);
-  const written: Lead = {
+  const writing = withWriteInFlight(lead, state.now);
+  const written: LeaderState = {
     ...writing,
     writing: [],
     firstSentAt: -1,
@@ -251,16 +263,16 @@
     confirmedAt:
       fault === 'late_confirmation' ? state.now : writing.firstSentAt,
   };
-  const acted = writing.writing.reduce(actOn, written);
-  return withLead({ ...state, journal }, at, settleEnds(acted));
+  const acted = writing.writing.reduce(applyWritten, written);
+  return withLeader({ ...state, journal }, at, markRecordedEnds(acted));
 }
 
-function actOn(lead: Lead, record: JournalRecord): Lead {
+function applyWritten(lead: LeaderState, record: JournalRecord): LeaderState {
   if (record.kind === 'reached') {
     const at = record.worker === WORKER_NAMES[0] ? 0 : 1;
     return withLink(lead, at, { reached: true });
   }
-  if (record.kind === 'start' && leadView(lead).run === record.run) {
+  if (record.kind === 'start' && leaderView(lead).run === record.run) {
     const progress: Progress = {
       ...lead.progress,
       order: 'start',
@@ -271,8 +283,8 @@
   return lead;
 }
 
-/** Ends count as recorded once what was decided until they were listed is written. */
-export function settleEnds(lead: Lead): Lead {
+/** Marks ends as recorded once all decisions made before they were listed are written. */
+export function markRecordedEnds(lead: LeaderState): LeaderState {
   return [0, 1].reduce((next, at) => {
     const { listedUpTo, recordedUpTo, recordedWith } = linkAt(next, at);
     const open =
@@ -288,23 +300,27 @@
   }, lead);
 }
 
-/** Asks to be replaced; leases that are given from now on end with those given before. */
-export function release(state: State, lead: Lead): Lead {
+/** Releases the leadership; leases that are given from now on end no later than those given before. */
+export function release(state: State, lead: LeaderState): LeaderState {
   const heldMs = Math.ceil(TASK_LEASE_MS + HORIZON_SLACK_MS);
   const released = { ...lead, releasedAt: state.now };
   return decide(released, { kind: 'release', heldMs });
 }
 
-/** Whether the start that waits may be sent. */
-export function mayStart(state: State, lead: Lead, fault: Fault): boolean {
+/** Whether the waiting start may be sent. */
+export function mayStart(
+  state: State,
+  lead: LeaderState,
+  fault: InjectedFault,
+): boolean {
   if (fault === 'unchecked_start') {
     return true;
   }
-  const { over, status, at } = leadView(lead);
+  const { isFinished, status, at } = leaderView(lead);
   const { verified, answering, reached } = linkAt(lead, at);
   const leaseLeft = horizonNow(lead, fault) - state.now;
   return (
-    !over &&
+    !isFinished &&
     status !== 'done' &&
     state.now - lead.inboxAt <= INBOX_STALE_MS &&
     state.now - lead.progress.decidedAt <= START_WAIT_MS &&
@@ -315,14 +331,14 @@
   );
 }
 
-/** Builds the order that waits, to be sent now. */
+/** Builds the waiting order, to be sent now. */
 export function orderOf(
   state: State,
   host: Host,
-  lead: Lead,
-  fault: Fault,
+  lead: LeaderState,
+  fault: InjectedFault,
 ): Message {
-  const { run, at: to } = leadView(lead);
+  const { run, at: to } = leaderView(lead);
   const kind = lead.progress.order === 'start' ? 'start' : 'stop';
   const starts = kind === 'start';
   return {
@@ -332,41 +348,48 @@
     run,
     sentAt: state.now,
     cancelKnown: lead.cancelKnown,
-    leaseUntil: starts ? extended(state, host, lead, to, fault) : 0,
+    leaseUntil: starts ? extendedLease(state, host, lead, to, fault) : 0,
     acknowledged: 0,
   };
 }
 
-function extended(
+function extendedLease(
   state: State,
   host: Host,
-  lead: Lead,
+  lead: LeaderState,
   to: number,
-  fault: Fault,
+  fault: InjectedFault,
 ): Instant {
   const horizon = horizonNow(lead, fault);
   return leaseOf(state, host, lead, to).extend(state.now, horizon);
 }
 
-/** The leader that has sent the order which waited. */
-export function whileSending(lead: Lead, { to, leaseUntil }: Message): Lead {
+/** Returns the leader after it has sent the waiting order. */
+export function afterSending(
+  lead: LeaderState,
+  { to, leaseUntil }: Message,
+): LeaderState {
   const progress: Progress = { ...lead.progress, order: 'none', decidedAt: 0 };
-  return noteLease({ ...lead, progress }, to, leaseUntil);
+  return recordLease({ ...lead, progress }, to, leaseUntil);
 }
 
-/** Notes the end of a lease that is given. */
-export function noteLease(lead: Lead, worker: number, until: Instant): Lead {
+/** Records the end of a lease that was given. */
+export function recordLease(
+  lead: LeaderState,
+  worker: number,
+  until: Instant,
+): LeaderState {
   const extendedUntil = Math.max(linkAt(lead, worker).extendedUntil, until);
   return until === 0 ? lead : withLink(lead, worker, { extendedUntil });
 }
 
-/** Takes in the answer to an order; `unknown` when none came in time. */
-export function takeOrderAnswer(
-  lead: Lead,
+/** Handles the answer to an order; `unknown` if none came in time. */
+export function handleOrderAnswer(
+  lead: LeaderState,
   message: Message,
   answer: Answer | 'unknown',
-): Lead {
-  const { run } = leadView(lead);
+): LeaderState {
+  const { run } = leaderView(lead);
   if (run !== message.run || answer === 'fenced') {
     return lead;
   }
@@ -378,14 +401,16 @@
   if (message.kind === 'stop') {
     return { ...lead, progress: { ...lead.progress, stopConfirmed: true } };
   }
-  return answer === 'accepted' ? lead : settleEnds(decideEnd(lead, 'void'));
+  return answer === 'accepted'
+    ? lead
+    : markRecordedEnds(decideEnd(lead, 'void'));
 }
 
-/** Orders the open run to stop; a start that waits is taken back instead. */
-export function orderStop(lead: Lead): Lead {
+/** Orders the open run to stop; a start that still waits is withdrawn instead. */
+export function orderStop(lead: LeaderState): LeaderState {
   const { progress } = lead;
   if (progress.order === 'start') {
-    return settleEnds(decideEnd(lead, 'void'));
+    return markRecordedEnds(decideEnd(lead, 'void'));
   }
   return {
     ...lead,
@@ -393,57 +418,61 @@
   };
 }
 
-/** Builds the look that a leader sends now. */
-export function lookOf(
+/** Builds the poll that a leader sends now. */
+export function pollOf(
   state: State,
   host: Host,
-  lead: Lead,
+  lead: LeaderState,
   to: number,
-  fault: Fault,
+  fault: InjectedFault,
 ): Message {
   const { reached, answering, recordedUpTo, listedUpTo } = linkAt(lead, to);
   const extend = reached && answering && horizonNow(lead, fault) > state.now;
   return {
-    kind: 'look',
+    kind: 'poll',
     to,
     fence: lead.epoch,
     run: 0,
     sentAt: state.now,
     cancelKnown: lead.cancelKnown,
-    leaseUntil: extend ? extended(state, host, lead, to, fault) : 0,
+    leaseUntil: extend ? extendedLease(state, host, lead, to, fault) : 0,
     acknowledged: fault === 'early_acknowledgement' ? listedUpTo : recordedUpTo,
   };
 }
 
-/** Takes in that a look had no answer: the run there is given up once its lease has lapsed. */
-export function takeSilence(
+/** Handles a poll without an answer: the run on that worker is abandoned once its lease has expired. */
+export function handleSilence(
   state: State,
   host: Host,
-  lead: Lead,
+  lead: LeaderState,
   worker: number,
-  fault: Fault,
-): Lead {
+  fault: InjectedFault,
+): LeaderState {
   const silent = withLink(lead, worker, { answering: false });
-  const { run, at } = leadView(silent);
+  const { run, at } = leaderView(silent);
   if (run === 0 || at !== worker) {
     return silent;
   }
-  const lapsed =
+  const hasExpired =
     fault === 'early_give_up' ||
     leaseOf(state, host, silent, worker).hasLapsed(state.now);
-  if (lapsed && fault !== 'never_given_up') {
+  if (hasExpired && fault !== 'never_given_up') {
     return decideEnd(silent, 'lapsed');
   }
   return silent.progress.order === 'start' ? decideEnd(silent, 'void') : silent;
 }
 
-/** Takes in a report. */
-export function takeReport(state: State, lead: Lead, worker: number): Lead {
+/** Handles a report. */
+export function handleReport(
+  state: State,
+  lead: LeaderState,
+  worker: number,
+): LeaderState {
   const { report, firstClock } = linkAt(lead, worker);
   if (report === undefined) {
     return lead;
   }
-  const heard = withLink(lead, worker, {
+  const answered = withLink(lead, worker, {
     report: undefined,
     answering: true,
     acknowledgedUpTo: report.acknowledged,
@@ -451,32 +480,36 @@
     clock: report.clock,
     firstClock: firstClock < 0 ? report.clock : firstClock,
   });
-  const settled = takeRun(heard, worker, report);
+  const settled = handleReportedRun(answered, worker, report);
   const known = recordReached(
     withLink(settled, worker, { verified: true }),
     worker,
   );
   const last = report.ended.at(-1)?.position ?? 0;
   return last > linkAt(known, worker).recordedUpTo
-    ? settleEnds(
+    ? markRecordedEnds(
         withLink(known, worker, { listedUpTo: last, recordedWith: 'batch' }),
       )
     : known;
 }
 
 /** Records that a worker was reached, unless that is known or waits to be written. */
-function recordReached(lead: Lead, at: number): Lead {
+function recordReached(lead: LeaderState, at: number): LeaderState {
   const worker = WORKER_NAMES[at === 0 ? 0 : 1];
-  const waits = [...lead.writing, ...lead.batch].some(
+  const isPending = [...lead.writing, ...lead.batch].some(
     record => record.kind === 'reached' && record.worker === worker,
   );
-  return waits || linkAt(lead, at).reached
+  return isPending || linkAt(lead, at).reached
     ? lead
     : decide(lead, { kind: 'reached', worker });
 }
 
-function takeRun(lead: Lead, worker: number, report: Report): Lead {
-  const { run, at } = leadView(lead);
+function handleReportedRun(
+  lead: LeaderState,
+  worker: number,
+  report: Report,
+): LeaderState {
+  const { run, at } = leaderView(lead);
   if (run === 0 || at !== worker) {
     return lead;
   }
@@ -489,7 +522,7 @@
   }
   const { verified } = linkAt(lead, worker);
   const { ordered, stopConfirmed } = lead.progress;
-  // A start that this leader has decided on and not ordered yet is none of an earlier one.
+  // A start that this leader has planned but not yet sent can't be an earlier leader's.
   const earlier = !ordered && !verified;
   const neverBegan = earlier || (stopConfirmed && report.afterStop);
   return neverBegan ? decideEnd(lead, 'void') : lead;
--- a/packages/daemon/src/job-host/model/leadership-model.test.ts
+++ b/packages/daemon/src/job-host/model/leadership-model.test.ts
@@ -1,18 +1,18 @@
-/** Histories of two leaders, a worker and its successor and one task: all within bounds. */
+/** Explores the histories of two leaders, a worker and its replacement, and one task, within bounds. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { explore, type Found } from './explore.fixture.test.js';
+import { explore, type Exploration } from './explore.fixture.test.js';
 import { TICK_MS } from './states.fixture.test.js';
 import type { Bounds } from './steps.fixture.test.js';
-import type { Fault } from './worker-steps.fixture.test.js';
+import type { InjectedFault } from './worker-steps.fixture.test.js';
 
-const AT_ONCE: Bounds = {
+const NO_TIME: Bounds = {
   until: 0,
   epochs: 2,
   runs: 2,
-  troubles: 0,
-  kinds: [],
+  maxDisruptions: 0,
+  disruptionKinds: [],
   opening: [],
   depth: Infinity,
   cancels: false,
@@ -21,26 +21,26 @@
   fault: 'none',
 };
 
-const CANCELLED: Bounds = { ...AT_ONCE, cancels: true };
+const CANCELLED: Bounds = { ...NO_TIME, cancels: true };
 
 const CANCELLED_LATE: Bounds = { ...CANCELLED, until: TICK_MS, epochs: 1 };
 
-const TROUBLED: Bounds = {
-  ...AT_ONCE,
-  troubles: 1,
-  kinds: ['message', 'append', 'restart', 'loss'],
+const DISRUPTED: Bounds = {
+  ...NO_TIME,
+  maxDisruptions: 1,
+  disruptionKinds: ['message', 'append', 'restart', 'loss'],
   depth: 10,
 };
 
-/** A run is at work when its worker is lost, to one host or to both. */
+/** A worker with an active run is lost to one host or to both. */
 const LOST: Bounds = {
-  ...AT_ONCE,
+  ...NO_TIME,
   until: 2 * TICK_MS,
-  troubles: 1,
-  kinds: ['loss'],
+  maxDisruptions: 1,
+  disruptionKinds: ['loss'],
   opening: [
     'A claims',
-    'A looks at w1',
+    'A polls w1',
     'A decides',
     'A writes',
     'A sends',
@@ -49,13 +49,13 @@
   depth: 7,
 };
 
-/** The same, once the former leader may not extend the lease any more, and has looked once more. */
+/** The same after the former leader has lost the right to extend the lease and has polled once more. */
 const LOST_LATER: Bounds = {
   ...LOST,
-  opening: [...LOST.opening, 'time passes', 'A looks at w1'],
+  opening: [...LOST.opening, 'time passes', 'A polls w1'],
 };
 
-/** A run is at work, and another host reads on. */
+/** A run is active while another host keeps reading the journal. */
 const FOLLOWED: Bounds = {
   ...LOST,
   reads: true,
@@ -63,7 +63,7 @@
   depth: 6,
 };
 
-/** The former leader was asked to be replaced, and goes on until another host claims. */
+/** The former leader was asked to hand over and continues until another host claims. */
 const RELEASED: Bounds = {
   ...FOLLOWED,
   releases: true,
@@ -75,83 +75,87 @@
     'time passes',
     'A writes a heartbeat',
     'w1 is cut off from B',
-    'A looks at w1',
+    'A polls w1',
     'B claims',
   ],
 };
 
-/** The former leader repeats an append that another host has read already. */
+/** The former leader repeats an append that another host has already read. */
 const REPEATED: Bounds = {
   ...FOLLOWED,
-  troubles: 2,
-  kinds: ['append', 'loss'],
+  maxDisruptions: 2,
+  disruptionKinds: ['append', 'loss'],
   opening: [
     ...FOLLOWED.opening,
     'w1 is cut off from B',
-    'A looks at w2',
+    'A polls w2',
     'A writes reached, the answer lost',
     'B reads',
     'time passes',
     'A writes reached',
-    'A looks at w1',
+    'A polls w1',
     'B claims',
   ],
 };
 
-function assertSound(bounds: Bounds, floor: number): void {
+function assertNoViolation(bounds: Bounds, floor: number): void {
   const found = explore(bounds);
-  assert.equal(found.broken, '', tell(found));
+  assert.equal(found.violation, '', describeResult(found));
   assert.ok(found.states > floor, `only ${found.states} states`);
 }
 
-function assertFound(bounds: Bounds, fault: Fault, broken: RegExp): void {
+function assertViolation(
+  bounds: Bounds,
+  fault: InjectedFault,
+  violation: RegExp,
+): void {
   const found = explore({ ...bounds, fault });
-  assert.match(found.broken, broken, tell(found));
+  assert.match(found.violation, violation, describeResult(found));
 }
 
-function tell({ broken, steps, states }: Found): string {
-  return [`${broken} (${states} states)`, ...steps].join('\n  ');
+function describeResult({ violation, steps, states }: Exploration): string {
+  return [`${violation} (${states} states)`, ...steps].join('\n  ');
 }
 
-test('model: leaders that claim, a job that is cancelled', () => {
-  assertSound(CANCELLED, 3_000);
+test('model: two leaders claim and the job is cancelled', () => {
+  assertNoViolation(CANCELLED, 3_000);
 });
 
-test('model: a cancellation while a start waits', () => {
-  assertSound(CANCELLED_LATE, 1_000);
+test('model: the job is cancelled while a start waits', () => {
+  assertNoViolation(CANCELLED_LATE, 1_000);
 });
 
-test('model: one message, append, host or worker in trouble', () => {
-  assertSound(TROUBLED, 12_000);
+test('model: one message, append, host or worker is disrupted', () => {
+  assertNoViolation(DISRUPTED, 12_000);
 });
 
-test('model: a worker is lost while its run is at work', () => {
-  assertSound(LOST, 10_000);
+test('model: a worker is lost while its run is active', () => {
+  assertNoViolation(LOST, 10_000);
 });
 
 test('model: a worker is lost after its former leader', () => {
-  assertSound(LOST_LATER, 10_000);
+  assertNoViolation(LOST_LATER, 10_000);
 });
 
-test('model finds a worker without a fence', () => {
-  assertFound(AT_ONCE, 'no_fence', /two runs/);
+test('model finds a worker that does not check fences', () => {
+  assertViolation(NO_TIME, 'no_fence', /two runs/);
 });
 
-test('model finds an acknowledgement before the record', () => {
-  assertFound(AT_ONCE, 'early_acknowledgement', /not recorded/);
+test('model finds an acknowledgement before the end is recorded', () => {
+  assertViolation(NO_TIME, 'early_acknowledgement', /not recorded/);
 });
 
-test('model finds a start that is not checked when sent', () => {
-  assertFound(CANCELLED, 'unchecked_start', /cancellation was read/);
+test('model finds a start that is not checked again when sent', () => {
+  assertViolation(CANCELLED, 'unchecked_start', /cancellation was read/);
 });
 
-test('model finds a stale start that is not checked when sent', () => {
-  assertFound(
+test('model finds a stale start that is not checked again when sent', () => {
+  assertViolation(
     {
       ...CANCELLED_LATE,
       opening: [
         'A claims',
-        'A looks',
+        'A polls',
         'A decides',
         'A writes',
         'the job is cancelled',
@@ -163,44 +167,44 @@
   );
 });
 
-test('model finds a record that a new leader misses', () => {
-  assertFound(AT_ONCE, 'missed_record', /not recorded/);
+test('model finds a new leader that misses a record', () => {
+  assertViolation(NO_TIME, 'missed_record', /not recorded/);
 });
 
-test('model finds a run that is given up before its lease ends', () => {
-  assertFound(
+test('model finds a run that is abandoned before its lease ends', () => {
+  assertViolation(
     { ...LOST, opening: LOST.opening.slice(0, -1) },
     'early_give_up',
     /two runs/,
   );
 });
 
-test('model finds a lease that a leader extends unconfirmed', () => {
-  assertFound(LOST_LATER, 'unconfirmed_lease', /two runs/);
+test('model finds a lease that is extended by an unconfirmed leader', () => {
+  assertViolation(LOST_LATER, 'unconfirmed_lease', /two runs/);
 });
 
-test('model: a worker is lost while another host reads on', () => {
-  assertSound(FOLLOWED, 3_000);
+test('model: a worker is lost while another host reads the journal', () => {
+  assertNoViolation(FOLLOWED, 3_000);
 });
 
-test('model: a worker is lost to the host that follows one which released the lead', () => {
-  assertSound(RELEASED, 500);
+test('model: a worker is lost to the successor of a leader that released the leadership', () => {
+  assertNoViolation(RELEASED, 500);
 });
 
-test('model finds a lease that goes beyond a release', () => {
-  assertFound(RELEASED, 'released_lease', /two runs/);
+test('model finds a lease that exceeds the limit after a release', () => {
+  assertViolation(RELEASED, 'released_lease', /two runs/);
 });
 
-test('model: a repeated append counts from its first try', () => {
-  assertSound(REPEATED, 500);
+test('model: a repeated append is confirmed as of its first attempt', () => {
+  assertNoViolation(REPEATED, 500);
 });
 
-test('model finds an append that counts from its last try', () => {
-  assertFound(REPEATED, 'late_confirmation', /two runs/);
+test('model finds an append that is confirmed as of its last attempt', () => {
+  assertViolation(REPEATED, 'late_confirmation', /two runs/);
 });
 
-test('model finds a run of a lost worker that is never given up', () => {
-  assertFound(
+test('model finds a run of a lost worker that is never abandoned', () => {
+  assertViolation(
     { ...LOST, opening: LOST.opening.slice(0, -1) },
     'never_given_up',
     /task is lost/,
--- a/packages/daemon/src/job-host/model/states.fixture.test.ts
+++ b/packages/daemon/src/job-host/model/states.fixture.test.ts
@@ -1,4 +1,4 @@
-/** States of the model of leadership: two hosts, a worker and the one that replaces it, one task. */
+/** States of the leadership model: two hosts, a worker and its replacement, and one task. */
 import type { Instant, Millis } from '@paddlewind/domain';
 import {
   applyInbox,
@@ -20,57 +20,57 @@
 import { TASK_LEASE_MS } from '../timing.js';
 
 /**
- * Length of a tick in milliseconds: one is shorter than a task's lease (5,000), two are longer than what a
- * new leader waits for one that released the lead (5,202) or fell silent (7,702).
+ * Length of a tick in milliseconds. One tick is shorter than a task's lease (5,000); two are longer
+ * than a new leader waits after a release (5,202) or after silence (7,702).
  */
 export const TICK_MS: Millis = 4_700;
 
-/** An append as the log keeps it. */
+/** An append in the log. */
 export interface Append {
   readonly epoch: number;
   readonly sequence: number;
   readonly records: readonly JournalRecord[];
 }
 
-/** A worker: what it remembers and what it runs. */
+/** A worker: its memory and its active runs. */
 export interface Worker {
-  /** Whether it has ended for good; else it answers the hosts from which it is not cut off. */
+  /** Whether it has ended for good; otherwise it answers the hosts it is not cut off from. */
   readonly dead: boolean;
   readonly cutFrom: readonly string[];
   readonly fence: number;
   readonly highestRun: number;
   readonly active: readonly number[];
   readonly leaseUntil: Instant;
-  readonly ended: readonly Ended[];
+  readonly ended: readonly ListedEnd[];
   readonly nextPosition: number;
 }
 
-/** An end that a worker lists. */
-export interface Ended {
+/** The end of a run as listed by a worker. */
+export interface ListedEnd {
   readonly position: number;
   readonly run: number;
   readonly how: RunEnd;
 }
 
-/** An order or a look; one that is late is carried out at any time, or never. */
+/** An order or a poll; a delayed one is carried out at any time or never. */
 export interface Message {
-  readonly kind: 'start' | 'stop' | 'look';
+  readonly kind: 'start' | 'stop' | 'poll';
   readonly to: number;
   readonly fence: number;
   readonly run: number;
   readonly sentAt: Instant;
-  /** Whether its sender knew that the job was cancelled. */
+  /** Whether its sender knew of the job's cancellation. */
   readonly cancelKnown: boolean;
   /** End of the lease that it gives; 0 for none. */
   readonly leaseUntil: Instant;
   readonly acknowledged: number;
 }
 
-/** What a look brought, not taken in yet where the leader's host is slow. */
+/** The answer to a poll; on a slow leader it is handled later. */
 export interface Report {
   readonly active: readonly number[];
-  readonly ended: readonly Ended[];
-  /** Whether the stop of the open run was confirmed before the look was sent. */
+  readonly ended: readonly ListedEnd[];
+  /** Whether the stop of the open run was confirmed before the poll was sent. */
   readonly afterStop: boolean;
   readonly clock: Instant;
   readonly acknowledged: number;
@@ -82,42 +82,45 @@
   readonly reached: boolean;
   readonly answering: boolean;
   readonly report: Report | undefined;
-  /** Newest position that was listed, and which append has to be confirmed before it counts as recorded. */
+  /** Newest position that was listed, and the append to be confirmed before it counts as recorded. */
   readonly listedUpTo: number;
   readonly recordedWith: 'writing' | 'batch';
   readonly recordedUpTo: number;
   readonly acknowledgedUpTo: number;
-  /** The worker's clock in the first and in the newest answer, and when the latter was taken in; -1 for none. */
+  /**
+   * The worker's clock in the first and in the newest answer, and when the newest was handled; -1
+   * for none.
+   */
   readonly firstClock: Instant;
   readonly clock: Instant;
   readonly answeredAt: Instant;
-  /** Latest end of a lease that this leader gave; -1 for none. */
+  /** Latest end of a lease given by this leader; -1 for none. */
   readonly extendedUntil: Instant;
 }
 
-/** What a leader knows of the open run beyond the journal. */
+/** What a leader knows of the open run in addition to the journal. */
 export interface Progress {
   readonly decidedAt: Instant;
   readonly order: 'none' | 'start' | 'stop';
-  /** Whether an order was given to it by this leader. */
+  /** Whether this leader has sent an order for it. */
   readonly ordered: boolean;
   readonly stopping: boolean;
   readonly stopConfirmed: boolean;
 }
 
-/** A host that leads, or takes itself to lead. */
-export interface Lead {
+/** A host that leads, or believes that it leads. */
+export interface LeaderState {
   readonly epoch: number;
   readonly sequence: number;
   readonly confirmedAt: Instant;
-  /** When what is being written was sent for the first time. */
+  /** When the records being written were first sent. */
   readonly firstSentAt: Instant;
-  /** When it asked to be replaced; -1 for never. */
+  /** When it released the leadership; -1 for never. */
   readonly releasedAt: Instant;
   readonly inboxAt: Instant;
   readonly cancelKnown: boolean;
-  /** Its copy: what it has read and decided. */
-  readonly known: readonly JournalRecord[];
+  /** Its copy of the journal, including its own decisions. */
+  readonly copy: readonly JournalRecord[];
   readonly writing: readonly JournalRecord[];
   readonly batch: readonly JournalRecord[];
   readonly progress: Progress;
@@ -127,30 +130,33 @@
 /** A host. */
 export interface Host {
   readonly name: string;
-  /** When it read how many appends of the journal, since it started. */
-  readonly reads: readonly (readonly [upTo: number, at: Instant])[];
-  readonly lead: Lead | undefined;
+  /**
+   * Each read since the start of the host: the number of appends of the journal read so far, and
+   * the time.
+   */
+  readonly journalReads: readonly (readonly [upTo: number, at: Instant])[];
+  readonly lead: LeaderState | undefined;
 }
 
-/** A state of everything; plain data, so that its JSON tells states apart. */
+/** A state of the whole model. It is plain data, so that its JSON identifies it. */
 export interface State {
   readonly now: Instant;
-  readonly troubles: number;
+  readonly disruptions: number;
   readonly journal: readonly Append[];
-  readonly lateAppends: readonly Append[];
+  readonly delayedAppends: readonly Append[];
   /** Time of the cancellation; -1 for none. */
   readonly cancelledAt: Instant;
   readonly workers: readonly [Worker, Worker];
-  /** The worker that the registry lists. */
+  /** The worker listed in the registry. */
   readonly registered: 0 | 1;
-  /** Those that are late. */
+  /** The delayed messages. */
   readonly messages: readonly Message[];
   readonly hosts: readonly [Host, Host];
-  /** Whether an end as done was acknowledged. */
+  /** Whether an end with `done` was acknowledged. */
   readonly doneAcknowledged: boolean;
 }
 
-/** A worker that runs nothing. */
+/** A worker without runs. */
 const IDLE_WORKER: Worker = {
   dead: false,
   cutFrom: [],
@@ -162,7 +168,7 @@
   nextPosition: 1,
 };
 
-/** A link over which nothing was said. */
+/** A link that was not used yet. */
 export const NEW_LINK: Link = {
   verified: false,
   reached: false,
@@ -178,7 +184,7 @@
   extendedUntil: -1,
 };
 
-/** Progress of a run to which this leader has given no order. */
+/** Progress of a run for which this leader has sent no order. */
 export const NO_PROGRESS: Progress = {
   decidedAt: 0,
   order: 'none',
@@ -187,19 +193,19 @@
   stopConfirmed: false,
 };
 
-/** The state in which the job is submitted and nobody leads. */
-export const FIRST_STATE: State = {
+/** The initial state: the job is submitted and nobody leads. */
+export const INITIAL_STATE: State = {
   now: 0,
-  troubles: 0,
+  disruptions: 0,
   journal: [],
-  lateAppends: [],
+  delayedAppends: [],
   cancelledAt: -1,
   workers: [IDLE_WORKER, IDLE_WORKER],
   registered: 0,
   messages: [],
   hosts: [
-    { name: 'A', reads: [], lead: undefined },
-    { name: 'B', reads: [], lead: undefined },
+    { name: 'A', journalReads: [], lead: undefined },
+    { name: 'B', journalReads: [], lead: undefined },
   ],
   doneAcknowledged: false,
 };
@@ -219,53 +225,53 @@
   },
 };
 
-/** The one task. */
+/** The only task. */
 export const TASK = { job: JOB.id, occurrence: 0, step: 0, index: 0 };
 
 /** Names of the workers in the journal. */
 export const WORKER_NAMES = ['w1', 'w2'] as const;
 
-/** What folding records tells of the task. */
-export interface View {
+/** The task as the records show it. */
+export interface TaskView {
   readonly status: 'waiting' | 'running' | 'done';
-  readonly over: boolean;
+  readonly isFinished: boolean;
   readonly lastRun: number;
   /** The open run; 0 for none. */
   readonly run: number;
-  /** Its worker. */
+  /** Index of its worker. */
   readonly at: number;
   readonly epoch: number;
   readonly reachedIn: ReadonlyMap<string, number>;
 }
 
-const views = new WeakMap<readonly JournalRecord[], View>();
-const cancelledViews = new WeakMap<readonly JournalRecord[], View>();
+const views = new WeakMap<readonly JournalRecord[], TaskView>();
+const cancelledViews = new WeakMap<readonly JournalRecord[], TaskView>();
 
-/** Folds records by the product's own fold. */
-export function viewOf(
+/** Returns the task as the records show it, using the product's own fold. */
+export function taskViewOf(
   records: readonly JournalRecord[],
   cancelled: boolean,
-): View {
+): TaskView {
   const cache = cancelled ? cancelledViews : views;
-  return remembered(cache, records, () => fold(records, cancelled));
+  return memoize(cache, records, () => fold(records, cancelled));
 }
 
-/** Returns what is remembered of `key`, worked out the first time. */
-export function remembered<Key extends object, Value>(
+/** Returns the cached value of `key`, computing it the first time. */
+export function memoize<Key extends object, Value>(
   cache: WeakMap<Key, Value>,
   key: Key,
-  workOut: () => Value,
+  compute: () => Value,
 ): Value {
   const known = cache.get(key);
   if (known !== undefined) {
     return known;
   }
-  const value = workOut();
+  const value = compute();
   cache.set(key, value);
   return value;
 }
 
-function fold(records: readonly JournalRecord[], cancelled: boolean): View {
+function fold(records: readonly JournalRecord[], cancelled: boolean): TaskView {
   const state: JobsState = emptyJobsState();
   applyInbox(state, { kind: 'submit', job: JOB, atWall: 0 });
   for (const record of records) {
@@ -276,12 +282,12 @@
   }
   const task = findTask(state, TASK);
   if (task === undefined) {
-    throw new Error('the task is gone');
+    throw new Error('the task is missing');
   }
   const run = task.runs[0];
   return {
     status: task.status,
-    over: isOver(task.step.occurrence.job),
+    isFinished: isOver(task.step.occurrence.job),
     lastRun: task.lastRun,
     run: run?.number ?? 0,
     at: run?.worker === WORKER_NAMES[1] ? 1 : 0,
@@ -295,16 +301,16 @@
   readonly JournalRecord[]
 >();
 
-/** All records of the log in order. */
+/** Returns all records of the log in order. */
 export function recordsOf(
   journal: readonly Append[],
 ): readonly JournalRecord[] {
-  return remembered(journalRecords, journal, () =>
+  return memoize(journalRecords, journal, () =>
     journal.flatMap(({ records }) => records),
   );
 }
 
-/** What an append brings: the log after it, and the answer. */
+/** Result of an append: the log after it and the answer. */
 interface Appended {
   readonly journal: readonly Append[];
   readonly kind: AppendResult['kind'];
@@ -312,20 +318,16 @@
 
 const appended = new WeakMap<readonly Append[], Map<string, Appended>>();
 
-/** Appends by the stand-in's own rules. */
+/** Appends by the rules of the log stand-in. */
 export function append(journal: readonly Append[], added: Append): Appended {
-  const answers = remembered(
-    appended,
-    journal,
-    () => new Map<string, Appended>(),
-  );
+  const answers = memoize(appended, journal, () => new Map<string, Appended>());
   const key = JSON.stringify(added);
-  const answer = answers.get(key) ?? appendAnew(journal, added);
+  const answer = answers.get(key) ?? appendToLog(journal, added);
   answers.set(key, answer);
   return answer;
 }
 
-function appendAnew(journal: readonly Append[], added: Append): Appended {
+function appendToLog(journal: readonly Append[], added: Append): Appended {
   const log = new LogPartition();
   for (const earlier of journal) {
     log.append([new Uint8Array()], stampOf(earlier));
@@ -339,24 +341,27 @@
   return { writer: 'leader', epoch, sequence };
 }
 
-/** Number of appends that a host has read. */
-export function readUpTo({ reads }: Host): number {
-  return reads.at(-1)?.[0] ?? 0;
+/** Returns the number of appends that a host has read. */
+export function readUpTo({ journalReads }: Host): number {
+  return journalReads.at(-1)?.[0] ?? 0;
 }
 
-/** The host that has read the journal to its end. */
+/** Returns the host after it has read the journal to its end. */
 export function readToEnd(host: Host, { journal, now }: State): Host {
   return readUpTo(host) === journal.length
     ? host
-    : { ...host, reads: [...host.reads, [journal.length, now]] };
+    : { ...host, journalReads: [...host.journalReads, [journal.length, now]] };
 }
 
-/** What a host knows of the ends of leases from all that it has read. */
-export function leaseEndsOf({ reads }: Host, { journal }: State): LeaseEnds {
+/** Returns the ends of leases as known from everything that a host has read. */
+export function leaseEndsOf(
+  { journalReads }: Host,
+  { journal }: State,
+): LeaseEnds {
   const ends = new LeaseEnds();
   ends.noteBeginning();
   let from = 0;
-  for (const [upTo, at] of reads) {
+  for (const [upTo, at] of journalReads) {
     for (const { epoch, records } of journal.slice(from, upTo)) {
       records.forEach(record => {
         ends.note(record, epoch, at);
@@ -367,16 +372,16 @@
   return ends;
 }
 
-/** The lease of a worker as its leader knows it; clocks are alike here. */
+/** Returns the lease of a worker as its leader knows it; all clocks are equal here. */
 export function leaseOf(
   state: State,
   host: Host,
-  lead: Lead,
+  lead: LeaderState,
   worker: number,
 ): Lease {
   const link = lead.links[worker] ?? NEW_LINK;
   const name = WORKER_NAMES[worker] ?? '';
-  const { reachedIn } = viewOf(lead.known, lead.cancelKnown);
+  const { reachedIn } = taskViewOf(lead.copy, lead.cancelKnown);
   const ends = leaseEndsOf(host, state);
   const earlierEnd = ends.endFor(name, reachedIn.get(name));
   const lease = new Lease(earlierEnd, TASK_LEASE_MS, false);
--- a/packages/daemon/src/job-host/model/steps.fixture.test.ts
+++ b/packages/daemon/src/job-host/model/steps.fixture.test.ts
@@ -1,4 +1,4 @@
-/** All steps that may follow a state of the model. */
+/** All steps that can follow a state of the model. */
 import type { Instant } from '@paddlewind/domain';
 
 import { INBOX_STALE_MS } from '../timing.js';
@@ -8,25 +8,25 @@
   decideEnd,
   heartbeatOf,
   hostAt,
-  leadView,
+  leaderView,
   linkAt,
-  lookOf,
+  pollOf,
   nextAppend,
-  noteLease,
+  recordLease,
   mayStart,
   orderOf,
   orderStop,
   release,
-  settleEnds,
+  markRecordedEnds,
   silentWorkers,
-  takeOrderAnswer,
+  handleOrderAnswer,
   takeOver,
-  takeReport,
-  takeSilence,
-  whileSending,
-  whileWriting,
+  handleReport,
+  handleSilence,
+  afterSending,
+  withWriteInFlight,
   withHost,
-  withLead,
+  withLeader,
   withLink,
   write,
 } from './leader-steps.fixture.test.js';
@@ -38,53 +38,53 @@
   recordsOf,
   TASK,
   TICK_MS,
-  viewOf,
+  taskViewOf,
   WORKER_NAMES,
   type Host,
-  type Lead,
+  type LeaderState,
   type Message,
   type State,
 } from './states.fixture.test.js';
 import {
   carryOut,
   endRun,
-  passTime,
+  advanceTime,
   withWorker,
   workerAt,
   type Answer,
-  type Fault,
+  type InjectedFault,
 } from './worker-steps.fixture.test.js';
 
-/** Lost and late messages, lost and late appends, hosts that start again, a worker that is lost. */
-export type TroubleKind = 'message' | 'append' | 'restart' | 'loss';
+/** Lost and delayed messages, lost and delayed appends, host restarts, and loss of a worker. */
+export type DisruptionKind = 'message' | 'append' | 'restart' | 'loss';
 
-/** How far is explored. */
+/** Bounds of an exploration. */
 export interface Bounds {
   readonly until: Instant;
   readonly epochs: number;
   readonly runs: number;
-  /** Losses, late messages, restarts and lost workers in one history. */
-  readonly troubles: number;
-  /** Kinds of trouble that are tried. */
-  readonly kinds: readonly TroubleKind[];
-  /** Beginnings of the names of the steps with which each history begins. */
+  /** Maximum number of disruptions in one history. */
+  readonly maxDisruptions: number;
+  /** Kinds of disruption that are tried. */
+  readonly disruptionKinds: readonly DisruptionKind[];
+  /** Prefixes of the names of the steps that each history starts with. */
   readonly opening: readonly string[];
-  /** Most steps of a history after these. */
+  /** Maximum number of steps after these. */
   readonly depth: number;
   /** Whether the job may be cancelled. */
   readonly cancels: boolean;
-  /** Whether leaders may ask to be replaced. */
+  /** Whether leaders may release the leadership. */
   readonly releases: boolean;
-  /** Whether hosts that do not lead read on; else they read when they claim. */
+  /** Whether hosts that do not lead keep reading; otherwise they read when they claim. */
   readonly reads: boolean;
-  readonly fault: Fault;
+  readonly fault: InjectedFault;
 }
 
-/** A step; `then` throws `Broken` where it breaks a promise. */
+/** A step; `apply` throws a `GuaranteeViolation` if it violates a guarantee. */
 export interface Step {
   readonly name: string;
-  readonly trouble: TroubleKind | undefined;
-  readonly then: () => State;
+  readonly disruption: DisruptionKind | undefined;
+  readonly apply: () => State;
 }
 
 /** Returns all steps from a state. */
@@ -92,43 +92,48 @@
   const steps = [
     ...messageSteps(state, bounds.fault),
     ...[0, 1].flatMap(at => hostSteps(state, at, bounds)),
-    ...lateAppendSteps(state),
-    ...worldSteps(state, bounds),
+    ...delayedAppendSteps(state),
+    ...environmentSteps(state, bounds),
   ];
   return steps.filter(
-    ({ trouble: kind }) =>
-      kind === undefined ||
-      (state.troubles < bounds.troubles && bounds.kinds.includes(kind)),
+    ({ disruption }) =>
+      disruption === undefined ||
+      (state.disruptions < bounds.maxDisruptions &&
+        bounds.disruptionKinds.includes(disruption)),
   );
 }
 
-function calm(name: string, then: () => State): Step {
-  return { name, trouble: undefined, then };
+function regularStep(name: string, apply: () => State): Step {
+  return { name, disruption: undefined, apply: apply };
 }
 
-function trouble(kind: TroubleKind, name: string, then: () => State): Step {
+function disruptionStep(
+  kind: DisruptionKind,
+  name: string,
+  apply: () => State,
+): Step {
   return {
-    name: `${name} (trouble)`,
-    trouble: kind,
-    then: () => {
-      const next = then();
-      return { ...next, troubles: next.troubles + 1 };
+    name: `${name} (disruption)`,
+    disruption: kind,
+    apply: () => {
+      const next = apply();
+      return { ...next, disruptions: next.disruptions + 1 };
     },
   };
 }
 
-function messageSteps(state: State, fault: Fault): Step[] {
+function messageSteps(state: State, fault: InjectedFault): Step[] {
   return state.messages.map(message => {
     const messages = state.messages.filter(other => other !== message);
-    return calm(
-      `the late ${nameOf(message)} is carried out`,
+    return regularStep(
+      `the delayed ${nameOf(message)} is carried out`,
       () => carryOut({ ...state, messages }, message, fault).state,
     );
   });
 }
 
 function nameOf({ kind, run, to, fence }: Message): string {
-  const what = kind === 'look' ? kind : `${kind} of run ${run}`;
+  const what = kind === 'poll' ? kind : `${kind} of run ${run}`;
   return `${what} at ${workerName(to)} under epoch ${fence}`;
 }
 
@@ -136,7 +141,7 @@
   return WORKER_NAMES[at === 0 ? 0 : 1];
 }
 
-function orderSteps(state: State, at: number, fault: Fault): Step[] {
+function orderSteps(state: State, at: number, fault: InjectedFault): Step[] {
   const host = hostAt(state, at);
   const { lead, name } = host;
   if (lead === undefined || lead.progress.order === 'none') {
@@ -145,52 +150,57 @@
   const message = orderOf(state, host, lead, fault);
   if (message.kind === 'start' && !mayStart(state, lead, fault)) {
     return [
-      calm(`${name} gives up the start of run ${message.run}`, () =>
-        withLead(state, at, settleEnds(decideEnd(lead, 'void'))),
+      regularStep(`${name} drops the start of run ${message.run}`, () =>
+        withLeader(state, at, markRecordedEnds(decideEnd(lead, 'void'))),
       ),
     ];
   }
   const what = `${name} sends the ${nameOf(message)}`;
-  const sent = whileSending(lead, message);
+  const sent = afterSending(lead, message);
   const answered = (from: State, answer: Answer | 'unknown'): State =>
-    withLead(from, at, takeOrderAnswer(sent, message, answer));
+    withLeader(from, at, handleOrderAnswer(sent, message, answer));
   const { dead, cutFrom } = workerAt(state, message.to);
   if (dead) {
     return [
-      calm(`${what}, which is gone`, () => replaced(state, at, message.to)),
+      regularStep(`${what}, which has ended`, () =>
+        withReplacedWorker(state, at, message.to),
+      ),
     ];
   }
   if (cutFrom.includes(name)) {
     return [
-      calm(`${what}, which is cut off`, () => answered(state, 'unknown')),
+      regularStep(`${what}, which is cut off`, () =>
+        answered(state, 'unknown'),
+      ),
     ];
   }
   const late = [...state.messages, message];
   return [
-    calm(what, () => {
+    regularStep(what, () => {
       const done = carryOut(state, message, fault);
       return answered(done.state, done.answer);
     }),
-    trouble('message', `${what}, the answer lost`, () =>
+    disruptionStep('message', `${what}, the answer lost`, () =>
       answered(carryOut(state, message, fault).state, 'unknown'),
     ),
-    trouble('message', `${what}, late`, () =>
+    disruptionStep('message', `${what}, delayed`, () =>
       answered({ ...state, messages: late }, 'unknown'),
     ),
   ];
 }
 
-function replaced(state: State, at: number, worker: number): State {
+function withReplacedWorker(state: State, at: number, worker: number): State {
   const { lead } = hostAt(state, at);
   if (lead === undefined) {
     return state;
   }
-  const { run, at: runsAt } = leadView(lead);
-  const over = run > 0 && runsAt === worker ? decideEnd(lead, 'lapsed') : lead;
-  return withLead(
+  const { run, at: runsAt } = leaderView(lead);
+  const withoutRun =
+    run > 0 && runsAt === worker ? decideEnd(lead, 'lapsed') : lead;
+  return withLeader(
     state,
     at,
-    withLink(over, worker, {
+    withLink(withoutRun, worker, {
       verified: true,
       answering: false,
       report: undefined,
@@ -209,19 +219,19 @@
     ...releaseSteps(state, at, lead, bounds),
     ...decideSteps(state, at, lead, bounds),
     ...orderSteps(state, at, bounds.fault),
-    ...[0, 1].flatMap(to => lookSteps(state, at, to, bounds.fault)),
-    trouble('restart', `${name} starts again`, () =>
-      withHost(state, at, { ...host, reads: [], lead: undefined }),
+    ...[0, 1].flatMap(to => pollSteps(state, at, to, bounds.fault)),
+    disruptionStep('restart', `${name} restarts`, () =>
+      withHost(state, at, { ...host, journalReads: [], lead: undefined }),
     ),
   ];
 }
 
-/** A host that does not lead reads on; what it reads later it takes to be written later. */
+/** A host that does not lead reads the journal; it assumes that a record was written when it was read. */
 function readSteps(state: State, at: number, { reads }: Bounds): Step[] {
   const host = hostAt(state, at);
   return reads && readUpTo(host) < state.journal.length
     ? [
-        calm(`${host.name} reads the journal`, () =>
+        regularStep(`${host.name} reads the journal`, () =>
           withHost(state, at, readToEnd(host, state)),
         ),
       ]
@@ -231,15 +241,15 @@
 function releaseSteps(
   state: State,
   at: number,
-  lead: Lead,
+  lead: LeaderState,
   { releases, epochs }: Bounds,
 ): Step[] {
-  // Who leads last is not replaced any more.
+  // The last possible leader is not replaced.
   const mayRelease = releases && lead.epoch < epochs;
   return mayRelease && lead.releasedAt < 0
     ? [
-        calm(`${hostAt(state, at).name} releases the lead`, () =>
-          withLead(state, at, release(state, lead)),
+        regularStep(`${hostAt(state, at).name} releases the lead`, () =>
+          withLeader(state, at, release(state, lead)),
         ),
       ]
     : [];
@@ -248,38 +258,42 @@
 function claimSteps(state: State, at: number, bounds: Bounds): Step[] {
   const { name } = hostAt(state, at);
   const claim = claimOf(state, at);
-  // The hosts are alike: the first to claim is called A.
+  // The hosts are interchangeable: the first to claim is A.
   if (claim.epoch > bounds.epochs || (claim.epoch === 1 && at === 1)) {
     return [];
   }
   const { journal, kind } = append(state.journal, claim);
   const claimed: State = { ...state, journal };
-  const late = [...state.lateAppends, claim];
+  const late = [...state.delayedAppends, claim];
   return [
     ...(kind === 'appended'
       ? [
-          calm(`${name} claims epoch ${claim.epoch}`, () =>
+          regularStep(`${name} claims epoch ${claim.epoch}`, () =>
             takeOver(claimed, at, claim, bounds.fault),
           ),
-          trouble(
+          disruptionStep(
             'append',
             `${name} claims epoch ${claim.epoch}, the answer lost`,
             () => claimed,
           ),
         ]
       : []),
-    trouble('append', `${name} claims epoch ${claim.epoch}, late`, () => ({
-      ...state,
-      lateAppends: late,
-    })),
+    disruptionStep(
+      'append',
+      `${name} claims epoch ${claim.epoch}, delayed`,
+      () => ({
+        ...state,
+        delayedAppends: late,
+      }),
+    ),
   ];
 }
 
 function writeSteps(
   state: State,
   at: number,
-  lead: Lead,
-  fault: Fault,
+  lead: LeaderState,
+  fault: InjectedFault,
 ): Step[] {
   const { name } = hostAt(state, at);
   const waits = nextAppend(lead);
@@ -292,38 +306,44 @@
       'run' in record ? `${record.kind} ${record.run}` : record.kind,
     )
     .join(', ');
-  const unanswered = withLead(state, at, whileWriting(lead, state.now));
+  const unanswered = withLeader(state, at, withWriteInFlight(lead, state.now));
   return [
-    calm(`${name} writes ${what}`, () => write(state, at, lead, fault)),
-    trouble('append', `${name} writes ${what}, the answer lost`, () => ({
+    regularStep(`${name} writes ${what}`, () => write(state, at, lead, fault)),
+    disruptionStep('append', `${name} writes ${what}, the answer lost`, () => ({
       ...unanswered,
       journal,
     })),
-    trouble('append', `${name} writes ${what}, late`, () => ({
+    disruptionStep('append', `${name} writes ${what}, delayed`, () => ({
       ...unanswered,
-      lateAppends: [...state.lateAppends, waits],
+      delayedAppends: [...state.delayedAppends, waits],
     })),
   ];
 }
 
-/** One heartbeat a tick, and one that tells of a worker which has ceased to answer. */
-function heartbeatSteps(state: State, at: number, lead: Lead): Step[] {
+/** One heartbeat per tick, plus one that reports a worker which has stopped answering. */
+function heartbeatSteps(state: State, at: number, lead: LeaderState): Step[] {
   const host = hostAt(state, at);
-  const { epoch } = viewOf(recordsOf(state.journal), false);
+  const { epoch } = taskViewOf(recordsOf(state.journal), false);
   if (epoch > lead.epoch) {
     return [
-      calm(`${host.name} is refused`, () => withLead(state, at, undefined)),
+      regularStep(`${host.name} is refused`, () =>
+        withLeader(state, at, undefined),
+      ),
     ];
   }
-  const untold = silentWorkers(lead).some(
+  const hasUnreportedWorker = silentWorkers(lead).some(
     worker => linkAt(lead, worker).reached,
   );
-  return lead.confirmedAt === state.now && !untold
+  return lead.confirmedAt === state.now && !hasUnreportedWorker
     ? []
-    : [calm(`${host.name} writes a heartbeat`, () => beat(state, at, lead))];
+    : [
+        regularStep(`${host.name} writes a heartbeat`, () =>
+          writeHeartbeat(state, at, lead),
+        ),
+      ];
 }
 
-function beat(state: State, at: number, lead: Lead): State {
+function writeHeartbeat(state: State, at: number, lead: LeaderState): State {
   const host = hostAt(state, at);
   const sequence = lead.sequence + 1;
   const { journal } = append(state.journal, {
@@ -331,27 +351,27 @@
     sequence,
     records: [heartbeatOf(state, host, lead)],
   });
-  const beaten = silentWorkers(lead).reduce(
+  const afterHeartbeat = silentWorkers(lead).reduce(
     (next, worker) => withLink(next, worker, { reached: false }),
     { ...lead, sequence, confirmedAt: state.now },
   );
-  return withLead({ ...state, journal }, at, beaten);
+  return withLeader({ ...state, journal }, at, afterHeartbeat);
 }
 
 function decideSteps(
   state: State,
   at: number,
-  lead: Lead,
+  lead: LeaderState,
   { runs }: Bounds,
 ): Step[] {
   const { name } = hostAt(state, at);
-  const { status, over, lastRun, run } = leadView(lead);
+  const { status, isFinished, lastRun, run } = leaderView(lead);
   const steps: Step[] = [];
   const cancelled = state.cancelledAt >= 0;
   if (lead.inboxAt < state.now || lead.cancelKnown !== cancelled) {
     steps.push(
-      calm(`${name} reads the inbox`, () =>
-        withLead(state, at, {
+      regularStep(`${name} reads the inbox`, () =>
+        withLeader(state, at, {
           ...lead,
           inboxAt: state.now,
           cancelKnown: cancelled,
@@ -361,27 +381,27 @@
   }
   const { verified, answering } = linkAt(lead, state.registered);
   const fresh = state.now - lead.inboxAt <= INBOX_STALE_MS;
-  const mayPlan = status === 'waiting' && !over && verified && answering;
+  const mayPlan = status === 'waiting' && !isFinished && verified && answering;
   if (mayPlan && fresh && lastRun < runs) {
     steps.push(
-      calm(`${name} decides to start run ${lastRun + 1}`, () =>
-        withLead(state, at, plan(state, lead)),
+      regularStep(`${name} decides to start run ${lastRun + 1}`, () =>
+        withLeader(state, at, plan(state, lead)),
       ),
     );
   }
   const { ordered, stopping } = lead.progress;
-  if (run > 0 && over && ordered && !stopping) {
+  if (run > 0 && isFinished && ordered && !stopping) {
     steps.push(
-      calm(`${name} stops run ${run}`, () =>
-        withLead(state, at, orderStop(lead)),
+      regularStep(`${name} stops run ${run}`, () =>
+        withLeader(state, at, orderStop(lead)),
       ),
     );
   }
   return steps;
 }
 
-function plan(state: State, lead: Lead): Lead {
-  const { lastRun } = leadView(lead);
+function plan(state: State, lead: LeaderState): LeaderState {
+  const { lastRun } = leaderView(lead);
   const worker = WORKER_NAMES[state.registered];
   const decided = decide(lead, {
     kind: 'start',
@@ -392,7 +412,12 @@
   return { ...decided, progress: { ...NO_PROGRESS, decidedAt: state.now } };
 }
 
-function lookSteps(state: State, at: number, to: number, fault: Fault): Step[] {
+function pollSteps(
+  state: State,
+  at: number,
+  to: number,
+  fault: InjectedFault,
+): Step[] {
   const host = hostAt(state, at);
   const { lead, name } = host;
   if (lead === undefined || to > state.registered) {
@@ -402,79 +427,91 @@
   const { report } = linkAt(lead, to);
   if (report !== undefined) {
     return [
-      calm(`${name} takes in the report of ${worker}`, () =>
-        withLead(state, at, takeReport(state, lead, to)),
+      regularStep(`${name} handles the report of ${worker}`, () =>
+        withLeader(state, at, handleReport(state, lead, to)),
       ),
     ];
   }
-  return needsLook(lead, to)
-    ? newLookSteps(state, at, host, lead, to, fault)
+  return needsPoll(lead, to)
+    ? newPollSteps(state, at, host, lead, to, fault)
     : [];
 }
 
-function needsLook(lead: Lead, to: number): boolean {
+function needsPoll(lead: LeaderState, to: number): boolean {
   const { verified, answering, recordedUpTo, acknowledgedUpTo, listedUpTo } =
     linkAt(lead, to);
-  const { run, at } = leadView(lead);
+  const { run, at } = leaderView(lead);
   const runsHere = run > 0 && at === to;
-  const told = Math.max(recordedUpTo, listedUpTo);
-  return !verified || !answering || runsHere || told > acknowledgedUpTo;
+  const newestPosition = Math.max(recordedUpTo, listedUpTo);
+  return (
+    !verified || !answering || runsHere || newestPosition > acknowledgedUpTo
+  );
 }
 
-function newLookSteps(
+function newPollSteps(
   state: State,
   at: number,
   host: Host,
-  lead: Lead,
+  lead: LeaderState,
   to: number,
-  fault: Fault,
+  fault: InjectedFault,
 ): Step[] {
   const worker = WORKER_NAMES[to === 0 ? 0 : 1];
-  const what = `${host.name} looks at ${worker}`;
-  const look = lookOf(state, host, lead, to, fault);
-  const looked = noteLease(lead, to, look.leaseUntil);
-  const silent = (from: State): State =>
-    withLead(from, at, takeSilence(state, host, looked, to, fault));
+  const what = `${host.name} polls ${worker}`;
+  const poll = pollOf(state, host, lead, to, fault);
+  const withLease = recordLease(lead, to, poll.leaseUntil);
+  const unanswered = (from: State): State =>
+    withLeader(from, at, handleSilence(state, host, withLease, to, fault));
   const { dead, cutFrom } = workerAt(state, to);
   if (dead) {
     return [
-      calm(`${what}, which has another life`, () => replaced(state, at, to)),
+      regularStep(`${what}, which has another incarnation`, () =>
+        withReplacedWorker(state, at, to),
+      ),
     ];
   }
   if (cutFrom.includes(host.name)) {
-    return [calm(`${what}, which is cut off`, () => silent(state))];
+    return [regularStep(`${what}, which is cut off`, () => unanswered(state))];
   }
   return [
-    calm(what, () => {
-      const { state: seen, answer } = carryOut(state, look, fault);
+    regularStep(what, () => {
+      const { state: polled, answer } = carryOut(state, poll, fault);
       return answer === 'fenced'
         ? state
-        : withLead(
-            seen,
+        : withLeader(
+            polled,
             at,
-            takeReport(seen, reported(seen, looked, look), to),
+            handleReport(polled, withReport(polled, withLease, poll), to),
           );
     }),
-    trouble('message', `${what}, and is slow to take in the answer`, () => {
-      const { state: seen, answer } = carryOut(state, look, fault);
-      return answer === 'fenced'
-        ? state
-        : withLead(seen, at, reported(seen, looked, look));
-    }),
-    trouble('message', `${what}, the answer lost`, () =>
-      silent(carryOut(state, look, fault).state),
+    disruptionStep(
+      'message',
+      `${what}, and is slow to handle the answer`,
+      () => {
+        const { state: polled, answer } = carryOut(state, poll, fault);
+        return answer === 'fenced'
+          ? state
+          : withLeader(polled, at, withReport(polled, withLease, poll));
+      },
+    ),
+    disruptionStep('message', `${what}, the answer lost`, () =>
+      unanswered(carryOut(state, poll, fault).state),
     ),
-    trouble('message', `${what}, late`, () =>
-      silent({ ...state, messages: [...state.messages, look] }),
+    disruptionStep('message', `${what}, delayed`, () =>
+      unanswered({ ...state, messages: [...state.messages, poll] }),
     ),
   ];
 }
 
-function reported(state: State, lead: Lead, look: Message): Lead {
-  const { active, ended } = workerAt(state, look.to);
+function withReport(
+  state: State,
+  lead: LeaderState,
+  poll: Message,
+): LeaderState {
+  const { active, ended } = workerAt(state, poll.to);
   const { stopConfirmed } = lead.progress;
-  const { acknowledged } = look;
-  return withLink(lead, look.to, {
+  const { acknowledged } = poll;
+  return withLink(lead, poll.to, {
     report: {
       active,
       ended,
@@ -485,38 +522,41 @@
   });
 }
 
-function lateAppendSteps(state: State): Step[] {
-  return state.lateAppends.map(late => {
-    const lateAppends = state.lateAppends.filter(other => other !== late);
+function delayedAppendSteps(state: State): Step[] {
+  return state.delayedAppends.map(late => {
+    const delayedAppends = state.delayedAppends.filter(other => other !== late);
     const { journal } = append(state.journal, late);
-    return calm(
-      `the late append of epoch ${late.epoch} is carried out`,
+    return regularStep(
+      `the delayed append of epoch ${late.epoch} is carried out`,
       () => ({
         ...state,
         journal,
-        lateAppends,
+        delayedAppends,
       }),
     );
   });
 }
 
-function worldSteps(state: State, bounds: Bounds): Step[] {
+function environmentSteps(state: State, bounds: Bounds): Step[] {
   const steps = [0, 1].flatMap(at =>
     workerAt(state, at).active.map(run =>
-      calm(`run ${run} is done at ${WORKER_NAMES[at === 0 ? 0 : 1]}`, () =>
-        endRun(state, at, run, 'done'),
+      regularStep(
+        `run ${run} is done at ${WORKER_NAMES[at === 0 ? 0 : 1]}`,
+        () => endRun(state, at, run, 'done'),
       ),
     ),
   );
   if (state.now < bounds.until) {
-    steps.push(calm('time passes', () => passTime(state, state.now + TICK_MS)));
+    steps.push(
+      regularStep('time passes', () => advanceTime(state, state.now + TICK_MS)),
+    );
   }
   if (state.registered === 0) {
     steps.push(...lossSteps(state));
   }
   if (bounds.cancels && state.cancelledAt < 0) {
     steps.push(
-      calm('the job is cancelled', () => ({
+      regularStep('the job is cancelled', () => ({
         ...state,
         cancelledAt: state.now,
       })),
@@ -525,19 +565,19 @@
   return steps;
 }
 
-/** The worker is lost, and another one is there in its place. */
+/** The worker is lost and another one replaces it. */
 function lossSteps(state: State): Step[] {
   const cuts = [['A'], ['B'], ['A', 'B']].map(cutFrom =>
-    trouble(
+    disruptionStep(
       'loss',
-      `w1 is cut off from ${cutFrom.join(' and ')}, w2 comes`,
+      `w1 is cut off from ${cutFrom.join(' and ')}, w2 replaces it`,
       () => ({
         ...withWorker(state, 0, { cutFrom }),
         registered: 1 as const,
       }),
     ),
   );
-  const ends = trouble('loss', 'w1 ends, w2 comes', () => ({
+  const ends = disruptionStep('loss', 'w1 ends, w2 replaces it', () => ({
     ...withWorker(state, 0, { dead: true, active: [], ended: [] }),
     registered: 1 as const,
   }));
--- a/packages/daemon/src/job-host/model/worker-steps.fixture.test.ts
+++ b/packages/daemon/src/job-host/model/worker-steps.fixture.test.ts
@@ -1,4 +1,4 @@
-/** What the workers of the model do: carry out what arrives, end runs, lose their lease. */
+/** The workers of the model: they carry out messages, end runs and lose their lease. */
 import type { Instant } from '@paddlewind/domain';
 import type { RunEnd } from '@paddlewind/domain/jobs';
 
@@ -10,8 +10,8 @@
   type Worker,
 } from './states.fixture.test.js';
 
-/** A fault that is planted into the model. */
-export type Fault =
+/** A fault that is injected into the model. */
+export type InjectedFault =
   | 'none'
   | 'no_fence'
   | 'early_acknowledgement'
@@ -23,11 +23,11 @@
   | 'unchecked_start'
   | 'missed_record';
 
-/** How a worker takes a message. */
+/** A worker's answer to a message. */
 export type Answer = 'accepted' | 'fenced' | 'superseded' | 'too_late' | 'seen';
 
-/** A promise is broken. */
-export class Broken extends Error {}
+/** A guarantee is violated. */
+export class GuaranteeViolation extends Error {}
 
 /** Returns the state with a worker changed. */
 export function withWorker(
@@ -48,11 +48,11 @@
   return state.workers[at === 0 ? 0 : 1];
 }
 
-/** Carries out a message at its worker. */
+/** Carries out a message on its worker. */
 export function carryOut(
   state: State,
   message: Message,
-  fault: Fault,
+  fault: InjectedFault,
 ): { readonly state: State; readonly answer: Answer } {
   const { to, fence } = message;
   const worker = workerAt(state, to);
@@ -67,7 +67,7 @@
       return start(extend(fenced, message), message);
     case 'stop':
       return { state: stop(fenced, message), answer: 'accepted' };
-    case 'look':
+    case 'poll':
       return {
         state: acknowledge(extend(fenced, message), message),
         answer: 'seen',
@@ -106,30 +106,32 @@
   };
 }
 
-/** What must hold whenever a worker accepts a start. */
+/** Checks the invariants that must hold when a worker accepts a start. */
 function checkStart(state: State, { sentAt, cancelKnown }: Message): void {
   const { now, cancelledAt, workers, doneAcknowledged } = state;
   if (workers.some(({ active }) => active.length > 0)) {
-    throw new Broken('two runs of the task are at work');
+    throw new GuaranteeViolation('two runs of the task are active');
   }
   if (doneAcknowledged) {
-    throw new Broken(
-      'a run begins after the end of another as done was acknowledged',
+    throw new GuaranteeViolation(
+      'a run starts after another was acknowledged as done',
     );
   }
   if (cancelledAt < 0) {
     return;
   }
   if (cancelKnown) {
-    throw new Broken('a start is sent after the cancellation was read');
+    throw new GuaranteeViolation(
+      'a start is sent after the cancellation was read',
+    );
   }
   if (sentAt - cancelledAt > INBOX_STALE_MS) {
-    throw new Broken(
+    throw new GuaranteeViolation(
       'a start is sent, and accepted, too long after the cancellation',
     );
   }
   if (now - cancelledAt > INBOX_STALE_MS + TASK_LEASE_MS) {
-    throw new Broken(
+    throw new GuaranteeViolation(
       'a late start is accepted too long after the cancellation',
     );
   }
@@ -138,13 +140,13 @@
 function stop(state: State, { to, run }: Message): State {
   const worker = workerAt(state, to);
   const highestRun = Math.max(run, worker.highestRun);
-  const noted = withWorker(state, to, { highestRun });
+  const acknowledgedEnds = withWorker(state, to, { highestRun });
   return worker.active.includes(run)
-    ? endRun(noted, to, run, 'stopped')
-    : noted;
+    ? endRun(acknowledgedEnds, to, run, 'stopped')
+    : acknowledgedEnds;
 }
 
-/** Ends a run at work and lists its end. */
+/** Ends an active run and lists its end. */
 export function endRun(
   state: State,
   at: number,
@@ -162,8 +164,10 @@
 
 function acknowledge(state: State, { to, acknowledged }: Message): State {
   const { ended } = workerAt(state, to);
-  const noted = ended.filter(({ position }) => position <= acknowledged);
-  if (noted.length === 0) {
+  const acknowledgedEnds = ended.filter(
+    ({ position }) => position <= acknowledged,
+  );
+  if (acknowledgedEnds.length === 0) {
     return state;
   }
   const recorded = new Map(
@@ -171,11 +175,11 @@
       record.kind === 'end' ? [[record.run, record.how] as const] : [],
     ),
   );
-  if (noted.some(({ run }) => !recorded.has(run))) {
-    throw new Broken('an end is acknowledged that is not recorded');
+  if (acknowledgedEnds.some(({ run }) => !recorded.has(run))) {
+    throw new GuaranteeViolation('an end is acknowledged that is not recorded');
   }
-  // Work done by a worker that could not be reached until its lease had lapsed may be done again.
-  const done = noted.some(
+  // Work may be repeated if its worker could not be reached until its lease had expired.
+  const done = acknowledgedEnds.some(
     ({ run, how }) => how === 'done' && recorded.get(run) !== 'lapsed',
   );
   return {
@@ -186,8 +190,8 @@
   };
 }
 
-/** Lets time pass: runs whose lease is over end. */
-export function passTime(state: State, now: Instant): State {
+/** Advances time; runs whose lease has expired end. */
+export function advanceTime(state: State, now: Instant): State {
   let next: State = { ...state, now };
   for (const at of [0, 1]) {
     const { active, leaseUntil } = workerAt(next, at);
--- a/packages/daemon/src/job-host/relay/overload-site.fixture.test.ts
+++ b/packages/daemon/src/job-host/relay/overload-site.fixture.test.ts
@@ -1,4 +1,7 @@
-/** A third of a large site whose leader's link carries its starts only by way of other hosts, and its callers. */
+/**
+ * One third of a large deployment, with callers, in which the leader's link carries the load only
+ * if other hosts send its starts.
+ */
 import assert from 'node:assert/strict';
 
 import type { Instant, Millis } from '@paddlewind/domain';
@@ -7,11 +10,12 @@
 import { Simulation } from '../simulation.fixture.test.js';
 
 /**
- * A third of 102 workers, 250 starts a second, 400 at a peak, and 16 connections. The link carries the steady
- * load with little to spare, though more than a third of 2 Mbit/s: the sizes of calls here are coarse.
+ * A third of 102 workers, 250 starts a second (400 at a peak) and 16 connections. The link barely
+ * carries the steady load, though it exceeds a third of 2 Mbit/s, since the call sizes here are
+ * coarse.
  */
 const LINK_BYTES_PER_S = 110_000;
-/** A third of 2 Mbit/s, on which the steady load leaves nothing to spare. */
+/** A third of 2 Mbit/s, which the steady load fills completely. */
 export const FULL_LINK_BYTES_PER_S = 85_000;
 const CONNECTIONS = 5;
 const WORKERS = 34;
@@ -21,22 +25,22 @@
 const LASTING_TASKS = 12;
 const JOB_TASKS = 10;
 const RUN_MS = 300;
-/** Jobs a second that the site carries with room to spare, with little, and not: 60 to 133 starts. */
+/** Jobs per second that the deployment carries easily, barely and not at all: 60 to 133 starts. */
 export const LIGHT = 6;
 export const STEADY = 8;
 export const LONG_OVERLOAD = 11;
 export const PEAK = 13.3;
-/** Until a host leads, others stand by, and lasting tasks run. */
+/** Time until a host leads, others are standbys and long-running tasks run. */
 const SETTLE_MS = 8_000;
-/** How long callers may wait for a job: its terms allow twice the time of its tasks, and half a second. */
+/** Deadline of a job: its terms allow twice the run time of its tasks, plus half a second. */
 const DEADLINE_MS: Millis = 2 * 1_000 + 500;
-/** Most jobs of a second that may be late: callers are served nine times in ten. */
+/** Maximum share of late jobs in any second: callers are served in nine of ten cases. */
 const LATE_SHARE = 0.1;
 const CALM_MS = 15_000;
 const AWAY_MS = 1_500;
 const MS_PER_S = 1_000;
 
-/** A stretch of load, in jobs a second. */
+/** A period of load, in jobs per second. */
 export interface Load {
   readonly jobsPerS: number;
   readonly ms: Millis;
@@ -47,12 +51,12 @@
   readonly at: Instant;
 }
 
-/** What callers of a site have seen. */
+/** A deployment and the jobs that its callers submitted. */
 export class OverloadSite {
   readonly site: Simulation;
   readonly asked: AskedJob[] = [];
 
-  /** Creates a site whose chance follows `seed`. */
+  /** Creates a deployment whose randomness is derived from `seed`. */
   constructor(seed: number, linkBytesPerS = LINK_BYTES_PER_S) {
     this.site = new Simulation(seed, {
       linkBytesPerS,
@@ -68,7 +72,7 @@
     }
   }
 
-  /** Begins lasting tasks. */
+  /** Starts the long-running tasks. */
   async settle(): Promise<void> {
     await this.site.time.advance(SETTLE_MS / 2);
     const steps = [{ tasks: LASTING_TASKS, after: [], lasting: true }];
@@ -77,7 +81,7 @@
     await this.site.time.advance(SETTLE_MS / 2);
   }
 
-  /** Has callers ask for jobs, evenly; returns when it began. */
+  /** Submits jobs at a constant rate; returns when it started. */
   async load(stretches: readonly Load[]): Promise<Instant> {
     const from = this.site.time.clock();
     for (const { jobsPerS, ms } of stretches) {
@@ -90,24 +94,24 @@
     return from;
   }
 
-  /** Gives what is left time to end. */
+  /** Waits until the remaining work can be done. */
   async calm(): Promise<void> {
     await this.site.time.advance(CALM_MS);
   }
 
-  /** Stops the process of a host for `span`. */
+  /** Freezes the process of a host for `span`. */
   freeze(name: string, span: Millis): void {
     this.noteFault(name, span);
     this.site.freeze(name, span);
   }
 
-  /** Makes starts take longer on their way to one of the hosts that stand by. */
+  /** Delays starts on their way to one of the standbys. */
   slowOne(span: Millis): void {
     const [slow = assert.fail()] = this.others();
     this.site.peers.startDelays.set(slow, span);
   }
 
-  /** Kills the leader, which is there again soon: another one leads by then, and jobs wait. */
+  /** Kills the leader and restarts it soon; by then another host leads and jobs wait. */
   replaceLeader(): void {
     const name = this.site.leader();
     this.noteFault(name, AWAY_MS);
@@ -115,13 +119,13 @@
     this.site.time.schedule(AWAY_MS, () => this.site.startHost(name));
   }
 
-  /** Hosts beside the one that leads now. */
+  /** Returns the hosts that do not lead now. */
   others(): string[] {
     const leader = this.site.leader();
     return [...this.site.hosts.keys()].filter(name => name !== leader);
   }
 
-  /** Share of the jobs asked for from `from` to `until` that had not begun in time. */
+  /** Returns the share of jobs submitted from `from` to `until` that did not start in time. */
   lateShare(from: Instant, until: Instant): number {
     const begins = this.site.history.firstBegins();
     const asked = this.asked.filter(({ at }) => at >= from && at < until);
@@ -131,13 +135,13 @@
     return late.length / Math.max(1, asked.length);
   }
 
-  /** Asserts that jobs of these times begin as callers are promised. */
+  /** Asserts that jobs of this period start as promptly as callers are promised. */
   assertPrompt(from: Instant, until: Instant, note: string): void {
     const share = this.lateShare(from, until);
     assert.ok(share <= LATE_SHARE, `${note}: ${share.toFixed(2)} begin late`);
   }
 
-  /** Asserts that all is done, lasting tasks run and no promise was broken. */
+  /** Asserts that all jobs are done, long-running tasks run and no guarantee was broken. */
   assertWhole(note: string): void {
     const { history } = this.site;
     const left = history.unfinished().filter(id => id !== LASTING);
--- a/packages/daemon/src/job-host/relay/relay-site.fixture.test.ts
+++ b/packages/daemon/src/job-host/relay/relay-site.fixture.test.ts
@@ -1,4 +1,7 @@
-/** A site whose leader has other hosts send all starts, beside a lasting job and jobs of short tasks. */
+/**
+ * A simulated deployment whose leader has other hosts send all starts, with a long-running job and
+ * jobs of short tasks.
+ */
 import assert from 'node:assert/strict';
 
 import type { Millis } from '@paddlewind/domain';
@@ -6,35 +9,35 @@
 
 import { Simulation } from '../simulation.fixture.test.js';
 
-/** Hosts, of which one leads and the others send its starts. */
+/** Hosts; one leads and the others send its starts. */
 export const RELAY_HOSTS = ['h1', 'h2', 'h3', 'h4', 'h5'];
 /** Machines of the workers. */
 export const RELAY_WORKERS = ['w1', 'w2', 'w3', 'w4', 'w5', 'w6'];
-/** The job that lasts, and its number of tasks. */
+/** The long-running job and its number of tasks. */
 export const LASTING_JOB = '00000000000000c1';
 export const LASTING_TASKS = 8;
 const SHORT_JOBS = 30;
 const SHORT_EVERY_MS = 700;
 const SHORT_RUN_MS = 400;
-/** Every third job is cancelled soon after it was asked for. */
+/** Every third job is cancelled soon after its submission. */
 const CANCEL_EACH = 3;
 const CANCEL_AFTER_MS = 250;
-/** Time until a host leads, and others have offered to stand by. */
+/** Time until a host leads and others have offered to be standbys. */
 const SETTLE_MS = 6_500;
 const CALM_MS = 15_000;
 
-/** Returns hosts beside the one that leads now. */
+/** Returns the hosts that do not lead now. */
 export function relaysOf(site: Simulation): string[] {
   return RELAY_HOSTS.filter(name => name !== site.leader());
 }
 
-/** Notes that what belongs to a host is disturbed for `span`. */
+/** Records that a host is disturbed for `span`. */
 export function noteFault(site: Simulation, host: string, span: Millis): void {
   const from = site.time.clock();
   site.history.faults?.add({ from, until: from + span, of: { host } });
 }
 
-/** Plays jobs while `disturb` does what it likes; returns the site once all should be done. */
+/** Runs jobs while `disturb` injects faults; returns the deployment once all jobs should be done. */
 export async function playRelayed(
   seed: number,
   disturb: (site: Simulation) => void | Promise<void>,
@@ -76,7 +79,10 @@
   return `d${at.toString(16).padStart(15, '0')}`;
 }
 
-/** Asserts that every promise was kept, that all that was not cancelled is done, and that others sent starts. */
+/**
+ * Asserts that every guarantee was kept, all jobs that were not cancelled are done, and other hosts
+ * sent starts.
+ */
 export function assertServed(site: Simulation, note: string): void {
   const { history } = site;
   assert.deepEqual(history.check(), [], note);
--- a/packages/daemon/src/job-host/restarts-site.fixture.test.ts
+++ b/packages/daemon/src/job-host/restarts-site.fixture.test.ts
@@ -1,4 +1,7 @@
-/** A site whose workers start again under their ids, beside a lasting job and jobs of short tasks. */
+/**
+ * A simulated deployment whose workers restart under their ids while a long-running job and jobs of
+ * short tasks run.
+ */
 import assert from 'node:assert/strict';
 
 import type { Millis } from '@paddlewind/domain';
@@ -6,7 +9,7 @@
 
 import { Simulation } from './simulation.fixture.test.js';
 
-/** The job that lasts, and its number of tasks. */
+/** The long-running job and its number of tasks. */
 export const LASTING_JOB = '00000000000000d1';
 export const LASTING_TASKS = 8;
 const HOSTS = ['h1', 'h2', 'h3', 'h4', 'h5'];
@@ -16,31 +19,31 @@
 const SHORT_RUN_MS = 700;
 const SHORT_JOBS = 49;
 const SHORT_EVERY_MS = 900;
-/** Time until a host leads and the lasting job runs. */
+/** Time until a host leads and the long-running job runs. */
 const SETTLE_MS = 4_000;
 /** Pause between restarts. */
 const EVERY_MS = 5_000;
-/** How often workers start again. */
+/** Number of restarts. */
 export const RESTARTS = 6;
-/** Seeds of each play. */
+/** Seeds of each scenario. */
 export const SEEDS = [1, 2, 3, 4];
-/** Time after the last restart in which all that is left is done. */
+/** Time after the last restart in which all remaining work completes. */
 const CALM_MS = 30_000;
 
-/** Makes workers start again; `turn` counts from 0. */
+/** Restarts workers; `turn` counts from 0. */
 export type Restart = (site: Simulation, turn: number) => void | Promise<void>;
 
-/** What a site is like, and what happens there. */
+/** Settings of a deployment and the restarts in it. */
 export interface RestartsPlay {
   readonly seed: number;
   readonly restart: Restart;
   readonly keepsIds?: boolean;
   readonly maxLeaseMs?: Millis;
-  /** What the workers' time of day is ahead by at first. */
+  /** Initial offset of the workers' time of day. */
   readonly wallOffset?: Millis;
 }
 
-/** Starts hosts, workers and the lasting job. */
+/** Starts hosts, workers and the long-running job. */
 export async function siteWithRestarts({
   seed,
   keepsIds = true,
@@ -61,7 +64,7 @@
   return site;
 }
 
-/** Plays restarts beside jobs that come all the time; returns the site once all should be done. */
+/** Runs restarts while jobs are submitted; returns the deployment once all jobs should be done. */
 export async function playRestarts(play: RestartsPlay): Promise<Simulation> {
   const site = await siteWithRestarts(play);
   void submitShortJobs(site);
@@ -86,13 +89,13 @@
   return `5${index.toString(16).padStart(15, '0')}`;
 }
 
-/** Short jobs that are not done. */
+/** Returns the short jobs that are not done. */
 export function unfinished(site: Simulation): string[] {
   const all = Array.from({ length: SHORT_JOBS }, (_, at) => shortJob(at));
   return all.filter(id => !site.history.isDone(id));
 }
 
-/** Makes workers start again, as a fault that promises of calm times take into account. */
+/** Restarts workers and records that as a fault, since some guarantees hold only in fault-free times. */
 export function restartWorkers(
   site: Simulation,
   machines: readonly string[],
@@ -105,21 +108,21 @@
   }
 }
 
-/** One worker after the other, each away for `awayMs`. */
+/** Returns a restart of one worker after the other, each unavailable for `awayMs`. */
 export function oneByOne(awayMs: number): Restart {
   return (site, turn) => {
     restartWorkers(site, WORKERS.slice(turn, turn + 1), awayMs);
   };
 }
 
-/** Makes all hosts start anew at the same moment. */
+/** Restarts all hosts at the same moment. */
 export function restartHosts(site: Simulation): void {
   for (const host of HOSTS) {
     restartHost(site, host, 0);
   }
 }
 
-/** Kills a host, which is there again after `awayMs`. */
+/** Kills a host and restarts it after `awayMs`. */
 export function restartHost(
   site: Simulation,
   host: string,
@@ -131,7 +134,7 @@
   site.time.schedule(awayMs, () => site.startHost(host));
 }
 
-/** Cuts a worker off from all hosts for `span`. */
+/** Disconnects a worker from all hosts for `span`. */
 export function cutOff(site: Simulation, machine: string, span: Millis): void {
   const from = site.time.clock();
   site.history.faults?.add({ from, until: from + span, of: 'workers' });
@@ -142,7 +145,7 @@
   });
 }
 
-/** Asserts that every promise was kept, and that all was done and runs that should. */
+/** Asserts that every guarantee was kept, all short jobs are done and the long-running tasks run. */
 export function assertNothingLost(site: Simulation, note: string): void {
   assert.deepEqual(site.history.check(), [], note);
   assert.deepEqual(unfinished(site), [], note);
--- a/packages/daemon/src/job-host/simulated-network.fixture.test.ts
+++ b/packages/daemon/src/job-host/simulated-network.fixture.test.ts
@@ -1,4 +1,4 @@
-/** The links of hosts in virtual time, and the calls between hosts. */
+/** Simulated links of hosts and calls between hosts, in virtual time. */
 import type { Instant, Millis } from '@paddlewind/domain';
 import type {
   OrderResult,
@@ -13,22 +13,22 @@
 import type { SimulatedProcess } from './simulated-process.fixture.test.js';
 import type { JobHost } from './start-job-host.js';
 
-/** Bytes of a call beside a job's payload. */
+/** Size of a call without a job's payload. */
 const CALL_BYTES = 300;
-/** Bytes of each further start that one call carries to another host. */
+/** Size of each further start in a call to another host. */
 const START_ROW_BYTES = 110;
-/** Time after which an order to a worker is given up. */
+/** Timeout of an order to a worker. */
 const ORDER_MS: Millis = 500;
-/** Time of a call between hosts, and after which it is given up: not taken, or not appended. */
+/** Latency of a call between hosts, and its timeouts for being accepted and for the append. */
 const PEER_MS: Millis = 2;
 const PEER_TAKEN_MS: Millis = 80;
 const PEER_APPENDED_MS: Millis = 1_200;
-/** Time after which a host that is asked who it is, or starts that it has taken, are given up. */
+/** Timeouts for identifying a host, and for starts that it has accepted. */
 const IDENTIFIED_MS: Millis = 300;
 const RELAYED_MS: Millis = 900;
 const MS_PER_S = 1_000;
 
-/** What a host sends goes over one link, one byte after the other. */
+/** A host's outgoing link, which carries one byte after the other. */
 export class SimulatedLink {
   private freeAt: Instant = 0;
 
@@ -38,7 +38,7 @@
     private readonly bytesPerS: number,
   ) {}
 
-  /** Resolves once all that was sent before, and these bytes, are through. */
+  /** Resolves once these bytes, and all that were sent before, have been carried. */
   async carry(bytes: number): Promise<void> {
     if (this.bytesPerS === Infinity) {
       return;
@@ -49,7 +49,10 @@
     await pauseOf(this.time, this.freeAt - now);
   }
 
-  /** Returns `port` behind this link: what waits here for too long is carried out all the same. */
+  /**
+   * Returns `port` behind this link. Calls that time out while they wait here are carried out all
+   * the same.
+   */
   port(port: WorkerPort): WorkerPort {
     if (this.bytesPerS === Infinity) {
       return port;
@@ -78,7 +81,7 @@
   }
 }
 
-/** The link of a host in each direction. */
+/** The links of a host in both directions. */
 export interface HostLinks {
   readonly out: SimulatedLink;
   readonly into: SimulatedLink;
@@ -92,26 +95,26 @@
 
 /** Calls between hosts. */
 export class SimulatedPeers {
-  /** Pairs of hosts `from>to` of which the first does not reach the second. */
+  /** Pairs of hosts `from>to` where the first can't reach the second. */
   readonly cuts = new Set<string>();
-  /** Time by host that starts take on their way to it, also beyond the time after which they are given up. */
+  /** Extra latency of starts by receiving host, which may exceed their timeout. */
   readonly startDelays = new Map<string, Millis>();
-  /** Whether no host reaches another one. */
+  /** Whether no host can reach another one. */
   cutAll = false;
-  /** Links by host, where the site has any in both directions. */
+  /** Links by host, for deployments with links in both directions. */
   readonly links = new Map<string, HostLinks>();
-  /** How often a host was asked to append for another one. */
+  /** Number of calls that asked a host to append for another one. */
   appends = 0;
-  /** How often a host was asked to send a start for another one. */
+  /** Number of starts that a host was asked to send for another one. */
   relays = 0;
 
-  /** Creates the calls between the hosts of a site. */
+  /** Creates the calls between the hosts of a deployment. */
   constructor(
     private readonly time: VirtualTime,
     private readonly hosts: ReadonlyMap<string, ReachedHost>,
   ) {}
 
-  /** Other hosts as `name` reaches them: a frozen or dead one does not answer. */
+  /** Returns the port through which `name` calls other hosts. A frozen or dead host does not answer. */
   connect(name: string, link: SimulatedLink): PeerPort {
     return {
       append: async (address, records) => {
@@ -158,7 +161,7 @@
     };
   }
 
-  /** A host that stands still deals with the starts once it goes on. */
+  /** Delivers a batch; a frozen host handles the starts once it resumes. */
   private async relay(
     from: string,
     to: string,
@@ -197,7 +200,7 @@
     });
   }
 
-  /** Returns the host `to` if `from` reaches it. */
+  /** Returns the host `to` if `from` can reach it. */
   reach(from: string, to: string): ReachedHost | undefined {
     const found = this.hosts.get(to);
     const isCut = this.cutAll || this.cuts.has(`${from}>${to}`);
--- a/packages/daemon/src/job-host/simulated-process.fixture.test.ts
+++ b/packages/daemon/src/job-host/simulated-process.fixture.test.ts
@@ -1,19 +1,22 @@
-/** The process of a host in virtual time: it can be killed, frozen, suspended with its machine, or slow. */
+/**
+ * A simulated host process in virtual time: it can be killed, frozen, suspended with its machine,
+ * or slowed down.
+ */
 import type { Instant, Millis } from '@paddlewind/domain';
 import type { VirtualTime } from '@paddlewind/stand-ins';
 
-/** Runs what a host does: timers, answers to its calls, and what is called back. */
+/** Runs the events of a host: timers, results of its calls and callbacks. */
 export class SimulatedProcess {
   private killed = false;
   private thawsAt: Instant = 0;
-  /** Time that its steady clock has not counted. */
+  /** Time that its monotonic clock has not counted. */
   private suspendedMs: Millis = 0;
-  /** Time that it takes for each event. */
+  /** Processing time of each event. */
   private eventMs: Millis = 0;
-  /** When it has dealt with all events so far. */
+  /** When it will have processed all events so far. */
   private busyUntil: Instant = 0;
 
-  /** Creates a process that runs. */
+  /** Creates a running process. */
   constructor(private readonly time: VirtualTime) {}
 
   /** Whether it has not been killed. */
@@ -21,29 +24,29 @@
     return !this.killed;
   }
 
-  /** Whether it does nothing at present. */
+  /** Whether it is currently frozen. */
   get isStopped(): boolean {
     return this.thawsAt > this.time.clock();
   }
 
-  /** Its steady clock. */
+  /** Its monotonic clock. */
   readonly clock = (): Instant => this.time.clock() - this.suspendedMs;
 
-  /** Runs `task` after `delay` by its steady clock. */
+  /** Runs `task` after `delay` on its monotonic clock. */
   readonly schedule = (delay: Millis, task: () => void): (() => void) =>
     this.scheduleAt(this.clock() + delay, task);
 
-  /** Ends it. */
+  /** Kills the process. */
   kill(): void {
     this.killed = true;
   }
 
-  /** Stops it for `span`. */
+  /** Freezes the process for `span`. */
   freeze(span: Millis): void {
     this.thawsAt = this.time.clock() + span;
   }
 
-  /** Stops it for `span`, which its steady clock and its timers don't count. */
+  /** Freezes the process for `span`, which its monotonic clock and its timers don't count. */
   suspend(span: Millis): void {
     this.freeze(span);
     this.suspendedMs += span;
@@ -54,7 +57,7 @@
     this.eventMs = eventMs;
   }
 
-  /** Delivers results of a port, and calls back, only while it runs. */
+  /** Returns a port whose results and callbacks are delivered only while the process runs. */
   guard<T extends object>(port: T): T {
     return new Proxy(port, {
       get: (target, name, receiver) => {
--- a/packages/daemon/src/job-host/simulated-wire.fixture.test.ts
+++ b/packages/daemon/src/job-host/simulated-wire.fixture.test.ts
@@ -1,6 +1,6 @@
 /**
- * The wire of a host in virtual time: what calls and their answers take of its link in each direction, and
- * the connections that calls to another host share.
+ * Simulated wire of a host in virtual time: the bytes of calls and answers on its link in each
+ * direction, and the connections shared by calls to another host.
  */
 import type { Millis } from '@paddlewind/domain';
 import type {
@@ -20,24 +20,24 @@
   type SimulatedPeers,
 } from './simulated-network.fixture.test.js';
 
-/** What a test may set of the wires of a site. */
+/** Settings of the wires of a deployment. */
 export interface WireOptions {
-  /** What the link of each host carries in. */
+  /** Capacity of each host's incoming link. */
   readonly inBytesPerS: number;
-  /** Starts at one other host at a time, and questions which process it is. */
+  /** Concurrent calls to one other host for relayed starts and identification. */
   readonly connections: number;
 }
 
-/** Heads of a call and of its answer. */
+/** Head sizes of a call and of its answer. */
 const HEAD = 215;
 const ANSWER_HEAD = 110;
-/** What calls carry beside their heads and payloads. */
+/** Body sizes of calls without payloads. */
 const START = 180;
 const BATCH = 80;
 const RELAYED = 110;
 const ORDER = 80;
 const LOOK = 70;
-/** What answers carry beside their heads. */
+/** Body sizes of answers. */
 const ORDER_ANSWER = 40;
 const TAKEN = 20;
 const OUTCOME = 40;
@@ -47,11 +47,14 @@
 /** Packets that open a connection, in each direction. */
 const CONNECT = 60;
 const RECORD = 20;
-/** Time after which a call to a worker or the log is given up. */
+/** Timeouts of calls to a worker and to the log. */
 const ORDER_MS: Millis = 500;
 const LOG_MS: Millis = 1_500;
 const WAY_MS: Millis = 1;
-/** Time until another host has taken a call, and has answered it; of starts, once it has taken them. */
+/**
+ * Timeouts until another host has accepted a call and has answered it; for starts, counted from
+ * their acceptance.
+ */
 const RELAYED_MS: Millis = 900;
 const PROCESS_LIMITS = { taken: 1_000, answered: 1_000 };
 const APPEND_LIMITS = { taken: 80, answered: 1_200 };
@@ -62,7 +65,7 @@
   readonly answered: Millis;
 }
 
-/** Connections to one host, of which each carries a call at a time. */
+/** Connections to one host, each of which carries one call at a time. */
 class Connections {
   private busy = 0;
   private idle = 0;
@@ -70,7 +73,7 @@
 
   constructor(private readonly most: number) {}
 
-  /** Resolves once a connection is free; with whether it is still to be opened. */
+  /** Resolves once a connection is free, with whether it still has to be opened. */
   async take(): Promise<boolean> {
     if (this.busy >= this.most) {
       await new Promise<void>(resolve => {
@@ -90,7 +93,7 @@
   }
 }
 
-/** One host's link in both directions. */
+/** A host's link in both directions. */
 export class SimulatedWire {
   private readonly relays = new Map<string, Connections>();
   private readonly leaders = new Map<string, Connections>();
@@ -103,7 +106,10 @@
     private readonly connections: number,
   ) {}
 
-  /** Returns workers behind this wire: what waits here for too long is carried out all the same. */
+  /**
+   * Returns workers behind this wire. Calls that time out while they wait here are carried out all
+   * the same.
+   */
   port(port: WorkerPort): WorkerPort {
     const order = async (
       bytes: number,
@@ -178,7 +184,7 @@
     };
   }
 
-  /** Other hosts as `name` reaches them over this wire. */
+  /** Returns the port through which `name` calls other hosts over this wire. */
   peers(name: string, site: SimulatedPeers): PeerPort {
     return {
       append: async (address, records) => {
@@ -238,7 +244,10 @@
     };
   }
 
-  /** Makes a call once a connection is free; undefined if it was given up, and never sent if that was before. */
+  /**
+   * Makes a call once a connection is free. Undefined if it timed out; it is not sent if that
+   * happened before a connection was free.
+   */
   private call<R>(
     pool: Connections,
     { taken, answered }: Limits,
@@ -280,7 +289,10 @@
     });
   }
 
-  /** Resolves in the other host's process once the call is there; never where it is out of reach. */
+  /**
+   * Resolves in the other host's process once the call has arrived; never if that host can't be
+   * reached.
+   */
   private async arrive(
     from: string,
     to: string,
@@ -301,19 +313,19 @@
     return { links, host: found.host };
   }
 
-  /** Carries an answer of another host here. */
+  /** Carries an answer from another host. */
   private async answerBy(links: HostLinks, bytes: number): Promise<void> {
     await this.carryBack(links, ANSWER_HEAD + bytes);
   }
 
-  /** Carries what another host sends here. */
+  /** Carries bytes from another host. */
   private async carryBack(links: HostLinks, bytes: number): Promise<void> {
     await links.out.carry(bytes);
     await this.pause(WAY_MS);
     await this.into.carry(bytes);
   }
 
-  /** A call that ran out of time makes all connections suspect: later calls go over new ones. */
+  /** Replaces the connections after a call that timed out, since all of them may be broken. */
   private replaceIfSilent(
     pools: Map<string, Connections>,
     address: string,
--- a/packages/daemon/src/job-host/simulation.fixture.test.ts
+++ b/packages/daemon/src/job-host/simulation.fixture.test.ts
@@ -1,4 +1,4 @@
-/** Job hosts, log and workers in virtual time, with faults that a test sets. */
+/** Job hosts, log and workers in virtual time, with faults that a test injects. */
 import { seededRandom, type Millis, type Random } from '@paddlewind/domain';
 import {
   decodeJournal,
@@ -77,23 +77,26 @@
 /** A step of a job in a test. */
 export type TestStep = Pick<StepSpec, 'tasks' | 'after'> & Partial<StepSpec>;
 
-/** What a test may set of a site. */
+/** Settings of a simulated deployment. */
 interface SiteOptions {
-  /** Longest lease that workers take. */
+  /** Longest lease that workers accept. */
   readonly maxLeaseMs?: Millis;
-  /** Time after which a worker that a task has brought down is there again. */
+  /** Time until a worker that was crashed by a task is back. */
   readonly revivalMs?: Millis;
-  /** Whether a worker that starts again has the id that it had. */
+  /** Whether a worker that restarts keeps its id. */
   readonly keepsIds?: boolean;
-  /** What the link of each host carries out; by default all that it is given. */
+  /** Capacity of each host's outgoing link; unlimited by default. */
   readonly linkBytesPerS?: number;
-  /** Whether hosts believe that their links carry no payload at all, so that others send the starts. */
+  /**
+   * Whether hosts assume that their links carry no payload at all, so that other hosts send the
+   * starts.
+   */
   readonly relaysAll?: boolean;
-  /** What calls take of links in both directions; by default what is in `SimulatedLink` alone. */
+  /** Size of calls on links in both directions; by default only `SimulatedLink` is used. */
   readonly wire?: WireOptions;
 }
 
-/** What a host reaches. */
+/** The ports of a host. */
 interface SimulatedNetwork {
   readonly log: JobLog;
   readonly peers: PeerPort;
@@ -108,9 +111,9 @@
   readonly fleet: MemoryFleet;
   readonly history: JobHistory;
   readonly hosts = new Map<string, SimulatedHost>();
-  /** What the hosts' time of day is ahead by. */
+  /** Offset of the hosts' time of day. */
   wallOffset: Millis = 0;
-  /** What the workers' time of day is ahead by. */
+  /** Offset of the workers' time of day. */
   workerWallOffset: Millis = 0;
   /** Whether hosts that are started find a configuration. */
   configured = false;
@@ -122,7 +125,7 @@
   private readonly wire: WireOptions | undefined;
   private lives = 0;
 
-  /** Creates a simulation whose chance follows `seed`. */
+  /** Creates a simulation whose randomness is derived from `seed`. */
   constructor(
     seed: number,
     {
@@ -163,7 +166,7 @@
     };
   }
 
-  /** Adds a new life of the worker on `machine`. */
+  /** Adds a new incarnation of the worker on `machine`. */
   addWorker(
     machine: string,
     labels: readonly string[] = [],
@@ -179,7 +182,7 @@
       clockRate,
     };
     if (this.keepsIds) {
-      // The clock of each life begins at 0.
+      // The clock of each incarnation starts at 0.
       const now = this.time.clock();
       const sinceStart = -Math.floor(now * clockRate);
       const startedAt = Math.floor(now + this.workerWallOffset);
@@ -191,7 +194,7 @@
     }
   }
 
-  /** Ends the life of the worker on `machine`; another one begins there after `awayMs`. */
+  /** Ends the incarnation of the worker on `machine` and starts another one after `awayMs`. */
   restartWorker(machine: string, awayMs: Millis, capacity = CAPACITY): void {
     this.fleet.crash(machine);
     this.time.schedule(awayMs, () => {
@@ -199,7 +202,7 @@
     });
   }
 
-  /** Starts a host, or starts it again. */
+  /** Starts or restarts a host. */
   startHost(name: string, cores = 1): JobHost {
     const simulated = new SimulatedProcess(this.time);
     const { log, peers, port } = this.networkOf(name);
@@ -234,7 +237,7 @@
     return host;
   }
 
-  /** What a host reaches, behind its link. */
+  /** Returns the ports of a host, behind its link. */
   private networkOf(name: string): SimulatedNetwork {
     const { time, fleet, wire: options } = this;
     const link = new SimulatedLink(time, this.linkBytesPerS);
@@ -259,12 +262,12 @@
     this.hosts.get(name)?.process.kill();
   }
 
-  /** Stops the process of a host for `span`. */
+  /** Freezes the process of a host for `span`. */
   freeze(name: string, span: Millis): void {
     this.hosts.get(name)?.process.freeze(span);
   }
 
-  /** Suspends the machine of a host for `span`, which its steady clock and its timers don't count. */
+  /** Suspends the machine of a host for `span`, which its monotonic clock and its timers don't count. */
   suspend(name: string, span: Millis): void {
     this.hosts.get(name)?.process.suspend(span);
   }
@@ -274,7 +277,7 @@
     this.hosts.get(name)?.process.slow(eventMs);
   }
 
-  /** Submits a job through a host, at other hosts again until it is accepted. */
+  /** Submits a job through a random host, retrying until it is accepted. */
   async submit(
     id: string,
     steps: TestStep[],
@@ -295,7 +298,7 @@
     }
   }
 
-  /** Cancels a job, at other hosts again until that is confirmed. */
+  /** Cancels a job through a random host, retrying until that is confirmed. */
   async cancel(id: string): Promise<void> {
     const asked = this.history.jobs.get(id);
     if (asked !== undefined) {
@@ -326,7 +329,7 @@
     }
   }
 
-  /** Name of the host that last claimed the leadership. */
+  /** Returns the name of the host that last claimed the leadership. */
   leader(): string {
     const claims = this.log
       .recordsOf('journal')
@@ -335,7 +338,7 @@
     return claims.at(-1)?.host ?? '';
   }
 
-  /** Number of runs that were recorded to start. */
+  /** Returns the number of recorded starts of runs. */
   recordedStarts(): number {
     const records = this.log.recordsOf('journal').map(decodeJournal);
     return records.filter(record => record?.kind === 'start').length;
@@ -349,7 +352,7 @@
   }
 }
 
-/** A feed that tells a configuration once, or none. */
+/** A feed that returns a configuration once, or none. */
 function configFeed(configured: boolean): ConfigFeed {
   let left = configured ? 1 : 0;
   return {
@@ -362,7 +365,7 @@
   };
 }
 
-/** Returns a job whose tasks do what `script` says. */
+/** Returns a job whose tasks behave as `script` says. */
 export function jobOf(
   id: string,
   steps: readonly TestStep[],
