--- a/packages/daemon/src/job-host/answers-from-replica.test.ts
+++ b/packages/daemon/src/job-host/answers-from-replica.test.ts
@@ -1,12 +1,15 @@
 /*
- * Seen: two hosts told a caller that no job of a queue waits, while 26 and 24 had waited for over
- * 5 s. How: all hosts had been killed 10 s before; those with a link of 10 Mbit/s received 0.8 MB a
- * second from the log from then on, and learnt nothing. Causes: a read asked for 1 MiB, several went
- * on side by side, none arrived within its 1.5 s, and the same was asked for again, without end; and
- * a host that could not read counted in the copy that it had, so that "nothing known" was told as
- * "nothing there". Proof: the first test needs nothing but a slow link to keep a host ignorant for
- * good; each way of answering from a copy that is not up to date gives a wrong number below. The
- * same gap made a host deny a job whose records it had yet to read.
+ * Guards against wrong answers from a copy that is not up to date.
+ *
+ * Two hosts reported an empty queue while 26 and 24 jobs had waited for over 5 s. All hosts had
+ * been killed 10 s before; those with a link of 10 Mbit/s received 0.8 MB a second from the log,
+ * but no read completed: reads asked for 1 MiB, several ran concurrently, none arrived within 1.5
+ * s, and the same records were requested again and again. A host that could not read counted in its
+ * old copy and reported "unknown" as "none". For the same reason a host denied a job whose records
+ * it had not read yet.
+ *
+ * A slow link alone reproduces this in the first test. Each way of answering from an outdated copy
+ * gives a wrong number in one of the tests below.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -16,8 +19,8 @@
 const QUICK = { runMs: 400, failures: 0 };
 const JOBS = ['00000000000000e1', '00000000000000e2', '00000000000000e3'];
 
-/** Three hosts and no worker, so that every job waits. */
-async function siteWithWaitingJobs(seed: number): Promise<Simulation> {
+/** Starts three hosts without workers, so that every job waits. */
+async function deploymentWithWaitingJobs(seed: number): Promise<Simulation> {
   const site = new Simulation(seed);
   for (const name of ['h1', 'h2', 'h3']) {
     site.startHost(name);
@@ -36,16 +39,19 @@
   return name;
 }
 
-/** Asks a host for the length of the queue, and fails on any but the true one. */
-async function assertNotWrong(site: Simulation, name: string): Promise<void> {
+/** Asks a host for the length of the queue, and fails if it returns a wrong one. */
+async function assertUnknownOrCorrect(
+  site: Simulation,
+  name: string,
+): Promise<void> {
   const asked = site.hosts.get(name)?.host.service.queueLength('checks');
   await site.time.advance(2_000);
   const told: number | undefined = await asked;
-  assert.ok(told === undefined || told === JOBS.length, `told ${told}`);
+  assert.ok(told === undefined || told === JOBS.length, `reported ${told}`);
 }
 
-test('every host tells how many jobs wait', async () => {
-  const site = await siteWithWaitingJobs(1);
+test('every host reports how many jobs wait', async () => {
+  const site = await deploymentWithWaitingJobs(1);
   for (const { host } of site.hosts.values()) {
     const asked = host.service.queueLength('checks');
     await site.time.advance(100);
@@ -53,7 +59,7 @@
   }
 });
 
-test('a host that cannot read the log does not tell how many jobs wait', async () => {
+test('a host that cannot read the log does not report a queue length', async () => {
   const site = new Simulation(2);
   ['h1', 'h2', 'h3'].forEach(name => site.startHost(name));
   await site.time.advance(2_500);
@@ -63,10 +69,10 @@
     void site.submit(id, [{ tasks: 2, after: [] }], QUICK);
   }
   await site.time.advance(6_000);
-  await assertNotWrong(site, name);
+  await assertUnknownOrCorrect(site, name);
 });
 
-test('a read for another caller that has not ended is waited for', async () => {
+test('a query waits for a read that another caller started', async () => {
   const site = new Simulation(3);
   ['h1', 'h2', 'h3'].forEach(name => site.startHost(name));
   await site.time.advance(2_500);
@@ -78,11 +84,11 @@
   await site.time.advance(6_000);
   void site.hosts.get(name)?.host.service.queueLength('checks');
   await site.time.advance(200);
-  await assertNotWrong(site, name);
+  await assertUnknownOrCorrect(site, name);
 });
 
-test('a host that has just ceased to lead does not tell that nothing waits', async () => {
-  const site = await siteWithWaitingJobs(4);
+test('a host that just lost the leadership does not report an empty queue', async () => {
+  const site = await deploymentWithWaitingJobs(4);
   const name = site.leader();
   const service = site.hosts.get(name)?.host.service;
   assert.ok(service);
@@ -102,21 +108,21 @@
   }
   await site.time.advance(2_000);
   for (const told of await Promise.all(asked)) {
-    assert.ok(told === undefined || told === JOBS.length, `told ${told}`);
+    assert.ok(told === undefined || told === JOBS.length, `reported ${told}`);
   }
 });
 
-test('a job whose only start never ran waits', async () => {
-  const site = await siteWithWaitingJobs(5);
+test('a job whose only start was never carried out is counted as waiting', async () => {
+  const site = await deploymentWithWaitingJobs(5);
   site.addWorker('w1');
   site.fleet.refusesStarts = true;
   await site.time.advance(3_000);
   for (const name of site.hosts.keys()) {
-    await assertNotWrong(site, name);
+    await assertUnknownOrCorrect(site, name);
   }
 });
 
-test('jobs whose starts wait for their turn are told to wait', async () => {
+test('jobs whose start commands are still queued are counted as waiting', async () => {
   const site = new Simulation(9);
   site.addWorker('w1');
   ['h1', 'h2'].forEach(name => site.startHost(name));
@@ -140,8 +146,8 @@
   }
 });
 
-test('a leader that cannot write tells neither lengths nor ends', async () => {
-  const site = await siteWithWaitingJobs(10);
+test('a leader that cannot write reports neither queue lengths nor completed jobs', async () => {
+  const site = await deploymentWithWaitingJobs(10);
   site.addWorker('w1');
   await site.time.advance(600);
   const leader = site.hosts.get(site.leader())?.host.service;
@@ -157,10 +163,10 @@
   assert.equal(await length, undefined);
 });
 
-test('a host that has not read the journal denies no job', async () => {
-  const site = await siteWithWaitingJobs(6);
+test('a host that has not read the journal does not deny a job', async () => {
+  const site = await deploymentWithWaitingJobs(6);
   await site.time.advance(15_000);
-  // All that is left of the jobs is that the leader has restated them.
+  // Only the leader's restatement of the jobs is left.
   site.log.trimTo(4);
   const name = follower(site);
   site.kill(name);
@@ -172,7 +178,7 @@
   assert.notEqual((await asked)?.kind, 'no_such_job');
 });
 
-test('a host on a slow link learns all that the log keeps', async () => {
+test('a host on a slow link reads everything that the log keeps', async () => {
   const site = new Simulation(7);
   ['h1', 'h2', 'h3'].forEach(name => site.startHost(name));
   await site.time.advance(2_500);
@@ -186,7 +192,7 @@
   await site.time.advance(12_000);
   const name = follower(site);
   site.kill(name);
-  // A mebibyte takes 1.7 s.
+  // At this rate a mebibyte takes 1.7 s.
   site.log.links.set(name, 600);
   site.startHost(name);
   await site.time.advance(12_000);
@@ -195,7 +201,7 @@
   assert.equal(await asked, ids.length);
 });
 
-test('a host that missed records which the log has dropped reads all anew', async () => {
+test('a host that missed dropped records rebuilds its copy', async () => {
   const site = new Simulation(8);
   ['h1', 'h2', 'h3'].forEach(name => site.startHost(name));
   await site.time.advance(2_500);
@@ -207,7 +213,7 @@
   void service?.status(id);
   await site.time.advance(500);
   site.log.modes.set(name, 'silent');
-  // The job ends while the host hears nothing, and the records of that are dropped.
+  // The job finishes while the host is cut off from the log, and the records of that are dropped.
   site.addWorker('w1');
   await site.time.advance(4_000);
   site.log.trimTo(site.log.recordsOf('journal').length);
@@ -219,7 +225,7 @@
   assert.deepEqual(await asked, { kind: 'known', status: 'completed' });
 });
 
-test('a host that reads the journal late does not begin anew what is done', async () => {
+test('a host that reads the journal late does not repeat completed tasks', async () => {
   const site = new Simulation(11);
   ['h1', 'h2', 'h3'].forEach(name => site.startHost(name));
   site.addWorker('w1');
@@ -229,7 +235,7 @@
   const id = JOBS[0] ?? '';
   const steps = [
     { tasks: 2, after: [] },
-    // Keeps the job open.
+    // Keeps the job unfinished.
     { tasks: 1, after: [0], label: 'none' },
   ];
   void site.submit(id, steps, QUICK);
@@ -238,7 +244,7 @@
   site.startHost(name);
   const late = site.hosts.get(name)?.host.service;
   void late?.status(id);
-  // Meanwhile the first step ends, and the records of that are dropped.
+  // Meanwhile the first step completes, and the records of that are dropped.
   await site.time.advance(2_000);
   const dropped = site.log.recordsOf('journal').length;
   await site.time.advance(12_000);
@@ -255,7 +261,7 @@
   assert.deepEqual(site.history.check(), []);
 });
 
-test('a host that knows a job by its own append misses no cancellation of it', async () => {
+test('a host that knows a job only from its own append sees its cancellation', async () => {
   const site = new Simulation(12);
   ['h1', 'h2'].forEach(name => site.startHost(name));
   await site.time.advance(2_500);
--- a/packages/daemon/src/job-host/append-again.test.ts
+++ b/packages/daemon/src/job-host/append-again.test.ts
@@ -12,7 +12,10 @@
 const UNKNOWN: AppendResult = { kind: 'unknown', reason: 'reset' };
 const REFUSED: AppendResult = { kind: 'refused', reason: 'busy' };
 
-/** An append of which each try ends as `tries` tells, after the time given; later ones never end. */
+/**
+ * Starts an append whose attempts end as `tries` says, each after the given time; later attempts
+ * never end.
+ */
 function start(
   tries: readonly (readonly [number, AppendResult])[],
   stoppedAt = Infinity,
@@ -49,7 +52,7 @@
   assert.equal(sent(), 1);
 });
 
-test('a try that is answered settles an append of which others are silent', async () => {
+test('one answered attempt settles an append whose other attempts are silent', async () => {
   const { time, outcome } = start([
     [5_000, UNKNOWN],
     [10, APPENDED],
@@ -58,7 +61,7 @@
   assert.deepEqual(outcome(), APPENDED);
 });
 
-test('an append that another leader has overtaken is told so', async () => {
+test('an append that was fenced by another leader reports that', async () => {
   const { time, outcome } = start([
     [5_000, UNKNOWN],
     [10, { kind: 'fenced' }],
@@ -67,14 +70,14 @@
   assert.deepEqual(outcome(), { kind: 'fenced' });
 });
 
-test('an append that is refused is told so at once', async () => {
+test('a refused append reports that at once', async () => {
   const { time, sent, outcome } = start([[10, REFUSED]]);
   await time.advance(100);
   assert.deepEqual(outcome(), REFUSED);
   assert.equal(sent(), 1);
 });
 
-test('an append of which one try may be there is not refused', async () => {
+test('an append is not reported as refused if one attempt may have succeeded', async () => {
   const { time, outcome } = start([
     [500, UNKNOWN],
     [100, REFUSED],
@@ -83,13 +86,13 @@
   assert.equal(outcome()?.kind, 'unknown');
 });
 
-test('few tries are under way at the same time', async () => {
+test('the number of attempts in flight is limited', async () => {
   const { time, sent } = start([]);
   await time.advance(10_000);
   assert.equal(sent(), 4);
 });
 
-test('an append that is given up is sent no more', async () => {
+test('a stopped append is not sent again', async () => {
   const { time, sent, outcome } = start([[1_500, UNKNOWN]], 100);
   await time.advance(10_000);
   assert.equal(sent(), 1);
--- a/packages/daemon/src/job-host/claims-read-late.test.ts
+++ b/packages/daemon/src/job-host/claims-read-late.test.ts
@@ -1,8 +1,9 @@
 /*
- * Found in the review of handed-over leases: what a claim hands on was true when its host read the journal
- * last, not when the claim came into the journal. The leader before may have written in between, other
- * leaders may have led (a host whose claim was refused skips epochs), and a copy that began with a trimmed
- * journal does not know by which leader a worker was reached. Each time a lease that holds counts as ended.
+ * Guards against leases that are taken for expired too early after a claim. The claim's writer last
+ * read the journal before it sent the claim. By the time the claim is in the journal, the former
+ * leader may have written more, other leaders may have led (a host whose claim was refused skips
+ * epochs), and a copy that starts with a trimmed journal does not know which leader reached a
+ * worker.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -46,7 +47,7 @@
   return ends;
 }
 
-test('a worker that was reached after the claimer had read is not silent', () => {
+test('a worker that was reached after the claimer last read does not count as silent', () => {
   const [claimer, reader] = [endsFromBeginning(), endsFromBeginning()];
   const silent = heartbeat(1, { epochs: [[1, 7_703]], workers: [['w', 500]] });
   for (const ends of [claimer, reader]) {
@@ -63,10 +64,10 @@
   }
 });
 
-test('a leader that wrote after the claimer had read has leases since then', () => {
+test('a leader that wrote after the claimer last read has given leases since then', () => {
   const reader = endsFromBeginning();
   reader.note(claim(1), 1, 100);
-  // The leader was cut off for 1.3 s: the claim was written then, and is carried out 2 s later.
+  // The leader was cut off for 1.3 s: the claim was sent then and is carried out 2 s later.
   const late = claim(2);
   reader.note(heartbeat(1, { epochs: [[1, HELD_MS]], workers: [] }), 1, 3_300);
   reader.note(late, 2, 3_400);
@@ -74,10 +75,10 @@
   assert.ok(end >= 3_300 + LONGEST_HELD_MS, `ended at ${end}`);
 });
 
-test('a leader of which the claimer had not read may have given leases', () => {
+test('a leader unknown to the claimer may have given leases', () => {
   const reader = endsFromBeginning();
   reader.note(claim(1), 1, 100);
-  // A host of which a claim was refused skips epochs.
+  // A host whose claim was refused skips epochs.
   const late = claim(5);
   reader.note(claim(2), 2, 1_410);
   reader.note({ kind: 'reached', worker: 'w' }, 2, 1_500);
@@ -86,17 +87,21 @@
   assert.ok(end >= 1_500 + TASK_LEASE_MS, `ended at ${end}`);
 });
 
-test('a host that reads on after records it never read does not know of all leaders', () => {
+test('a host that missed records does not know of all leaders', () => {
   const ends = endsFromBeginning();
   ends.note(claim(3), 3, 100);
-  // It observed meanwhile; what leader 4 wrote is no longer kept, and leader 5 does not say what it knows.
+  // This host followed the summary meanwhile. The records of leader 4 are no longer kept, and
+  // leader 5 hands over nothing.
   ends.noteGap();
   ends.note(claim(5), 5, 90_000);
   const end = ends.endFor('w', 4);
   assert.ok(end >= 90_000 + TASK_LEASE_MS, `ended at ${end}`);
 });
 
-/** Restates a job of which a task runs at `worker`: else a claim forgets by whom the worker was reached. */
+/**
+ * Returns a restatement of a job with a task running on `worker`; without it a claim would drop the
+ * record of who reached the worker.
+ */
 function restateOfRun(worker: string): JournalRecord {
   const task = { tasks: 1, after: [], lasting: true };
   const spec = jobOf('00000000000000e1', [task], { runMs: 1, failures: 0 });
@@ -116,8 +121,8 @@
   };
 }
 
-/** Returns a copy that reads `records`, a moment apart, from a journal that lacks what came before them. */
-async function copyOfRest(
+/** Returns a copy that reads `records` at intervals from a journal without its first records. */
+async function replicaOfTrimmedJournal(
   records: readonly JournalRecord[],
   apartMs: Millis,
 ): Promise<{ replica: Replica; now: () => number }> {
@@ -140,16 +145,16 @@
   return { replica, now: clock };
 }
 
-test('a worker whose records are gone has a lease though epochs were skipped', async () => {
+test('a worker whose records were dropped has a lease although epochs were skipped', async () => {
   const beat = heartbeat(5, { epochs: [[5, HELD_MS]], workers: [] });
-  const { replica, now } = await copyOfRest([beat, claim(13)], 50);
+  const { replica, now } = await replicaOfTrimmedJournal([beat, claim(13)], 50);
   const left = replica.earlierLeaseEnd('w') - now();
   assert.ok(left > TASK_LEASE_MS, `left ${left}`);
 });
 
-test('a worker that a leader reached before the first record that names the leader has a lease', async () => {
+test('a worker that was reached before the first record of its leader has a lease', async () => {
   const beat = heartbeat(5, { epochs: [[5, HELD_MS]], workers: [] });
-  const { replica, now } = await copyOfRest(
+  const { replica, now } = await replicaOfTrimmedJournal(
     [{ kind: 'reached', worker: 'w' }, beat, restateOfRun('w'), claim(6)],
     50,
   );
--- a/packages/daemon/src/job-host/crashing-site.fixture.test.ts
+++ b/packages/daemon/src/job-host/crashing-site.fixture.test.ts
@@ -29,7 +29,7 @@
 /** Time until a host leads and the long-running job runs. */
 const SETTLE_MS = 4_000;
 /** Interval at which callers query the state of each job. */
-const ASK_EVERY_MS = 250;
+const QUERY_INTERVAL_MS = 250;
 
 /** Starts six hosts, six workers of four cores and the long-running job. */
 export async function siteWithNeighbours(
@@ -49,14 +49,14 @@
   const step = { tasks: NEIGHBOUR_TASKS, after: [], lasting: true };
   void site.submit(NEIGHBOUR, [step], ENDLESS);
   await site.time.advance(SETTLE_MS);
-  void watch(site);
+  void queryStates(site);
   return site;
 }
 
 /** Queries the state of each job on the hosts in turn, as callers do. */
-async function watch(site: Simulation): Promise<void> {
+async function queryStates(site: Simulation): Promise<void> {
   for (let turn = 0; ; turn += 1) {
-    await site.wait(ASK_EVERY_MS);
+    await site.wait(QUERY_INTERVAL_MS);
     const name = HOSTS[turn % HOSTS.length] ?? '';
     const found = site.hosts.get(name);
     if (found?.alive !== true) {
--- a/packages/daemon/src/job-host/duty.test.ts
+++ b/packages/daemon/src/job-host/duty.test.ts
@@ -1,7 +1,8 @@
 /*
- * The load: a fleet of many hosts, each of which read and folded every decision, so that bytes and
- * processor time grew with hosts times decisions. Only nine are to do so, whatever the size, and the
- * others have to answer callers as rightly as before, also while leaders change.
+ * Guards against a load that grows with the number of hosts times decisions, in bytes and processor
+ * time, as when each of many hosts reads and folds every decision. Only nine hosts read the journal
+ * whatever the size of the fleet. All others have to answer callers just as correctly, also while
+ * leaders change.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -13,11 +14,11 @@
 const QUICK = { runMs: 400, failures: 0 };
 const ENDLESS = { runMs: 10_000_000, failures: 0 };
 const HOSTS = 24;
-/** The leader and those that stand by. */
+/** The leader and its standbys. */
 const READERS = 9;
 
-/** A site of many hosts, after those that don't stand by have been told so. */
-async function crowdedSite(seed: number): Promise<Simulation> {
+/** Starts many hosts and waits until those that are not standbys follow the summary. */
+async function largeDeployment(seed: number): Promise<Simulation> {
   const site = new Simulation(seed);
   site.history.faults = new FaultTimes();
   ['w1', 'w2', 'w3'].forEach(name => {
@@ -30,8 +31,8 @@
   return site;
 }
 
-/** Hosts that read the journal within the next two seconds, and the leader. */
-async function readers(site: Simulation): Promise<Set<string>> {
+/** Returns the hosts that read the journal within the next two seconds, and the leader. */
+async function journalReaders(site: Simulation): Promise<Set<string>> {
   const found = new Set([site.leader()]);
   const seen = site.log.watchReads((host, stream) => {
     if (stream === 'journal') {
@@ -47,17 +48,17 @@
   return (at + 1).toString(16).padStart(16, '0');
 }
 
-test('of many hosts nine read the journal, the largest ones', async () => {
-  const site = await crowdedSite(1);
-  const found = await readers(site);
+test('of many hosts the nine largest read the journal', async () => {
+  const site = await largeDeployment(1);
+  const found = await journalReaders(site);
   assert.equal(found.size, READERS);
   for (const host of found) {
     assert.ok(Number(host.slice(1)) < 12, host);
   }
 });
 
-test('every host tells the state of a job and the length of the queue', async () => {
-  const site = await crowdedSite(2);
+test('every host reports the state of a job and the length of the queue', async () => {
+  const site = await largeDeployment(2);
   const done = idOf(1);
   const waiting = [idOf(2), idOf(3)];
   void site.submit(done, [{ tasks: 2, after: [] }], QUICK);
@@ -77,12 +78,12 @@
   assert.deepEqual(site.history.check(), []);
 });
 
-test('a job is known everywhere from its acceptance on, also without a leader', async () => {
-  const site = await crowdedSite(3);
+test('an accepted job is known on all hosts, also without a leader', async () => {
+  const site = await largeDeployment(3);
   site.kill(site.leader());
   const id = idOf(1);
   void site.submit(id, [{ tasks: 1, after: [] }], QUICK);
-  // The host that is asked finds out that the leader is lost, and appends by itself.
+  // The asked host notices that the leader is lost and appends by itself.
   await site.time.advance(600);
   const alive = [...site.hosts.values()].filter(found => found.alive);
   for (const { host } of alive) {
@@ -92,9 +93,9 @@
   }
 });
 
-test('with the leader one of those that stand by is lost, another is chosen', async () => {
-  const site = await crowdedSite(4);
-  const before = await readers(site);
+test('a new standby is chosen after the leader and a standby were lost', async () => {
+  const site = await largeDeployment(4);
+  const before = await journalReaders(site);
   const [lost] = [...before].filter(host => host !== site.leader());
   site.kill(lost ?? '');
   site.kill(site.leader());
@@ -102,12 +103,12 @@
   const { length } = site.log.recordsOf('journal');
   await site.time.advance(20_000);
   assert.ok(site.log.recordsOf('journal').length > length);
-  assert.equal((await readers(site)).size, READERS);
+  assert.equal((await journalReaders(site)).size, READERS);
 });
 
-test('another host leads when all that read the journal are lost', async () => {
-  const site = await crowdedSite(5);
-  for (const host of await readers(site)) {
+test('another host leads after all hosts that read the journal were lost', async () => {
+  const site = await largeDeployment(5);
+  for (const host of await journalReaders(site)) {
     site.kill(host);
   }
   const id = idOf(1);
@@ -125,8 +126,8 @@
   assert.deepEqual(site.history.check(), []);
 });
 
-test('a host that starts among many learns of all jobs and reads no journal', async () => {
-  const site = await crowdedSite(6);
+test('a host that joins many others learns of all jobs without reading the journal', async () => {
+  const site = await largeDeployment(6);
   const ids = Array.from({ length: 5 }, (_, at) => idOf(at));
   for (const id of ids) {
     void site.submit(id, [{ tasks: 1, after: [] }], ENDLESS);
@@ -134,7 +135,7 @@
   await site.time.advance(25_000);
   site.configured = true;
   const late = site.startHost('late', 0.3);
-  const found = await readers(site);
+  const found = await journalReaders(site);
   assert.ok(!found.has('late'));
   assert.ok(late.ready());
   for (const id of ids) {
@@ -144,9 +145,9 @@
   }
 });
 
-test('of many hosts that start anew only those that stand by read the journal', async () => {
-  const site = await crowdedSite(10);
-  const before = await readers(site);
+test('of many restarted hosts only standbys read the journal', async () => {
+  const site = await largeDeployment(10);
+  const before = await journalReaders(site);
   const found = new Set<string>();
   site.log.watchReads((host, stream) => {
     if (stream === 'journal') {
@@ -166,8 +167,8 @@
   );
 });
 
-test('a host that is asked to stop accepts what still comes', async () => {
-  const site = await crowdedSite(11);
+test('a host that is stopping still accepts jobs', async () => {
+  const site = await largeDeployment(11);
   const { host } = site.hosts.get('h20') ?? {};
   void host?.handOver(3_000);
   await site.time.advance(2_200);
@@ -177,8 +178,8 @@
   assert.equal((await answer)?.kind, 'recorded');
 });
 
-test('a host whose part of the summary is dropped begins anew with a snapshot', async () => {
-  const site = await crowdedSite(7);
+test('a host that missed dropped summary records starts again from a snapshot', async () => {
+  const site = await largeDeployment(7);
   const id = idOf(1);
   const name = 'h20';
   void site.submit(id, [{ tasks: 1, after: [] }], QUICK);
@@ -192,8 +193,8 @@
   assert.deepEqual(await asked, { kind: 'known', status: 'completed' });
 });
 
-test('a host that starts after the log has dropped most learns of all jobs', async () => {
-  const site = await crowdedSite(9);
+test('a host that starts after the log has dropped most records learns of all jobs', async () => {
+  const site = await largeDeployment(9);
   const done = idOf(1);
   const open = idOf(2);
   void site.submit(done, [{ tasks: 2, after: [] }], QUICK);
@@ -215,8 +216,8 @@
   ]);
 });
 
-test('what a leader decided and could not record is told by nobody', async () => {
-  const site = await crowdedSite(8);
+test('no host reports a decision that the leader could not record', async () => {
+  const site = await largeDeployment(8);
   const id = idOf(1);
   const steps = [{ tasks: 1, after: [] }];
   void site.submit(id, steps, { runMs: 1_000, failures: 0 });
--- a/packages/daemon/src/job-host/fuzz-plan.fixture.test.ts
+++ b/packages/daemon/src/job-host/fuzz-plan.fixture.test.ts
@@ -12,11 +12,11 @@
 /** A label that some workers have. */
 export const LABEL = 'fast';
 /** Time in which jobs are submitted and faults occur, in milliseconds. */
-export const STORM_MS = 16_000;
+export const FAULT_PERIOD_MS = 16_000;
 /** Longest delay until the log carries out an append that it did not answer. */
-const LOSING_MS = 6_000;
+const MAX_APPEND_DELAY_MS = 6_000;
 /** Time until a host that hands over has stopped and restarts. */
-export const STOPPED_MS = 3_500;
+export const HANDOVER_RESTART_MS = 3_500;
 
 const host = fc.constantFrom(...HOSTS);
 const worker = fc.constantFrom(...WORKERS);
@@ -95,7 +95,7 @@
 );
 
 const job = fc.record({
-  at: fc.integer({ min: 0, max: STORM_MS }),
+  at: fc.integer({ min: 0, max: FAULT_PERIOD_MS }),
   widths: fc.array(fc.integer({ min: 1, max: 5 }), {
     minLength: 1,
     maxLength: 3,
@@ -109,7 +109,7 @@
 });
 
 const gang = fc.record({
-  at: fc.integer({ min: 0, max: STORM_MS }),
+  at: fc.integer({ min: 0, max: FAULT_PERIOD_MS }),
   tasks: fc.integer({ min: 2, max: 5 }),
   runMs: fc.integer({ min: 50, max: 3_000 }),
   failures: fc.constantFrom(0, 0, 0, 1),
@@ -118,20 +118,20 @@
 
 /** At most three cores of sixteen each, so that all other jobs find capacity in the end. */
 const lasting = fc.record({
-  at: fc.integer({ min: 0, max: STORM_MS }),
+  at: fc.integer({ min: 0, max: FAULT_PERIOD_MS }),
   tasks: fc.integer({ min: 1, max: 3 }),
   maxPerWorker: fc.constantFrom(undefined, undefined, 1),
   cancelAfter: fc.option(fc.integer({ min: 0, max: 30_000 }), { freq: 2 }),
 });
 
 /** Generates scenarios. */
-export const plan = fc.record({
+export const scenario = fc.record({
   seed: fc.integer({ min: 1, max: 1_000_000 }),
   jobs: fc.array(job, { minLength: 2, maxLength: 8 }),
   gangs: fc.array(gang, { maxLength: 2 }),
   lasting: fc.array(lasting, { maxLength: 2 }),
   faults: fc.array(
-    fc.record({ at: fc.integer({ min: 500, max: STORM_MS }), fault }),
+    fc.record({ at: fc.integer({ min: 500, max: FAULT_PERIOD_MS }), fault }),
     { minLength: 1, maxLength: 8 },
   ),
 });
@@ -139,7 +139,7 @@
 /** Generates periods in which a worker answers polls late, within or beyond the timeout. */
 export const lateAnswers = fc.array(
   fc.record({
-    at: fc.integer({ min: 500, max: STORM_MS }),
+    at: fc.integer({ min: 500, max: FAULT_PERIOD_MS }),
     worker,
     delayMs: fc.integer({ min: 100, max: 2_500 }),
     span: fc.integer({ min: 1_000, max: 12_000 }),
@@ -148,17 +148,17 @@
 );
 
 /** Generates a job with one task that crashes each worker on which it starts. */
-export const crasher = fc.record({
-  at: fc.integer({ min: 0, max: STORM_MS }),
+export const crashingJob = fc.record({
+  at: fc.integer({ min: 0, max: FAULT_PERIOD_MS }),
   tasks: fc.integer({ min: 1, max: 3 }),
   afterMs: fc.constantFrom(0, 10, 300, 2_000),
   kind: fc.constantFrom('plain', 'lasting', 'speculative', 'gang'),
 });
 
 /** Generates workers that restart at once or soon. */
-export const soonRestarts = fc.array(
+export const quickRestarts = fc.array(
   fc.record({
-    at: fc.integer({ min: 500, max: STORM_MS }),
+    at: fc.integer({ min: 500, max: FAULT_PERIOD_MS }),
     worker,
     awayMs: fc.constantFrom(0, 5, 30, 200, 1_500),
   }),
@@ -166,21 +166,23 @@
 );
 
 /** A worker that restarts soon. */
-export type SoonRestart =
-  typeof soonRestarts extends fc.Arbitrary<(infer T)[]> ? T : never;
+export type QuickRestart =
+  typeof quickRestarts extends fc.Arbitrary<(infer T)[]> ? T : never;
 
 /** A job with one task that crashes its workers. */
-export type Crasher = typeof crasher extends fc.Arbitrary<infer T> ? T : never;
+export type CrashingJob =
+  typeof crashingJob extends fc.Arbitrary<infer T> ? T : never;
 
 /** Late answers of one worker. */
 export type LateAnswers =
   typeof lateAnswers extends fc.Arbitrary<(infer T)[]> ? T : never;
 
 /** A scenario. */
-export type Plan = typeof plan extends fc.Arbitrary<infer T> ? T : never;
+export type Scenario =
+  typeof scenario extends fc.Arbitrary<infer T> ? T : never;
 
 /** Returns when and where a fault at time `at` causes disturbances. */
-export function timeOf(at: number, found: Fault): FaultTime {
+export function faultTimeOf(at: number, found: Fault): FaultTime {
   const until = at + found.span;
   switch (found.kind) {
     case 'kill':
@@ -189,9 +191,13 @@
     case 'link':
       return { from: at, until, of: { host: found.host } };
     case 'stop':
-      return { from: at, until: at + STOPPED_MS, of: { host: found.host } };
+      return {
+        from: at,
+        until: at + HANDOVER_RESTART_MS,
+        of: { host: found.host },
+      };
     case 'log': {
-      const late = found.mode === 'losing' ? LOSING_MS : 0;
+      const late = found.mode === 'losing' ? MAX_APPEND_DELAY_MS : 0;
       return { from: at, until: until + late, of: { host: found.host } };
     }
     case 'stream':
@@ -209,7 +215,7 @@
 }
 
 /** A job to submit. */
-export interface Request {
+export interface JobRequest {
   readonly id: string;
   readonly at: number;
   readonly steps: TestStep[];
@@ -220,11 +226,11 @@
 }
 
 /** Returns all jobs of a scenario. */
-export function requestsOf({
+export function jobRequestsOf({
   jobs,
   gangs,
   lasting: standing,
-}: Plan): Request[] {
+}: Scenario): JobRequest[] {
   const plain = jobs.map(asked => ({
     ...asked,
     steps: asked.widths.map((tasks, step) => ({
--- a/packages/daemon/src/job-host/inbox-sender.test.ts
+++ b/packages/daemon/src/job-host/inbox-sender.test.ts
@@ -1,7 +1,8 @@
 /*
- * The load: the log takes 200 ms for each append, one after the other, while thirty callers a second hand in
- * jobs at 24 hosts. Five a second were accepted; what waited for over 2 s was turned away, and the others
- * heard nothing in time. Through the leader their records go into the log together.
+ * Guards against lost submissions on a slow log. The log takes 200 ms for each append, one after
+ * the other, while thirty callers a second submit jobs at 24 hosts. Without batching, five a second
+ * were accepted; those that waited for over 2 s were turned away, and the others got no answer in
+ * time. Through the leader their records are appended in batches.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -22,7 +23,7 @@
 const DEADLINE_MS = 3_000;
 const RECORD = [new Uint8Array([1])];
 
-async function crowdedSite(seed: number): Promise<Simulation> {
+async function largeDeployment(seed: number): Promise<Simulation> {
   const site = new Simulation(seed);
   for (let at = 0; at < HOSTS; at += 1) {
     site.startHost(`h${at}`, at < 9 ? 1.3 : 0.3);
@@ -31,7 +32,7 @@
   return site;
 }
 
-/** Share of the callers of `seconds` that are accepted. */
+/** Returns the share of the callers during `seconds` that are accepted. */
 async function acceptedShare(
   site: Simulation,
   seconds: number,
@@ -54,22 +55,22 @@
   return accepted / callers;
 }
 
-test('while the log is slow nine in ten callers of many hosts are accepted', async () => {
-  const site = await crowdedSite(1);
+test('nine in ten callers of many hosts are accepted while the log is slow', async () => {
+  const site = await largeDeployment(1);
   site.log.appendMs = SLOW_APPEND_MS;
   const share = await acceptedShare(site, 5);
   assert.ok(share >= 0.9, `${share}`);
 });
 
-test('while the leader stands still callers are accepted by the log itself', async () => {
-  const site = await crowdedSite(2);
+test('callers are accepted through the log while the leader is frozen', async () => {
+  const site = await largeDeployment(2);
   site.freeze(site.leader(), 1_500);
   const share = await acceptedShare(site, 1);
   assert.equal(share, 1);
 });
 
-test('a host that does not reach the leader appends by itself', async () => {
-  const site = await crowdedSite(3);
+test('a host that cannot reach the leader appends by itself', async () => {
+  const site = await largeDeployment(3);
   for (const name of site.hosts.keys()) {
     site.peers.cuts.add(`${name}>${site.leader()}`);
   }
@@ -79,7 +80,7 @@
   assert.equal(site.peers.appends, before);
 });
 
-/** A sender whose leader answers `taken`. */
+/** Returns a sender whose leader answers with `taken`. */
 function senderOf(
   time: VirtualTime,
   log: MemoryJobLog,
@@ -93,7 +94,7 @@
   });
 }
 
-test('what the leader may have appended is not told to be refused', async () => {
+test('a record that the leader may have appended is not reported as refused', async () => {
   const time = createVirtualTime();
   const log = new MemoryJobLog({ ...time, random: () => 0.5 });
   log.streamModes.set('inbox', 'refusing');
@@ -105,7 +106,7 @@
   }
 });
 
-test('records that are asked for during an append go into the next one together', async () => {
+test('records that arrive during an append are combined into the next one', async () => {
   const time = createVirtualTime();
   const log = new MemoryJobLog({ ...time, random: () => 0.5 });
   log.appendMs = SLOW_APPEND_MS;
@@ -121,7 +122,7 @@
   );
 });
 
-test('while the log is slow each group is appended once', async () => {
+test('each batch is appended once while the log is slow', async () => {
   const time = createVirtualTime();
   const log = new MemoryJobLog({ ...time, random: () => 0.5 });
   log.appendMs = 600;
@@ -131,6 +132,6 @@
     await time.advance(700);
   }
   await time.advance(2_000);
-  // The first one is sent twice: until then nothing is known of how slow the log is.
+  // The first batch is sent twice, since the speed of the log is not known yet.
   assert.equal(log.recordsOf('inbox').length, 9);
 });
--- a/packages/daemon/src/job-host/job-host.fuzz.test.ts
+++ b/packages/daemon/src/job-host/job-host.fuzz.test.ts
@@ -5,36 +5,36 @@
 import fc from 'fast-check';
 
 import {
-  crasher,
+  crashingJob,
   HOSTS,
   LABEL,
   lateAnswers,
-  plan,
-  requestsOf,
-  soonRestarts,
-  STOPPED_MS,
-  STORM_MS,
-  timeOf,
+  scenario,
+  jobRequestsOf,
+  quickRestarts,
+  HANDOVER_RESTART_MS,
+  FAULT_PERIOD_MS,
+  faultTimeOf,
   WORKERS,
-  type Crasher,
+  type CrashingJob,
   type Fault,
   type LateAnswers,
-  type Plan,
-  type Request,
-  type SoonRestart,
+  type Scenario,
+  type JobRequest,
+  type QuickRestart,
 } from './fuzz-plan.fixture.test.js';
 import { Simulation } from './simulation.fixture.test.js';
 
-/** Workers of which each life has the label. */
+/** Workers that get the label in each incarnation. */
 const LABELLED = ['w1', 'w2'];
-/** Time that orders take at a worker that lags: just below their timeout. */
+/** Time that orders take at a lagging worker: just below their timeout. */
 const LAG_MS = 450;
-/** After the last fault: leases lapse, leaders change, and the work that is left is done. */
-const CALM_MS = 60_000;
-/** How often a caller asks for a state and a length. */
-const ASK_EVERY_MS = 350;
+/** Time after the last fault in which leases expire, leaders change and the remaining work completes. */
+const RECOVERY_MS = 60_000;
+/** Interval at which a caller queries a state and a queue length. */
+const QUERY_INTERVAL_MS = 350;
 
-function strike(site: Simulation, found: Fault): void {
+function injectFault(site: Simulation, found: Fault): void {
   const { time, fleet, log } = site;
   switch (found.kind) {
     case 'kill':
@@ -43,7 +43,7 @@
       return;
     case 'stop':
       void site.hosts.get(found.host)?.host.handOver(3_000);
-      time.schedule(STOPPED_MS, () => {
+      time.schedule(HANDOVER_RESTART_MS, () => {
         site.kill(found.host);
         site.startHost(found.host);
       });
@@ -96,7 +96,7 @@
       return;
     case 'hang':
     case 'fail':
-      disturb(site, found.kind, found.worker, found.span);
+      disturbWorker(site, found.kind, found.worker, found.span);
       return;
     case 'late':
       fleet.lateShare = found.share;
@@ -107,7 +107,7 @@
   }
 }
 
-function disturb(
+function disturbWorker(
   site: Simulation,
   kind: 'hang' | 'fail',
   name: string,
@@ -123,7 +123,10 @@
   }
 }
 
-async function ask(site: Simulation, asked: Request): Promise<void> {
+async function submitAndCancel(
+  site: Simulation,
+  asked: JobRequest,
+): Promise<void> {
   const { id, steps, script, cancelAfter } = asked;
   await site.submit(id, steps, script);
   if (cancelAfter !== null) {
@@ -132,10 +135,10 @@
   }
 }
 
-/** Asks hosts and jobs in turn for states and lengths. */
-async function watch(site: Simulation): Promise<void> {
+/** Queries states and queue lengths, with hosts and jobs in turn. */
+async function queryRepeatedly(site: Simulation): Promise<void> {
   for (let turn = 0; ; turn += 1) {
-    await site.wait(ASK_EVERY_MS);
+    await site.wait(QUERY_INTERVAL_MS);
     const name = HOSTS[turn % HOSTS.length] ?? '';
     const ids = [...site.history.jobs.keys()];
     const id = ids[turn % Math.max(1, ids.length)];
@@ -165,8 +168,8 @@
   site.addWorker(name, LABELLED.includes(name) ? [LABEL] : []);
 }
 
-/** Lets a worker's answers to looks come late for a while. */
-function delayLooks(
+/** Delays a worker's answers to polls for a while. */
+function delayPolls(
   site: Simulation,
   { at, worker, delayMs, span }: LateAnswers,
 ): void {
@@ -181,8 +184,8 @@
   });
 }
 
-async function play(
-  found: Plan,
+async function runScenario(
+  found: Scenario,
   crowd = 0,
   late: readonly LateAnswers[] = [],
   beside?: (site: Simulation) => void,
@@ -195,37 +198,38 @@
   WORKERS.forEach(name => {
     addWorker(site, name);
   });
-  // Beside a crowd of larger hosts those that are struck and asked read the summary for most of the time.
+  // With many larger hosts, the hosts that faults and queries are aimed at follow the summary most
+  // of the time.
   HOSTS.forEach(name => site.startHost(name, crowd > 0 ? 0.6 : 1));
   for (let at = 0; at < crowd; at += 1) {
     site.startHost(`c${at}`, at % 2 === 0 ? 1.3 : 0.5);
   }
-  for (const asked of requestsOf(found)) {
+  for (const asked of jobRequestsOf(found)) {
     site.time.schedule(asked.at, () => {
-      void ask(site, asked);
+      void submitAndCancel(site, asked);
     });
   }
   for (const { at, fault: struck } of found.faults) {
-    times.add(timeOf(begin + at, struck));
+    times.add(faultTimeOf(begin + at, struck));
     site.time.schedule(at, () => {
-      strike(site, struck);
+      injectFault(site, struck);
     });
   }
   late.forEach(answers => {
-    delayLooks(site, answers);
+    delayPolls(site, answers);
   });
   beside?.(site);
-  void watch(site);
-  await site.time.advance(STORM_MS + CALM_MS);
+  void queryRepeatedly(site);
+  await site.time.advance(FAULT_PERIOD_MS + RECOVERY_MS);
   return site;
 }
 
-/** The job of which one task brings its workers down. */
-const CRASHER = '00000000000000f0';
+/** The job with one task that crashes its workers. */
+const CRASHING_JOB = '00000000000000f0';
 
-async function submitCrasher(
+async function submitCrashingJob(
   site: Simulation,
-  { at, tasks, afterMs, kind }: Crasher,
+  { at, tasks, afterMs, kind }: CrashingJob,
 ): Promise<void> {
   await site.wait(at);
   const gang = kind === 'gang';
@@ -236,7 +240,7 @@
     speculative: kind === 'speculative',
     gang,
   };
-  await site.submit(CRASHER, [step], {
+  await site.submit(CRASHING_JOB, [step], {
     runMs: kind === 'lasting' ? 10_000_000 : 3_000,
     failures: 0,
     crash: { afterMs, index: 0 },
@@ -244,21 +248,21 @@
   });
 }
 
-function judge(site: Simulation, found: Plan): void {
+function assertGuarantees(site: Simulation, found: Scenario): void {
   assert.deepEqual(site.history.check(), []);
-  // A run that fails counts as an attempt, so that jobs may fail where workers do.
+  // A failed run counts as an attempt, so jobs may fail if workers make runs fail.
   const workersFail = found.faults.some(
     ({ fault: { kind } }) => kind === 'fail',
   );
-  for (const { id, cancelAfter, ends } of requestsOf(found)) {
+  for (const { id, cancelAfter, ends } of jobRequestsOf(found)) {
     if (ends && cancelAfter === null && !workersFail) {
       assert.ok(site.history.isDone(id), `job ${id} is not done`);
     }
   }
 }
 
-/** How many plays are drawn from which seed, here and by hand. */
-function drawing(
+/** Returns the number of scenarios and the seed, which the environment may override. */
+function fuzzOptions(
   numRuns: number,
   seed: number,
 ): { numRuns: number; seed: number; endOnFailure: boolean } {
@@ -269,10 +273,10 @@
   };
 }
 
-/** A worker starts again at once or soon. */
-function restartSoon(
+/** Restarts a worker at once or soon. */
+function scheduleRestart(
   site: Simulation,
-  { at, worker, awayMs }: SoonRestart,
+  { at, worker, awayMs }: QuickRestart,
 ): void {
   const from = site.time.clock() + at;
   site.history.faults?.add({ from, until: from + awayMs, of: 'workers' });
@@ -286,75 +290,80 @@
   });
 }
 
-test('promises hold under random faults among many hosts', async () => {
+test('guarantees hold under random faults among many hosts', async () => {
   await fc.assert(
-    fc.asyncProperty(plan, async found => {
-      judge(await play(found, 14), found);
+    fc.asyncProperty(scenario, async found => {
+      assertGuarantees(await runScenario(found, 14), found);
     }),
-    drawing(6, 20261203),
+    fuzzOptions(6, 20261203),
   );
 });
 
-test('promises hold under random faults', async () => {
+test('guarantees hold under random faults', async () => {
   await fc.assert(
-    fc.asyncProperty(plan, async found => {
-      judge(await play(found), found);
+    fc.asyncProperty(scenario, async found => {
+      assertGuarantees(await runScenario(found), found);
     }),
-    drawing(12, 20261202),
+    fuzzOptions(12, 20261202),
   );
 });
 
-test('promises hold under random faults while answers of workers come late', async () => {
+test('guarantees hold under random faults while workers answer late', async () => {
   await fc.assert(
-    fc.asyncProperty(plan, lateAnswers, async (found, late) => {
-      judge(await play(found, 0, late), found);
+    fc.asyncProperty(scenario, lateAnswers, async (found, late) => {
+      assertGuarantees(await runScenario(found, 0, late), found);
     }),
-    drawing(10, 20261205),
+    fuzzOptions(10, 20261205),
   );
 });
 
-test('promises hold under random faults beside a task that crashes its workers', async () => {
+test('guarantees hold under random faults with a task that crashes its workers', async () => {
   await fc.assert(
-    fc.asyncProperty(plan, crasher, async (found, drawn) => {
-      const site = await play(found, 0, [], started => {
-        void submitCrasher(started, drawn);
+    fc.asyncProperty(scenario, crashingJob, async (found, drawn) => {
+      const site = await runScenario(found, 0, [], started => {
+        void submitCrashingJob(started, drawn);
       });
-      judge(site, found);
-      assert.ok(site.history.statesTold(CRASHER).includes('failed'));
+      assertGuarantees(site, found);
+      assert.ok(site.history.statesTold(CRASHING_JOB).includes('failed'));
     }),
-    drawing(10, 20261206),
+    fuzzOptions(10, 20261206),
   );
 });
 
-// Late orders are left out: one that comes before the first answer of a worker has a test of its own.
+// Delayed orders are left out: an order that arrives before the first answer of a worker has its
+// own test.
 const underRestarts = fc.asyncProperty(
-  plan,
-  soonRestarts,
+  scenario,
+  quickRestarts,
   async (found, restarts) => {
     const faults = found.faults.filter(({ fault }) => fault.kind !== 'late');
     const drawn = { ...found, faults };
     const beside = (site: Simulation): void => {
       restarts.forEach(restart => {
-        restartSoon(site, restart);
+        scheduleRestart(site, restart);
       });
     };
-    judge(await play(drawn, 0, [], beside, true), drawn);
+    assertGuarantees(await runScenario(drawn, 0, [], beside, true), drawn);
   },
 );
 
-test('promises hold under random faults where workers start again under their ids', async () => {
-  await fc.assert(underRestarts, drawing(12, 20261207));
+test('guarantees hold under random faults with workers that restart under their ids', async () => {
+  await fc.assert(underRestarts, fuzzOptions(12, 20261207));
 });
 
-// Guards against a sound lasting task that is given up since its workers start again by chance.
-test('no sound task is given up where workers start again up to six times', async () => {
-  for (const found of RESTARTS_UNDER_ONE_TASK) {
+// Guards against a healthy long-running task that is abandoned because its workers happen to
+// restart.
+test('no healthy task is abandoned when workers restart up to six times', async () => {
+  for (const found of RESTART_SCENARIOS) {
     await fc.assert(underRestarts, { ...found, numRuns: 1 });
   }
 });
 
-/** Plays drawn by `FUZZ_SEED=1 FUZZ_RUNS=67` and `FUZZ_SEED=2 FUZZ_RUNS=103`: three losses of a sound task. */
-const RESTARTS_UNDER_ONE_TASK = [
+/**
+ * Scenarios found with `FUZZ_SEED=1 FUZZ_RUNS=67` and `FUZZ_SEED=2 FUZZ_RUNS=103`: three losses of
+ * a healthy task.
+ */
+const RESTART_SCENARIOS = [
   { seed: 1, path: '66' },
   { seed: 2, path: '102' },
 ];
--- a/packages/daemon/src/job-host/job-host.test.ts
+++ b/packages/daemon/src/job-host/job-host.test.ts
@@ -27,7 +27,7 @@
   }
 }
 
-test('runs the steps of a job in order and shows it as completed', async () => {
+test('runs the steps of a job in order and reports it as completed', async () => {
   const site = smallSite(1);
   void site.submit('00000000000000a1', TWO_STEPS, QUICK);
   await site.time.advance(6_000);
@@ -40,7 +40,7 @@
   }
 });
 
-test('a repeated submission is one job', async () => {
+test('a repeated submission creates one job', async () => {
   const site = smallSite(2);
   void site.submit('00000000000000a2', TWO_STEPS, QUICK);
   void site.submit('00000000000000a2', TWO_STEPS, QUICK);
@@ -57,7 +57,7 @@
   });
   await site.time.advance(3_500);
   const first = site.leader();
-  // The tasks end while the leader cannot write, and its workers go on reporting them.
+  // The tasks end while the leader cannot write, and its workers keep reporting them.
   site.log.modes.set(first, 'refusing');
   await site.time.advance(8_000);
   assert.notEqual(site.leader(), first);
@@ -65,7 +65,7 @@
   assert.ok(site.history.isDone('00000000000000a3'));
 });
 
-test('another host leads within 2 s of a kill', async () => {
+test('another host leads within 2 s after the leader was killed', async () => {
   const site = smallSite(4);
   await site.time.advance(2_000);
   const first = site.leader();
@@ -74,7 +74,7 @@
   assert.notEqual(site.leader(), first);
 });
 
-test('a leader that is asked to stop is replaced at once', async () => {
+test('a leader that is stopping is replaced at once', async () => {
   const site = smallSite(5);
   await site.time.advance(2_000);
   const first = site.leader();
@@ -83,7 +83,7 @@
   assert.notEqual(site.leader(), first);
 });
 
-test('large hosts lead before small ones, which lead where no other does', async () => {
+test('large hosts lead before small ones, which lead only if no other host does', async () => {
   const site = new Simulation(29);
   ['s1', 's2', 's3', 's4', 's5'].forEach(name => site.startHost(name, 0.3));
   site.startHost('l1', 1.3);
@@ -98,7 +98,7 @@
   assert.match(site.leader(), /^s/u);
 });
 
-test('a leader that was frozen changes nothing when it wakes', async () => {
+test('a leader that was frozen changes nothing when it resumes', async () => {
   const site = smallSite(6);
   void site.submit('00000000000000a6', TWO_STEPS, { runMs: 900, failures: 0 });
   await site.time.advance(1_500);
@@ -136,7 +136,7 @@
   assert.deepEqual(site.history.check(), []);
 });
 
-test('nothing of a cancelled job begins or goes on', async () => {
+test('no task of a cancelled job starts or keeps running', async () => {
   const site = smallSite(9);
   void site.submit('00000000000000a9', TWO_STEPS, {
     runMs: 5_000,
@@ -149,7 +149,7 @@
   assert.equal(site.history.isDone('00000000000000a9'), false);
 });
 
-test('an unknown job is told so', async () => {
+test('an unknown job is reported as unknown', async () => {
   const site = smallSite(10);
   await site.time.advance(1_000);
   const asked = site.hosts.get('h2')?.host.service.status('00000000000000ff');
@@ -157,7 +157,7 @@
   assert.deepEqual(await asked, { kind: 'no_such_job' });
 });
 
-test('a host without the log refuses at once', async () => {
+test('a host that is cut off from the log refuses at once', async () => {
   const site = smallSite(11);
   await site.time.advance(1_000);
   site.log.modes.set('h1', 'silent');
@@ -170,7 +170,7 @@
   assert.equal(site.hosts.get('h1')?.host.ready(), false);
 });
 
-test('a host that cannot read the inbox takes in nothing of the journal', async () => {
+test('a host that cannot read the inbox applies no journal records', async () => {
   const site = smallSite(12);
   void site.submit('0000000000000012', TWO_STEPS, { runMs: 900, failures: 0 });
   await site.time.advance(1_500);
@@ -199,7 +199,7 @@
   assert.deepEqual(site.history.check(), []);
 });
 
-test('nothing starts while cancellations cannot be read', async () => {
+test('no task starts while cancellations cannot be read', async () => {
   const site = smallSite(14);
   const slow = { runMs: 4_000, failures: 0 };
   void site.submit('00000000000000b4', [{ tasks: 12, after: [] }], slow);
@@ -218,7 +218,7 @@
   assert.ok(site.history.isDone('00000000000000b4'));
 });
 
-test('what was read of the inbox before a freeze is stale after it', async () => {
+test('a copy of the inbox that was read before a freeze is stale after it', async () => {
   const site = smallSite(22);
   const slow = { runMs: 4_000, failures: 0 };
   void site.submit('00000000000000c4', [{ tasks: 12, after: [] }], slow);
@@ -241,7 +241,7 @@
   assert.deepEqual(site.history.check(), []);
 });
 
-test('a start that was recorded late is not ordered once its job is cancelled', async () => {
+test('a start that was recorded late is not sent after its job was cancelled', async () => {
   const site = smallSite(15);
   await site.time.advance(2_000);
   void site.submit('0000000000000015', [{ tasks: 2, after: [] }], QUICK);
@@ -255,7 +255,10 @@
   assert.deepEqual(site.history.check(), []);
 });
 
-/** A job is still under way when all but the last third of the retention is gone, and no host remembers. */
+/**
+ * Asserts that a running job survives when the log drops all but the last third of the retention
+ * and every host restarts.
+ */
 async function assertOutlivesRecords(
   site: Simulation,
   wallOffset: number,
@@ -274,13 +277,13 @@
   assert.ok(site.history.isDone(id));
 }
 
-test('a job outlives the records that it began with', () =>
+test('a job outlives its first records', () =>
   assertOutlivesRecords(smallSite(16), 0));
 
-test('a job outlives the records that it began with though clocks jump back', () =>
+test('a job outlives its first records when clocks jump back', () =>
   assertOutlivesRecords(smallSite(30), -40_000));
 
-test('how a job ended is known after its records are gone', async () => {
+test('the outcome of a job is known after its records were dropped', async () => {
   const site = smallSite(28);
   const id = '0000000000000028';
   void site.submit(id, TWO_STEPS, QUICK);
@@ -296,7 +299,7 @@
   assert.deepEqual(await asked, { kind: 'known', status: 'completed' });
 });
 
-test('a job that has long been over is forgotten', async () => {
+test('a job that finished long ago is removed', async () => {
   const site = smallSite(17);
   const id = '0000000000000017';
   void site.submit(id, TWO_STEPS, QUICK);
@@ -306,7 +309,7 @@
   assert.deepEqual(await asked, { kind: 'no_such_job' });
 });
 
-test('a host leads also when no record tells of the epochs before', async () => {
+test('a host leads even if no record of the previous epochs is left', async () => {
   const site = smallSite(18);
   await site.time.advance(2_000);
   for (const name of ['h1', 'h2', 'h3']) {
@@ -322,7 +325,7 @@
   assert.ok(site.history.isDone('0000000000000018'));
 });
 
-test('an unknown outcome is told before half of the time is over', async () => {
+test('an unknown outcome is reported within half of the deadline', async () => {
   const site = smallSite(19);
   await site.time.advance(2_000);
   const service = site.hosts.get('h1')?.host.service;
@@ -346,7 +349,7 @@
   assert.deepEqual(site.history.check(), []);
 });
 
-test('runs of a worker that left while leaders changed begin again in 12 s', async () => {
+test('runs of a worker that left during a change of leaders restart within 12 s', async () => {
   const site = smallSite(21);
   const id = '0000000000000021';
   void site.submit(id, [{ tasks: 6, after: [] }], {
@@ -361,7 +364,7 @@
   assert.ok(site.history.isDone(id));
 });
 
-test('a further change of leaders does not begin the wait for a lost worker anew', async () => {
+test('another change of leaders does not restart the wait for a lost worker', async () => {
   const site = smallSite(23);
   site.startHost('h4');
   const id = '0000000000000023';
@@ -380,7 +383,7 @@
   assert.ok(site.history.isDone(id));
 });
 
-test('a step that allows copies outlives a hanging worker', async () => {
+test('a step with speculative copies completes despite a hanging worker', async () => {
   const site = smallSite(24);
   const id = '0000000000000024';
   const w1 = site.fleet.at('w1');
@@ -394,7 +397,7 @@
   assert.deepEqual(site.history.check(), []);
 });
 
-test('a start that a freeze has held up is not sent once the leader may be replaced', async () => {
+test('a start that was delayed by a freeze is not sent if the leader may have been replaced', async () => {
   const site = new Simulation(25);
   site.addWorker('w1');
   const names = ['h1', 'h2', 'h3'];
@@ -414,7 +417,7 @@
     await site.time.advance(1);
   }
   site.freeze(first, 9_000);
-  // The next leader can't reach the worker, and gives up its runs 9.2 s after its claim.
+  // The next leader can't reach the worker and abandons its runs 9.2 s after its claim.
   for (const name of names.filter(other => other !== first)) {
     site.fleet.cuts.add(`${name}>w1`);
   }
@@ -436,7 +439,7 @@
     failures: 0,
   });
   await site.time.advance(2_000);
-  // Its entry in the registry stays: it reaches the store.
+  // The worker's registry entry stays, since it can reach the store.
   names.forEach(name => site.fleet.cuts.add(`${name}>w1`));
   await site.time.advance(12_000);
   site.fleet.cuts.clear();
@@ -445,7 +448,7 @@
   assert.ok(site.history.isDone(id));
 });
 
-test('starts that wait behind one without an answer are placed elsewhere at once', async () => {
+test('starts queued behind one without an answer are placed elsewhere at once', async () => {
   const site = new Simulation(27);
   site.addWorker('w1');
   site.addWorker('w2');
@@ -458,7 +461,7 @@
     .recordsOf('journal')
     .map(bytes => new TextDecoder().decode(bytes))
     .filter(text => text.startsWith('["e"') && text.includes('"done"'));
-  // All but the one whose order got no answer.
+  // All but the run whose order got no answer.
   assert.equal(done.length, 7);
   await site.time.advance(20_000);
   assert.deepEqual(site.history.check(), []);
--- a/packages/daemon/src/job-host/job-service.test.ts
+++ b/packages/daemon/src/job-host/job-service.test.ts
@@ -16,8 +16,8 @@
 const ID = '00000000000000b1';
 const TASK = { job: ID, occurrence: 0, step: 0, index: 0 };
 
-/** A host that follows, and a log in which others write. */
-class Following {
+/** A host that follows the journal, and a log to which others write. */
+class FollowerFixture {
   readonly time = createVirtualTime();
   readonly log = new MemoryJobLog({ ...this.time, random: () => 0.5 });
   readonly replica: Replica;
@@ -37,7 +37,7 @@
     this.service = new JobService(ctx, inbox, () => view);
   }
 
-  /** Reads the journal on and on, as a host that follows does. */
+  /** Keeps reading the journal, as a follower does. */
   async follow(): Promise<void> {
     const readOn = (): void => {
       void this.replica.refresh('journal');
@@ -47,7 +47,7 @@
     await this.time.advance(100);
   }
 
-  /** Another host accepts the job, and this one learns of it. */
+  /** Another host accepts the job, and this one reads it. */
   async learnJob(): Promise<void> {
     const steps = [{ tasks: 1, after: [] }];
     const job = jobOf(ID, steps, { runMs: 100, failures: 0 });
@@ -60,7 +60,7 @@
     assert.ok(this.replica.state.jobs.has(ID));
   }
 
-  /** The leader records the run of the job's only task. */
+  /** The leader records a run of the job's only task. */
   async recordRun(how: RunEnd): Promise<void> {
     const records = [
       encodeRecord({ kind: 'start', task: TASK, run: 1, worker: 'w' }),
@@ -77,22 +77,22 @@
   }
 }
 
-test('a host that follows tells of an end that it has not read yet', async () => {
-  const site = new Following();
+test('a follower reports the end of a job that it has not read yet', async () => {
+  const site = new FollowerFixture();
   await site.learnJob();
   await site.recordRun('done');
   assert.deepEqual(await site.status(), { kind: 'known', status: 'completed' });
 });
 
-test('a host that follows tells no state while it cannot read the journal', async () => {
-  const site = new Following();
+test('a follower reports no state while it cannot read the journal', async () => {
+  const site = new FollowerFixture();
   await site.learnJob();
   site.log.hostStreamModes.set('h journal', 'unreadable');
   assert.deepEqual(await site.status(), { kind: 'unavailable' });
 });
 
-test('a host that follows tells of an end that it knows without a read', async () => {
-  const site = new Following();
+test('a follower reports a known end of a job without reading', async () => {
+  const site = new FollowerFixture();
   await site.learnJob();
   await site.recordRun('done');
   void site.replica.refresh('journal');
@@ -101,9 +101,9 @@
   assert.deepEqual(await site.status(), { kind: 'known', status: 'completed' });
 });
 
-/** Submits a job whose outcome is asked for after `afterMs`. */
-async function submitted(
-  { service, time }: Following,
+/** Submits a job and returns its outcome after `afterMs`. */
+async function outcomeOfSubmit(
+  { service, time }: FollowerFixture,
   id: string,
   afterMs: number,
 ): Promise<string> {
@@ -116,33 +116,33 @@
   return told;
 }
 
-test('while the inbox resets what it is sent, later callers are refused at once', async () => {
-  const site = new Following();
+test('callers are refused at once while the inbox resets connections', async () => {
+  const site = new FollowerFixture();
   await site.follow();
   site.log.streamModes.set('inbox', 'resetting');
-  assert.equal(await submitted(site, '0000000000000001', 20), 'unknown');
+  assert.equal(await outcomeOfSubmit(site, '0000000000000001', 20), 'unknown');
   for (const id of ['0000000000000002', '0000000000000003']) {
-    assert.equal(await submitted(site, id, 1), 'refused');
+    assert.equal(await outcomeOfSubmit(site, id, 1), 'refused');
   }
   await site.time.advance(5_000);
-  assert.equal(await submitted(site, '0000000000000004', 1), 'refused');
+  assert.equal(await outcomeOfSubmit(site, '0000000000000004', 1), 'refused');
   assert.equal(site.log.recordsOf('inbox').length, 0);
 });
 
 test('callers are accepted again once the inbox can be read', async () => {
-  const site = new Following();
+  const site = new FollowerFixture();
   await site.follow();
   site.log.streamModes.set('inbox', 'resetting');
-  await submitted(site, '0000000000000001', 2_000);
+  await outcomeOfSubmit(site, '0000000000000001', 2_000);
   site.log.streamModes.delete('inbox');
   await site.time.advance(500);
-  assert.equal(await submitted(site, '0000000000000002', 50), 'recorded');
+  assert.equal(await outcomeOfSubmit(site, '0000000000000002', 50), 'recorded');
 });
 
-test('one answer that was lost makes no later caller wait or come back', async () => {
-  const site = new Following();
+test('one lost answer does not make later callers wait or retry', async () => {
+  const site = new FollowerFixture();
   await site.follow();
   site.log.loseNext = 1;
-  await submitted(site, '0000000000000001', 1_000);
-  assert.equal(await submitted(site, '0000000000000002', 50), 'recorded');
+  await outcomeOfSubmit(site, '0000000000000001', 1_000);
+  assert.equal(await outcomeOfSubmit(site, '0000000000000002', 50), 'recorded');
 });
--- a/packages/daemon/src/job-host/late-claim-horizon.test.ts
+++ b/packages/daemon/src/job-host/late-claim-horizon.test.ts
@@ -1,6 +1,6 @@
 /*
- * Found in the review of handed-over leases: a claim that is carried out seconds after it was sent tells of
- * the leader before it what was left when it was sent, though that leader wrote on until it came.
+ * Guards against a claim that is carried out seconds after it was sent: the lease times of the
+ * former leader that it hands over are outdated, since that leader wrote until the claim arrived.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -12,11 +12,11 @@
 const HOSTS = ['h1', 'h2'];
 
 for (let seed = 1; seed <= 24; seed += 1) {
-  test(`a claim is carried out late, seed ${seed}`, async () => {
+  test(`a claim is carried out with a delay, seed ${seed}`, async () => {
     const site = await siteWithLastingJob(seed, HOSTS);
     const name = site.leader();
     for (const host of HOSTS.filter(other => other !== name)) {
-      // Claims get no answer, and are carried out at once or up to 6 s later.
+      // Claims get no answer and are carried out at once or up to 6 s later.
       site.log.hostStreamModes.set(`${host} journal`, 'losing');
       site.fleet.cuts.add(`${host}>w1`);
     }
--- a/packages/daemon/src/job-host/late-claim-twice.test.ts
+++ b/packages/daemon/src/job-host/late-claim-twice.test.ts
@@ -1,7 +1,7 @@
 /*
- * Found in the review of handed-over leases: a claim tells of silent workers what its host read before it
- * claimed. Where the leader that is to stop reaches such a worker again and records it before the claim is
- * carried out, readers take the older word of the claim, and give up runs whose lease was extended since.
+ * Guards against a claim with outdated information on silent workers. If the leader that is
+ * stopping reaches such a worker again and records that before the claim is carried out, readers
+ * that believe the claim abandon runs whose lease was extended since.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -18,21 +18,21 @@
 
 const HOSTS = ['h1', 'h2', 'h3'];
 const HAND_OVER_MS = 3_000;
-/** The leader has recorded by then that w1 is silent; its lease lasts longer. */
-const SILENCES: readonly Millis[] = [
+/** By then the leader has recorded that w1 is silent; the lease of w1 lasts longer. */
+const SILENCE_DURATIONS_MS: readonly Millis[] = [
   2_000, 2_200, 2_400, 2_600, 2_800, 3_000, 3_200, 3_400, 3_600, 3_800,
 ];
-/** A slow log: a claim is carried out so long after the read before it. */
+/** Append time of a slow log: a claim is carried out this long after the read before it. */
 const APPEND_MS = 200;
-const CALM_MS = 20_000;
+const RECOVERY_MS = 20_000;
 /** Time from the request to stop until w1 answers its leader again. */
-const LEADS: readonly Millis[] = [0, 200, 400, 600, 800];
+const RECONNECT_DELAYS_MS: readonly Millis[] = [0, 200, 400, 600, 800];
 
 for (const seed of [1, 2, 3]) {
   test(`w1 answers a leader again while another claims, seed ${seed}`, async () => {
     const broken: unknown[] = [];
-    for (const [silent, lead] of SILENCES.flatMap(s =>
-      LEADS.map(l => [s, l] as const),
+    for (const [silent, lead] of SILENCE_DURATIONS_MS.flatMap(s =>
+      RECONNECT_DELAYS_MS.map(l => [s, l] as const),
     )) {
       const site = await siteWithLastingJob(seed, HOSTS);
       const name = site.leader();
@@ -46,10 +46,10 @@
         site.fleet.cuts.delete(`${name}>w1`);
       });
       await site.time.until(() => claims(site) > 1, 5_000);
-      // It does not learn of the claim, and goes on until its own leases end.
+      // This leader does not see the claim and continues until its own leases end.
       site.log.modes.set(name, 'silent');
       site.log.appendMs = 0;
-      await site.time.advance(CALM_MS);
+      await site.time.advance(RECOVERY_MS);
       assert.equal(site.history.runningOf(LASTING_JOB), LASTING_TASKS);
       const found = site.history.check();
       if (found.length > 0) {
--- a/packages/daemon/src/job-host/loop-delay.test.ts
+++ b/packages/daemon/src/job-host/loop-delay.test.ts
@@ -13,8 +13,8 @@
   readonly untold: number;
 }
 
-/** A loop whose timers fire as late as the test says. */
-class Loop {
+/** An event loop whose timers fire with a given delay. */
+class SimulatedLoop {
   now = 0;
   readonly delays: Millis[] = [];
   readonly lines: Line[] = [];
@@ -46,19 +46,19 @@
     });
   }
 
-  /** Fires the timer that waits, `late` milliseconds after it was due. */
+  /** Fires the pending timer `late` milliseconds after it was due. */
   fire(late: Millis): void {
     this.now = this.dueAt + late;
     this.task?.();
   }
 
-  get waits(): boolean {
+  get hasTimer(): boolean {
     return this.task !== undefined;
   }
 }
 
-test('each sample is how late its timer fired', () => {
-  const loop = new Loop();
+test('each sample is the delay of its timer', () => {
+  const loop = new SimulatedLoop();
   for (const late of [0, 3, 700, 0]) {
     loop.fire(late);
   }
@@ -66,14 +66,14 @@
   assert.equal(loop.now, 4 * LOOP_SAMPLE_INTERVAL_MS + 703);
 });
 
-test('a timer that fires early is not late', () => {
-  const loop = new Loop();
+test('a timer that fires early has no delay', () => {
+  const loop = new SimulatedLoop();
   loop.fire(-0.5);
   assert.deepEqual(loop.delays, [0]);
 });
 
-test('a loop held up for over half a second is told with the span', () => {
-  const loop = new Loop();
+test('a loop that is blocked for over half a second is logged with the delay', () => {
+  const loop = new SimulatedLoop();
   loop.fire(500);
   assert.equal(loop.lines.length, 0);
   loop.fire(501);
@@ -83,8 +83,8 @@
   assert.equal(loop.lines[0].untold, 0);
 });
 
-test('it is told once a second at most, with what was left out', () => {
-  const loop = new Loop();
+test('warnings are logged at most once a second with the number of suppressed ones', () => {
+  const loop = new SimulatedLoop();
   for (let sample = 0; sample < 100; sample += 1) {
     loop.fire(501);
   }
@@ -94,14 +94,14 @@
   assert.equal(loop.delays.length, 100);
 });
 
-test('a stopped watch samples no more', () => {
-  const loop = new Loop();
-  assert.equal(loop.waits, true);
+test('a stopped monitor takes no more samples', () => {
+  const loop = new SimulatedLoop();
+  assert.equal(loop.hasTimer, true);
   loop.stop();
-  assert.equal(loop.waits, false);
+  assert.equal(loop.hasTimer, false);
 });
 
-test('the watch keeps no process alive', () => {
+test('the monitor does not keep the process alive', () => {
   const module = new URL('./loop-delay.js', import.meta.url).href;
   const script = `
     const { scheduleInBackground } = await import(${JSON.stringify(module)});
--- a/packages/daemon/src/job-host/meters.test.ts
+++ b/packages/daemon/src/job-host/meters.test.ts
@@ -5,7 +5,7 @@
 
 import { createJobMeters, type JobMeters } from './meters.js';
 
-/** Returns the samples that `use` leaves, as lines of the text format. */
+/** Returns the samples after `use`, as lines of the text format. */
 async function samplesAfter(
   use: (meters: JobMeters) => void,
 ): Promise<string[]> {
@@ -21,7 +21,7 @@
   );
 }
 
-test('a sent start tells its wait and the age of the inbox', async () => {
+test('a sent start records its wait and the age of the inbox', async () => {
   const lines = await samplesAfter(({ startSent }) => {
     startSent(40, 2_600);
     startSent(4_000, 90);
@@ -38,7 +38,7 @@
   ]);
 });
 
-test('starts given up are counted by reason', async () => {
+test('dropped starts are counted by reason', async () => {
   const lines = await samplesAfter(({ startGivenUp }) => {
     startGivenUp('stale');
     startGivenUp('worker');
@@ -50,7 +50,7 @@
   ]);
 });
 
-test('refusals are counted by what was asked for and why', async () => {
+test('refusals are counted by kind of request and reason', async () => {
   const lines = await samplesAfter(({ refused }) => {
     refused('queue_length', 'stale');
     refused('status', 'log_away');
@@ -62,7 +62,7 @@
   ]);
 });
 
-test('delays of the loop are kept in seconds', async () => {
+test('delays of the event loop are recorded in seconds', async () => {
   const lines = await samplesAfter(({ loopDelayed }) => {
     loopDelayed(1);
     loopDelayed(750);
--- a/packages/daemon/src/job-host/relay/link-budget.test.ts
+++ b/packages/daemon/src/job-host/relay/link-budget.test.ts
@@ -7,7 +7,7 @@
 
 const BYTES_PER_S = 10_000;
 
-test('a budget carries what it has saved up for a second', async () => {
+test('a budget admits the bytes saved up in one second', async () => {
   const time = createVirtualTime();
   const budget = new LinkBudget(time.clock, BYTES_PER_S);
   const taken = Array.from({ length: 12 }, () => budget.tryTake(1_000));
@@ -17,8 +17,9 @@
   assert.ok(!budget.tryTake(1));
 });
 
-// Payloads would else take their part of the link in each second of an overload, when nothing is left of it.
-test('nothing is left of a budget while more is asked for than it carries', async () => {
+// Otherwise payloads would take their part of the link in each second of an overload, when it has
+// nothing to spare.
+test('a budget admits nothing during a sustained overload', async () => {
   const time = createVirtualTime();
   const budget = new LinkBudget(time.clock, BYTES_PER_S);
   let taken = 0;
@@ -26,11 +27,11 @@
     await time.advance(50);
     taken += budget.tryTake(1_000) ? 1 : 0;
   }
-  // The second that was saved up, of twenty a second.
+  // The second that was saved up, at twenty a second.
   assert.ok(taken <= 20, `${taken} of 200`);
 });
 
-test('a budget is whole again soon after an overload', async () => {
+test('a budget recovers soon after an overload', async () => {
   const time = createVirtualTime();
   const budget = new LinkBudget(time.clock, BYTES_PER_S);
   for (let at = 0; at < 100; at += 1) {
@@ -40,7 +41,7 @@
   assert.ok(budget.tryTake(10_000));
 });
 
-test('a link without a limit carries everything', () => {
+test('an unlimited link carries everything', () => {
   const budget = new LinkBudget(createVirtualTime().clock, Infinity);
   assert.ok(budget.tryTake(1e12) && budget.tryTake(1e12));
   assert.ok(!budget.mayBeExceeded);
--- a/packages/daemon/src/job-host/relay/overload-site.fixture.test.ts
+++ b/packages/daemon/src/job-host/relay/overload-site.fixture.test.ts
@@ -21,23 +21,23 @@
 const WORKERS = 34;
 const HOSTS = 10;
 const PAYLOAD = 'x'.repeat(1_060);
-const LASTING = '00000000000000a1';
-const LASTING_TASKS = 12;
+const LONG_RUNNING_JOB = '00000000000000a1';
+const LONG_RUNNING_TASKS = 12;
 const JOB_TASKS = 10;
 const RUN_MS = 300;
 /** Jobs per second that the deployment carries easily, barely and not at all: 60 to 133 starts. */
-export const LIGHT = 6;
-export const STEADY = 8;
-export const LONG_OVERLOAD = 11;
-export const PEAK = 13.3;
+export const LIGHT_JOBS_PER_S = 6;
+export const STEADY_JOBS_PER_S = 8;
+export const OVERLOAD_JOBS_PER_S = 11;
+export const PEAK_JOBS_PER_S = 13.3;
 /** Time until a host leads, others are standbys and long-running tasks run. */
 const SETTLE_MS = 8_000;
 /** Deadline of a job: its terms allow twice the run time of its tasks, plus half a second. */
 const DEADLINE_MS: Millis = 2 * 1_000 + 500;
 /** Maximum share of late jobs in any second: callers are served in nine of ten cases. */
-const LATE_SHARE = 0.1;
+const MAX_LATE_SHARE = 0.1;
 const CALM_MS = 15_000;
-const AWAY_MS = 1_500;
+const RESTART_MS = 1_500;
 const MS_PER_S = 1_000;
 
 /** A period of load, in jobs per second. */
@@ -46,21 +46,21 @@
   readonly ms: Millis;
 }
 
-interface AskedJob {
+interface SubmittedJob {
   readonly id: string;
   readonly at: Instant;
 }
 
 /** A deployment and the jobs that its callers submitted. */
-export class OverloadSite {
+export class OverloadedDeployment {
   readonly site: Simulation;
-  readonly asked: AskedJob[] = [];
+  readonly asked: SubmittedJob[] = [];
 
   /** Creates a deployment whose randomness is derived from `seed`. */
   constructor(seed: number, linkBytesPerS = LINK_BYTES_PER_S) {
     this.site = new Simulation(seed, {
       linkBytesPerS,
-      relaysAll: false,
+      relayAllStarts: false,
       wire: { inBytesPerS: linkBytesPerS, connections: CONNECTIONS },
     });
     this.site.history.faults = new FaultTimes();
@@ -75,9 +75,9 @@
   /** Starts the long-running tasks. */
   async settle(): Promise<void> {
     await this.site.time.advance(SETTLE_MS / 2);
-    const steps = [{ tasks: LASTING_TASKS, after: [], lasting: true }];
+    const steps = [{ tasks: LONG_RUNNING_TASKS, after: [], lasting: true }];
     const script = { runMs: 10_000_000, failures: 0, payload: PAYLOAD };
-    void this.site.submit(LASTING, steps, script);
+    void this.site.submit(LONG_RUNNING_JOB, steps, script);
     await this.site.time.advance(SETTLE_MS / 2);
   }
 
@@ -87,7 +87,7 @@
     for (const { jobsPerS, ms } of stretches) {
       const jobs = Math.round((jobsPerS * ms) / MS_PER_S);
       for (let at = 0; at < jobs; at += 1) {
-        this.ask();
+        this.submitJob();
         await this.site.time.advance(ms / jobs);
       }
     }
@@ -95,18 +95,18 @@
   }
 
   /** Waits until the remaining work can be done. */
-  async calm(): Promise<void> {
+  async recover(): Promise<void> {
     await this.site.time.advance(CALM_MS);
   }
 
   /** Freezes the process of a host for `span`. */
   freeze(name: string, span: Millis): void {
-    this.noteFault(name, span);
+    this.recordFault(name, span);
     this.site.freeze(name, span);
   }
 
   /** Delays starts on their way to one of the standbys. */
-  slowOne(span: Millis): void {
+  delayOneStandby(span: Millis): void {
     const [slow = assert.fail()] = this.others();
     this.site.peers.startDelays.set(slow, span);
   }
@@ -114,9 +114,9 @@
   /** Kills the leader and restarts it soon; by then another host leads and jobs wait. */
   replaceLeader(): void {
     const name = this.site.leader();
-    this.noteFault(name, AWAY_MS);
+    this.recordFault(name, RESTART_MS);
     this.site.kill(name);
-    this.site.time.schedule(AWAY_MS, () => this.site.startHost(name));
+    this.site.time.schedule(RESTART_MS, () => this.site.startHost(name));
   }
 
   /** Returns the hosts that do not lead now. */
@@ -138,25 +138,28 @@
   /** Asserts that jobs of this period start as promptly as callers are promised. */
   assertPrompt(from: Instant, until: Instant, note: string): void {
     const share = this.lateShare(from, until);
-    assert.ok(share <= LATE_SHARE, `${note}: ${share.toFixed(2)} begin late`);
+    assert.ok(
+      share <= MAX_LATE_SHARE,
+      `${note}: ${share.toFixed(2)} begin late`,
+    );
   }
 
   /** Asserts that all jobs are done, long-running tasks run and no guarantee was broken. */
-  assertWhole(note: string): void {
+  assertAllDone(note: string): void {
     const { history } = this.site;
-    const left = history.unfinished().filter(id => id !== LASTING);
+    const left = history.unfinished().filter(id => id !== LONG_RUNNING_JOB);
     assert.deepEqual(left, [], note);
-    assert.equal(history.runningOf(LASTING), LASTING_TASKS, note);
+    assert.equal(history.runningOf(LONG_RUNNING_JOB), LONG_RUNNING_TASKS, note);
     assert.deepEqual(history.check(), [], note);
     assert.ok(this.site.peers.relays > 0, note);
   }
 
-  private noteFault(host: string, span: Millis): void {
+  private recordFault(host: string, span: Millis): void {
     const from = this.site.time.clock();
     this.site.history.faults?.add({ from, until: from + span, of: { host } });
   }
 
-  private ask(): void {
+  private submitJob(): void {
     const id = `b${this.asked.length.toString(16).padStart(15, '0')}`;
     this.asked.push({ id, at: this.site.time.clock() });
     const steps = [{ tasks: JOB_TASKS, after: [] }];
--- a/packages/daemon/src/job-host/relay/relay-site.fixture.test.ts
+++ b/packages/daemon/src/job-host/relay/relay-site.fixture.test.ts
@@ -14,17 +14,17 @@
 /** Machines of the workers. */
 export const RELAY_WORKERS = ['w1', 'w2', 'w3', 'w4', 'w5', 'w6'];
 /** The long-running job and its number of tasks. */
-export const LASTING_JOB = '00000000000000c1';
-export const LASTING_TASKS = 8;
+export const LONG_RUNNING_JOB = '00000000000000c1';
+export const LONG_RUNNING_TASKS = 8;
 const SHORT_JOBS = 30;
-const SHORT_EVERY_MS = 700;
+const SHORT_JOB_INTERVAL_MS = 700;
 const SHORT_RUN_MS = 400;
 /** Every third job is cancelled soon after its submission. */
 const CANCEL_EACH = 3;
 const CANCEL_AFTER_MS = 250;
 /** Time until a host leads and others have offered to be standbys. */
 const SETTLE_MS = 6_500;
-const CALM_MS = 15_000;
+const RECOVERY_MS = 15_000;
 
 /** Returns the hosts that do not lead now. */
 export function relaysOf(site: Simulation): string[] {
@@ -32,36 +32,43 @@
 }
 
 /** Records that a host is disturbed for `span`. */
-export function noteFault(site: Simulation, host: string, span: Millis): void {
+export function recordFault(
+  site: Simulation,
+  host: string,
+  span: Millis,
+): void {
   const from = site.time.clock();
   site.history.faults?.add({ from, until: from + span, of: { host } });
 }
 
 /** Runs jobs while `disturb` injects faults; returns the deployment once all jobs should be done. */
-export async function playRelayed(
+export async function runWithRelays(
   seed: number,
   disturb: (site: Simulation) => void | Promise<void>,
 ): Promise<Simulation> {
-  const site = new Simulation(seed, { relaysAll: true });
+  const site = new Simulation(seed, { relayAllStarts: true });
   site.history.faults = new FaultTimes();
   RELAY_WORKERS.forEach(name => {
     site.addWorker(name);
   });
   RELAY_HOSTS.forEach(name => site.startHost(name));
   await site.time.advance(SETTLE_MS);
-  const step = { tasks: LASTING_TASKS, after: [], lasting: true };
-  void site.submit(LASTING_JOB, [step], { runMs: 10_000_000, failures: 0 });
+  const step = { tasks: LONG_RUNNING_TASKS, after: [], lasting: true };
+  void site.submit(LONG_RUNNING_JOB, [step], {
+    runMs: 10_000_000,
+    failures: 0,
+  });
   await site.time.advance(1_000);
   void submitShortJobs(site);
   void disturb(site);
-  await site.time.advance(SHORT_JOBS * SHORT_EVERY_MS + CALM_MS);
+  await site.time.advance(SHORT_JOBS * SHORT_JOB_INTERVAL_MS + RECOVERY_MS);
   return site;
 }
 
 async function submitShortJobs(site: Simulation): Promise<void> {
   for (let at = 0; at < SHORT_JOBS; at += 1) {
     void submitShort(site, at);
-    await site.wait(SHORT_EVERY_MS);
+    await site.wait(SHORT_JOB_INTERVAL_MS);
   }
 }
 
@@ -83,13 +90,13 @@
  * Asserts that every guarantee was kept, all jobs that were not cancelled are done, and other hosts
  * sent starts.
  */
-export function assertServed(site: Simulation, note: string): void {
+export function assertAllServed(site: Simulation, note: string): void {
   const { history } = site;
   assert.deepEqual(history.check(), [], note);
   const all = Array.from({ length: SHORT_JOBS }, (_, at) => at);
   const asked = all.filter(at => at % CANCEL_EACH !== 0).map(shortJob);
   const unfinished = asked.filter(id => !history.isDone(id));
   assert.deepEqual(unfinished, [], note);
-  assert.equal(history.runningOf(LASTING_JOB), LASTING_TASKS, note);
+  assert.equal(history.runningOf(LONG_RUNNING_JOB), LONG_RUNNING_TASKS, note);
   assert.ok(site.peers.relays > 0, note);
 }
--- a/packages/daemon/src/job-host/relay/relay-window.test.ts
+++ b/packages/daemon/src/job-host/relay/relay-window.test.ts
@@ -3,30 +3,31 @@
 
 import { RelayWindow } from './relay-window.js';
 
-/** Of what such a link carries in a second, a tenth is 100 starts. */
+/** A tenth of what this link carries in a second is 100 starts. */
 const BYTES_PER_S = 150_000;
-const QUICK_MS = 5;
-const QUEUED_MS = 400;
+const FAST_MS = 5;
+const SLOW_MS = 400;
 
-/** A window that has seen an answer without a queue. */
-function seenQuick(): RelayWindow {
+/** Returns a window after an answer without queueing. */
+function windowAfterFastAnswer(): RelayWindow {
   const window = new RelayWindow(BYTES_PER_S);
-  window.recordAccepted(0, QUICK_MS, 0);
+  window.recordAccepted(0, FAST_MS, 0);
   return window;
 }
 
-test('the first window keeps the link busy for a moment only', () => {
+test('the initial window occupies the link only briefly', () => {
   assert.equal(new RelayWindow(BYTES_PER_S).size, 100);
   assert.equal(new RelayWindow(1_000).size, 8);
   assert.equal(new RelayWindow(Infinity).size, 200);
 });
 
-// Else starts that can't be taken in time are sent again, beside those that could be.
-test('the window shrinks with starts that are taken late, once for each queue', () => {
-  const window = seenQuick();
-  window.recordAccepted(10, QUEUED_MS, 1_000);
+// Otherwise starts that can't be accepted in time would be sent again, in addition to those that
+// could.
+test('the window shrinks when starts are accepted late, once per queue', () => {
+  const window = windowAfterFastAnswer();
+  window.recordAccepted(10, SLOW_MS, 1_000);
   assert.equal(window.size, 70);
-  window.recordAccepted(10, QUEUED_MS, 1_200);
+  window.recordAccepted(10, SLOW_MS, 1_200);
   assert.equal(window.size, 70);
   window.recordLate(1_400);
   assert.equal(window.size, 49);
@@ -35,40 +36,41 @@
 });
 
 test('the window never closes', () => {
-  const window = seenQuick();
+  const window = windowAfterFastAnswer();
   for (let at = 1; at < 50; at += 1) {
     window.recordLate(at * 1_000);
   }
   assert.equal(window.size, 8);
 });
 
-test('the window grows back with starts that are taken at once', () => {
-  const window = seenQuick();
+test('the window grows back when starts are accepted promptly', () => {
+  const window = windowAfterFastAnswer();
   window.recordLate(1_000);
   const narrow = window.size;
-  window.recordAccepted(100, QUICK_MS, 1_050);
+  window.recordAccepted(100, FAST_MS, 1_050);
   assert.equal(window.size, narrow + 10);
-  window.recordAccepted(5_000, QUICK_MS, 1_100);
+  window.recordAccepted(5_000, FAST_MS, 1_100);
   assert.equal(window.size, 200);
   assert.ok(!window.isNarrow(1_150));
 });
 
-// The window would else stand at its least for as long as one host of many is slow, on a link that is idle.
-test('a host that is slow alone tells of no queue on the link of the leader', () => {
-  const window = seenQuick();
+// Otherwise the window would stay at its minimum on an idle link as long as one host of many is
+// slow.
+test('a single slow host does not indicate a queue on the link of the leader', () => {
+  const window = windowAfterFastAnswer();
   for (let at = 100; at < 10_000; at += 100) {
-    window.recordAccepted(5, QUICK_MS, at);
-    window.recordAccepted(5, QUEUED_MS, at + 50);
+    window.recordAccepted(5, FAST_MS, at);
+    window.recordAccepted(5, SLOW_MS, at + 50);
     window.recordLate(at + 60);
   }
   assert.equal(window.size, 149);
 });
 
-// Hosts of another region always take longer: that is no queue.
-test('a way that is long tells of no queue', () => {
+// Hosts in another region always take longer; that does not indicate a queue.
+test('a constantly high latency does not indicate a queue', () => {
   const window = new RelayWindow(BYTES_PER_S);
   for (let at = 0; at < 10; at += 1) {
-    window.recordAccepted(10, QUEUED_MS, at * 1_000);
+    window.recordAccepted(10, SLOW_MS, at * 1_000);
   }
   assert.equal(window.size, 110);
 });
--- a/packages/daemon/src/job-host/relay/relayed-starts.test.ts
+++ b/packages/daemon/src/job-host/relay/relayed-starts.test.ts
@@ -1,4 +1,4 @@
-/** What a leader makes of the answers of hosts that are to send its starts, and which hosts it asks. */
+/** How a leader handles the answers of hosts that send its starts, and which hosts it selects. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
@@ -19,7 +19,7 @@
 
 const ACCEPTED: OrderResult = { kind: 'accepted', clock: 7 };
 const SILENT: OrderResult = { kind: 'unknown', reason: 'timeout' };
-/** What the other hosts' clocks are ahead by. */
+/** Offset of the other hosts' clocks. */
 const AHEAD_MS = 1_000_000;
 const RELAYS = ['r1', 'r2', 'r3'];
 const ORDER: StartOrder = {
@@ -37,19 +37,19 @@
   | { readonly kind: 'refused'; readonly why: 'late' }
   | RelayFailure;
 
-/** A start that is wanted for good. */
+/** A start that is always wanted. */
 const WANTED: StartLimits = { isWanted: () => true, sendBy: Infinity };
 
 const LOST: Answer = { kind: 'failed', outcome: 'unknown', reason: 'timeout' };
 
-/** A leader whose link carries no payload, and three hosts that stand by. */
-class LeaderSite {
+/** A leader whose link carries no payload, and three standbys. */
+class LeaderFixture {
   readonly time = createVirtualTime();
   readonly state = emptyJobsState();
-  /** What became of starts that a host was to send, by its address. */
+  /** Outcome of the starts sent through a host, by its address. */
   readonly answers = new Map<string, Answer>();
-  /** What the worker answers to the leader itself. */
-  own: OrderResult = ACCEPTED;
+  /** The worker's answer to the leader itself. */
+  directResult: OrderResult = ACCEPTED;
   readonly sentBy: string[] = [];
   readonly relayed: RelayBatch[] = [];
   readonly starts: RelayedStarts;
@@ -78,7 +78,7 @@
   private readonly port: WorkerPort = {
     start: () => {
       this.sentBy.push('leader');
-      return Promise.resolve(this.own);
+      return Promise.resolve(this.directResult);
     },
     stop: () => Promise.resolve(ACCEPTED),
     throttle: () => Promise.resolve(ACCEPTED),
@@ -112,14 +112,17 @@
     },
   };
 
-  /** What answers of the other hosts take on their way. */
+  /** Latency of the other hosts' answers. */
   answerLagMs = 0;
 
   private remoteClock(): number {
     return this.time.clock() + AHEAD_MS - this.answerLagMs;
   }
 
-  /** Sends a start to a worker, once the other hosts are known; it is wanted until one was asked, or for good. */
+  /**
+   * Sends a start to a worker once the other hosts are known. It stays wanted, or is wanted only
+   * until one host was asked.
+   */
   async send(worker: string, staysWanted = true): Promise<StartResult> {
     await this.time.advance(10);
     const isWanted = (): boolean => staysWanted || this.sentBy.length === 0;
@@ -130,7 +133,7 @@
 
   /** Sends a start to a worker. */
   async sendOne(worker: string, limits = WANTED): Promise<StartResult> {
-    const sending = this.sendSoon(worker, limits);
+    const sending = this.startSending(worker, limits);
     await this.time.advance(100);
     return sending;
   }
@@ -143,81 +146,84 @@
   }
 
   /** Begins to send a start to a worker. */
-  sendSoon(worker: string, limits = WANTED): Promise<StartResult> {
+  startSending(worker: string, limits = WANTED): Promise<StartResult> {
     return this.starts.send({ id: worker, address: worker }, ORDER, limits);
   }
 
-  /** Until when starts are to be sent, by the leader's clock. */
-  latest(): number[] {
+  /** Latest times at which the relayed starts may be sent, on the leader's clock. */
+  latestSendTimes(): number[] {
     const starts = this.relayed.flatMap(batch => batch.starts);
     return starts.map(({ sendBy }) => sendBy - AHEAD_MS);
   }
 
-  /** Lets all other hosts answer the same. */
+  /** Makes all other hosts give the same answer. */
   answerAll(answer: Answer): this {
     RELAYS.forEach(host => this.answers.set(host, answer));
     return this;
   }
 }
 
-/** Returns `count` times the worker `w`, or as many workers whose names begin so. */
+/** Returns the worker `w` `count` times, or `count` workers whose names start with `name`. */
 function workersOf(count: number, name?: string): string[] {
   return Array.from({ length: count }, (_, at) =>
     name === undefined ? 'w' : `${name}${at}`,
   );
 }
 
-/** Returns a site that knows its hosts, which answer `answer` from then on. */
-async function knownSite(answer: Answer): Promise<LeaderSite> {
-  const site = new LeaderSite();
+/** Returns a leader that knows its hosts, which give `answer` from then on. */
+async function leaderWithKnownHosts(answer: Answer): Promise<LeaderFixture> {
+  const site = new LeaderFixture();
   await site.time.advance(10);
   return site.answerAll(answer);
 }
 
-test('a start that the link has no room for goes by way of one other host', async () => {
-  const site = new LeaderSite();
+test('a start that exceeds the link budget is sent through one other host', async () => {
+  const site = new LeaderFixture();
   assert.deepEqual(await site.send('w'), ACCEPTED);
   assert.equal(site.sentBy.length, 1);
   assert.notEqual(site.sentBy[0], 'leader');
 });
 
-test('a start that the link has room for is sent by the leader', async () => {
-  const site = new LeaderSite(1_000_000);
+test('a start within the link budget is sent by the leader', async () => {
+  const site = new LeaderFixture(1_000_000);
   assert.deepEqual(await site.send('w'), ACCEPTED);
   assert.deepEqual(site.sentBy, ['leader']);
 });
 
-test('the other host is told the latest time by its own clock', async () => {
-  const site = new LeaderSite();
+test('the other host gets the latest time on its own clock', async () => {
+  const site = new LeaderFixture();
   await site.time.advance(10);
   const before = site.time.clock();
   await site.sendOne('w');
   await site.sendOne('w', { ...WANTED, sendBy: site.time.clock() + 120 });
   site.starts.close();
-  const [first, second] = site.latest();
+  const [first, second] = site.latestSendTimes();
   assert.equal(first, before + 300);
   assert.equal(second, before + 100 + 120);
 });
 
-// An answer that took long tells of a clock that seems to be behind: by it each start would come late.
-test('the latest time is told by the quickest answer of the other host', async () => {
-  const site = new LeaderSite();
+// A slow answer makes the other clock seem to be behind, so that each start would be late.
+test('the latest time is computed from the fastest answer of the other host', async () => {
+  const site = new LeaderFixture();
   await site.time.advance(10);
   site.answerLagMs = 250;
   await site.sendOne('w');
   await site.sendOne('w');
-  const late = site.latest();
+  const late = site.latestSendTimes();
   assert.equal(late.length, 2);
   assert.ok(late.every((at, turn) => at >= 10 + 300 + 100 * turn));
-  // No longer than some seconds: a machine may have stood still meanwhile.
+  // The bound is kept only for seconds, since a machine may have been suspended meanwhile.
   await site.time.advance(3_000);
   await site.sendToAll(workersOf(2 * RELAYS.length));
   site.starts.close();
-  assert.equal(site.latest().at(-1), site.time.clock() - 100 + 300 - 250);
+  assert.equal(
+    site.latestSendTimes().at(-1),
+    site.time.clock() - 100 + 300 - 250,
+  );
 });
 
-test('a host that has lost a start is given none while it rests, and others take its part', async () => {
-  const site = new LeaderSite();
+test('a host that lost a start gets none during its backoff and others replace it', async () => {
+  const site = new LeaderFixture();
   await site.time.advance(10);
   await site.sendOne('w');
   const [first = ''] = site.sentBy;
@@ -238,9 +244,10 @@
   assert.ok(!site.sentBy.includes('leader'));
 });
 
-// A fallback to the leader's own link costs five times what it replaces, on what is short then.
-test('hosts that seem to be silent all at once are used on while they are heard', async () => {
-  const site = await knownSite(LOST);
+// Falling back to the leader's own link costs five times the bytes while that link is short of
+// capacity.
+test('hosts that seem silent all at once are still used while they answer', async () => {
+  const site = await leaderWithKnownHosts(LOST);
   for (let turn = 0; turn < 4; turn += 1) {
     await site.sendOne('w');
   }
@@ -251,8 +258,8 @@
   assert.ok(!site.sentBy.includes('leader'));
 });
 
-test('hosts of which nothing is heard for seconds are taken to be gone', async () => {
-  const site = await knownSite(LOST);
+test('hosts that are silent for seconds count as unavailable', async () => {
+  const site = await leaderWithKnownHosts(LOST);
   await site.sendToAll(workersOf(RELAYS.length));
   await site.time.advance(2_500);
   site.sentBy.length = 0;
@@ -261,17 +268,17 @@
   assert.deepEqual(site.sentBy, ['leader']);
 });
 
-test('starts that are given at about the same time go in one call', async () => {
-  const site = new LeaderSite();
+test('starts that are given at about the same time share one call', async () => {
+  const site = new LeaderFixture();
   await site.time.advance(10);
   await Promise.all([
-    site.sendSoon('w1'),
-    site.sendSoon('w2'),
+    site.startSending('w1'),
+    site.startSending('w2'),
     site.time.advance(1),
   ]);
-  const soon = [site.sendSoon('w3')];
+  const soon = [site.startSending('w3')];
   await site.time.advance(10);
-  soon.push(site.sendSoon('w4'));
+  soon.push(site.startSending('w4'));
   await site.time.advance(20);
   await Promise.all(soon);
   site.starts.close();
@@ -284,8 +291,8 @@
   ]);
 });
 
-test('starts are shared among all hosts', async () => {
-  const site = new LeaderSite();
+test('starts are distributed over all hosts', async () => {
+  const site = new LeaderFixture();
   await site.time.advance(10);
   for (let at = 0; at < 60; at += 1) {
     await site.sendOne(`w${at}`);
@@ -297,18 +304,19 @@
   }
 });
 
-test('a start that another host has refused or not taken is sent by the leader', async () => {
+test('a start that another host refused or did not accept is sent by the leader', async () => {
   const refused: Answer = { kind: 'refused', why: 'late' };
   for (const answer of [refused, LOST]) {
-    const site = await knownSite(answer);
+    const site = await leaderWithKnownHosts(answer);
     assert.deepEqual(await site.send('w'), ACCEPTED);
     assert.equal(site.sentBy.at(-1), 'leader');
   }
 });
 
-// The leader alone tells whether a worker is silent: the way from the other host to it may be cut.
-test('a worker that does not answer another host is asked by the leader, and has another host then', async () => {
-  const site = await knownSite({ kind: 'sent', result: SILENT });
+// Only the leader can determine whether a worker is silent, since the path from the other host may
+// be cut.
+test('a worker that does not answer one host is called by the leader and then through another host', async () => {
+  const site = await leaderWithKnownHosts({ kind: 'sent', result: SILENT });
   await site.time.advance(10);
   assert.deepEqual(await site.sendOne('w'), ACCEPTED);
   await site.sendOne('w');
@@ -318,9 +326,9 @@
   assert.notEqual(second, first);
 });
 
-// One worker that is slow for a moment would else leave the leader without hosts, and with all payloads.
-test('a host that one worker does not answer is used on for others', async () => {
-  const site = await knownSite({ kind: 'sent', result: SILENT });
+// Otherwise one briefly slow worker would leave the leader without hosts, and with all payloads.
+test('a host that one worker does not answer is still used for other workers', async () => {
+  const site = await leaderWithKnownHosts({ kind: 'sent', result: SILENT });
   await site.sendToAll(workersOf(RELAYS.length));
   site.answerAll({ kind: 'sent', result: ACCEPTED });
   site.sentBy.length = 0;
@@ -332,8 +340,8 @@
   assert.ok(other !== undefined && other !== 'leader');
 });
 
-test('a host that several workers do not answer is used for none, while there are others', async () => {
-  const site = new LeaderSite();
+test('a host that several workers do not answer is not used while there are others', async () => {
+  const site = new LeaderFixture();
   await site.time.advance(10);
   const [cut = ''] = RELAYS;
   site.answers.set(cut, { kind: 'sent', result: SILENT });
@@ -348,33 +356,33 @@
   assert.ok(site.sentBy.filter(by => by === cut).length > before);
 });
 
-// It may have begun and ended there: recorded as never begun, its task would run once more.
-test('a run that is refused after another host may have sent it is not taken for one that never began', async () => {
+// The run may have started and ended there: recorded as never started, its task would run again.
+test('a run refused after another host may have sent it does not count as never started', async () => {
   const old: OrderResult = { kind: 'rejected', why: 'superseded', clock: 7 };
   for (const answer of [LOST, { kind: 'sent', result: SILENT }] as const) {
-    const site = await knownSite(answer);
-    site.own = old;
+    const site = await leaderWithKnownHosts(answer);
+    site.directResult = old;
     assert.equal((await site.send('w')).kind, 'unsure');
-    site.own = { kind: 'not_run', reason: 'refused' };
+    site.directResult = { kind: 'not_run', reason: 'refused' };
   }
-  const site = await knownSite(LOST);
-  site.own = { kind: 'not_run', reason: 'refused' };
+  const site = await leaderWithKnownHosts(LOST);
+  site.directResult = { kind: 'not_run', reason: 'refused' };
   assert.equal((await site.send('w')).kind, 'unknown');
 });
 
-test('a start that is not wanted any more is not sent again', async () => {
-  const lost = await knownSite(LOST);
+test('a start that is no longer wanted is not sent again', async () => {
+  const lost = await leaderWithKnownHosts(LOST);
   assert.equal((await lost.send('w', false)).kind, 'unsure');
-  const refused = await knownSite({ kind: 'refused', why: 'late' });
+  const refused = await leaderWithKnownHosts({ kind: 'refused', why: 'late' });
   assert.equal((await refused.send('w', false)).kind, 'not_wanted');
   assert.ok(![...lost.sentBy, ...refused.sentBy].includes('leader'));
 });
 
-test('what a worker has turned down is told as it is', async () => {
+test('the refusal of a worker is returned unchanged', async () => {
   const fenced: OrderResult = { kind: 'rejected', why: 'fenced', clock: 7 };
-  const site = await knownSite({ kind: 'sent', result: fenced });
+  const site = await leaderWithKnownHosts({ kind: 'sent', result: fenced });
   assert.deepEqual(await site.send('w'), fenced);
-  const later = await knownSite(LOST);
-  later.own = fenced;
+  const later = await leaderWithKnownHosts(LOST);
+  later.directResult = fenced;
   assert.deepEqual(await later.send('w'), fenced);
 });
--- a/packages/daemon/src/job-host/relay/relaying-hosts.test.ts
+++ b/packages/daemon/src/job-host/relay/relaying-hosts.test.ts
@@ -1,4 +1,4 @@
-/** What callers see where the hosts that send a leader's starts are lost, slow, cut off or overtaken. */
+/** What callers see when hosts that send a leader's starts are lost, slow, cut off or outdated. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
@@ -11,9 +11,9 @@
 
 import type { Simulation } from '../simulation.fixture.test.js';
 import {
-  assertServed,
-  noteFault,
-  playRelayed,
+  assertAllServed,
+  recordFault,
+  runWithRelays,
   RELAY_HOSTS,
   RELAY_WORKERS,
   relaysOf,
@@ -25,8 +25,8 @@
 const CANCELLED_JOB = '00000000000000c2';
 const LONG = { runMs: 6_000, failures: 0 };
 
-/** Does something to the site again and again. */
-async function inTurn(
+/** Disturbs the deployment repeatedly. */
+async function disturbRepeatedly(
   site: Simulation,
   act: (turn: number) => void,
 ): Promise<void> {
@@ -37,73 +37,75 @@
 }
 
 function restart(site: Simulation, name: string, awayMs: Millis): void {
-  noteFault(site, name, awayMs);
+  recordFault(site, name, awayMs);
   site.kill(name);
   site.time.schedule(awayMs, () => site.startHost(name));
 }
 
-test('all is done while other hosts send the starts', async () => {
+test('all jobs are done while other hosts send the starts', async () => {
   for (const seed of SEEDS) {
-    const site = await playRelayed(seed, () => undefined);
-    assertServed(site, `seed ${seed}`);
+    const site = await runWithRelays(seed, () => undefined);
+    assertAllServed(site, `seed ${seed}`);
   }
 });
 
-test('all is done though hosts that send starts are killed', async () => {
+test('all jobs are done although hosts that send starts are killed', async () => {
   for (const seed of SEEDS) {
-    const site = await playRelayed(seed, playing =>
-      inTurn(playing, turn => {
+    const site = await runWithRelays(seed, playing =>
+      disturbRepeatedly(playing, turn => {
         const relays = relaysOf(playing);
         restart(playing, relays[turn % relays.length] ?? '', 1_500);
       }),
     );
-    assertServed(site, `seed ${seed}`);
+    assertAllServed(site, `seed ${seed}`);
   }
 });
 
-test('all is done though all hosts that send starts are lost at once', async () => {
+test('all jobs are done although all hosts that send starts are lost at once', async () => {
   for (const seed of SEEDS) {
-    const site = await playRelayed(seed, async playing => {
+    const site = await runWithRelays(seed, async playing => {
       await playing.wait(4_000);
       for (const name of relaysOf(playing)) {
         restart(playing, name, 6_000);
       }
     });
-    assertServed(site, `seed ${seed}`);
+    assertAllServed(site, `seed ${seed}`);
   }
 });
 
-test('all is done though hosts that send starts stand still and go on', async () => {
+test('all jobs are done although hosts that send starts freeze and resume', async () => {
   for (const seed of SEEDS) {
-    const site = await playRelayed(seed, playing =>
-      inTurn(playing, () => {
+    const site = await runWithRelays(seed, playing =>
+      disturbRepeatedly(playing, () => {
         for (const name of relaysOf(playing)) {
-          noteFault(playing, name, 1_200);
+          recordFault(playing, name, 1_200);
           playing.freeze(name, 1_200);
         }
       }),
     );
-    assertServed(site, `seed ${seed}`);
+    assertAllServed(site, `seed ${seed}`);
   }
 });
 
-// A start that arrives late, as over a link that is cut and comes back, must not begin what was cancelled since.
-test('nothing begins after its cancellation though starts reach other hosts seconds late', async () => {
+// A start that arrives late, as over a link that recovers from a cut, must not start a task that
+// was cancelled meanwhile.
+test('no task starts after its cancellation although starts reach other hosts seconds late', async () => {
   for (const seed of SEEDS) {
-    const site = await playRelayed(seed, async playing => {
+    const site = await runWithRelays(seed, async playing => {
       for (const name of RELAY_HOSTS) {
         playing.peers.startDelays.set(name, 4_000);
       }
       await playing.wait(12_000);
       playing.peers.startDelays.clear();
     });
-    assertServed(site, `seed ${seed}`);
+    assertAllServed(site, `seed ${seed}`);
   }
 });
 
-// The leader can neither send the start itself nor stop it: that it is late is all that keeps it from beginning.
-test('nothing begins late at a worker that the leader no longer reaches', async () => {
-  const site = await playRelayed(5, () => undefined);
+// The leader can neither send the start itself nor stop it: only its lateness keeps the run from
+// starting.
+test('no task starts late on a worker that the leader no longer reaches', async () => {
+  const site = await runWithRelays(5, () => undefined);
   const leader = site.leader();
   for (const name of RELAY_HOSTS) {
     site.peers.startDelays.set(name, 4_000);
@@ -120,10 +122,10 @@
   assert.equal(site.history.runningOf(CANCELLED_JOB), 0);
 });
 
-test('all is done though hosts that send starts are cut off from the leader alone', async () => {
+test('all jobs are done although hosts that send starts are cut off from the leader', async () => {
   for (const seed of SEEDS) {
-    const site = await playRelayed(seed, playing =>
-      inTurn(playing, () => {
+    const site = await runWithRelays(seed, playing =>
+      disturbRepeatedly(playing, () => {
         const leader = playing.leader();
         const cuts = relaysOf(playing).map(name => `${leader}>${name}`);
         cuts.forEach(cut => playing.peers.cuts.add(cut));
@@ -132,14 +134,14 @@
         });
       }),
     );
-    assertServed(site, `seed ${seed}`);
+    assertAllServed(site, `seed ${seed}`);
   }
 });
 
-// The leader reaches the worker: it must be neither given up nor left without work.
-test('all is done though hosts that send starts are cut off from workers alone', async () => {
+// The leader reaches the worker, which must be neither abandoned nor left without work.
+test('all jobs are done although hosts that send starts are cut off from workers', async () => {
   for (const seed of SEEDS) {
-    const site = await playRelayed(seed, async playing => {
+    const site = await runWithRelays(seed, async playing => {
       for (const worker of RELAY_WORKERS) {
         for (const name of relaysOf(playing)) {
           playing.fleet.cuts.add(`${name}>${worker}`);
@@ -148,14 +150,14 @@
       await playing.wait(10_000);
       playing.fleet.cuts.clear();
     });
-    assertServed(site, `seed ${seed}`);
+    assertAllServed(site, `seed ${seed}`);
   }
 });
 
-test('all is done though leaders change while others send their starts', async () => {
+test('all jobs are done although leaders change while others send their starts', async () => {
   for (const seed of SEEDS) {
-    const site = await playRelayed(seed, playing =>
-      inTurn(playing, () => {
+    const site = await runWithRelays(seed, playing =>
+      disturbRepeatedly(playing, () => {
         const leader = playing.leader();
         for (const name of relaysOf(playing)) {
           playing.peers.startDelays.set(name, 150);
@@ -165,24 +167,24 @@
         });
       }),
     );
-    assertServed(site, `seed ${seed}`);
+    assertAllServed(site, `seed ${seed}`);
   }
 });
 
-test('a leader that was replaced without knowing has nothing begun by others', async () => {
+test('a leader that does not know that it was replaced starts nothing through other hosts', async () => {
   for (const seed of SEEDS) {
-    const site = await playRelayed(seed, playing =>
-      inTurn(playing, () => {
+    const site = await runWithRelays(seed, playing =>
+      disturbRepeatedly(playing, () => {
         const leader = playing.leader();
-        noteFault(playing, leader, 2_000);
+        recordFault(playing, leader, 2_000);
         playing.freeze(leader, 2_000);
       }),
     );
-    assertServed(site, `seed ${seed}`);
+    assertAllServed(site, `seed ${seed}`);
   }
 });
 
-test('a host whose offer tells no address, as of an earlier version, is sent no starts', () => {
+test('a host of an earlier version, whose offer has no address, is sent no starts', () => {
   const row = new TextEncoder().encode('["volunteer","h1",1]');
   const offer = decodeInbox(row);
   assert.ok(offer?.kind === 'volunteer');
--- a/packages/daemon/src/job-host/relay/start-relay.test.ts
+++ b/packages/daemon/src/job-host/relay/start-relay.test.ts
@@ -1,4 +1,4 @@
-/** What a host does that is to send a start for the leader. */
+/** How a host sends starts on behalf of the leader. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
@@ -26,7 +26,7 @@
 const EPOCH = 64;
 const ACCEPTED: OrderResult = { kind: 'accepted', clock: 7 };
 
-/** A start, which is to be sent by when its batch says. */
+/** A start whose latest send time comes from its batch. */
 type TestStart = Omit<RelayedStart, 'sendBy'>;
 
 const START: TestStart = {
@@ -42,13 +42,13 @@
 };
 
 /** A host that is asked to send starts. */
-class RelaySite {
+class RelayFixture {
   readonly time = createVirtualTime();
   readonly state = emptyJobsState();
   readonly sent: StartOrder[] = [];
   readonly forgotten: string[] = [];
   follows = true;
-  /** What a read of the inbox takes, and brings. */
+  /** Duration of a read of the inbox, and the records it returns. */
   readMs = 5;
   inbox: () => void = () => undefined;
 
@@ -93,7 +93,7 @@
     applyInbox(this.state, { kind: 'submit', job: SPEC, atWall: 0 });
   }
 
-  /** Starts that this host is to send within 300 ms: one, where no others are given. */
+  /** Returns a batch of starts that this host is to send within 300 ms; of one start by default. */
   batch(starts: readonly TestStart[] = [START]): RelayBatch {
     const { process, clock } = this.relay.identify();
     const sendBy = clock + 300;
@@ -101,8 +101,8 @@
     return { epoch: EPOCH, process, starts: due };
   }
 
-  /** Takes starts, and returns what became of each. */
-  async takeAll(batch: RelayBatch): Promise<string[]> {
+  /** Handles a batch and returns the outcome of each start. */
+  async relayAll(batch: RelayBatch): Promise<string[]> {
     const told: string[] = [];
     const taking = this.relay.sendBatch(batch, (at, outcome) => {
       assert.equal(told[at], undefined);
@@ -113,9 +113,9 @@
     return told;
   }
 
-  /** Takes one start, and returns what became of it. */
-  async take(batch: RelayBatch): Promise<string> {
-    const told = await this.takeAll(batch);
+  /** Handles a batch of one start and returns its outcome. */
+  async relayOne(batch: RelayBatch): Promise<string> {
+    const told = await this.relayAll(batch);
     assert.equal(told.length, 1);
     return told[0] ?? '';
   }
@@ -125,16 +125,16 @@
   return outcome.kind === 'refused' ? outcome.why : outcome.result.kind;
 }
 
-test('a start is sent with the payload that the log holds, and all else as the leader says', async () => {
-  const site = new RelaySite();
+test('a start is sent with the payload from the log and all else from the leader', async () => {
+  const site = new RelayFixture();
   site.submit();
-  assert.equal(await site.take(site.batch()), 'accepted');
+  assert.equal(await site.relayOne(site.batch()), 'accepted');
   assert.deepEqual(site.sent, [{ ...START.order, payload: SPEC.payload }]);
 });
 
-// The leader counts a start of which it hears nothing as one that may begin.
-test('what became of a start is told as soon as its worker has answered, whatever the others do', async () => {
-  const site = new RelaySite();
+// Without an outcome the leader assumes that the run may still start.
+test('the outcome of a start is reported as soon as its worker answers', async () => {
+  const site = new RelayFixture();
   site.submit();
   site.answerMs.set('slow', 400);
   const slow = { ...START, worker: { id: 'slow', address: 'w:2' } };
@@ -162,72 +162,73 @@
   ]);
 });
 
-test('a job that is not known is looked for in the log', async () => {
-  const site = new RelaySite();
+test('an unknown job is looked up in the log', async () => {
+  const site = new RelayFixture();
   site.inbox = () => {
     site.submit();
   };
-  assert.equal(await site.take(site.batch()), 'accepted');
+  assert.equal(await site.relayOne(site.batch()), 'accepted');
 });
 
-test('no start is sent of a job that is not in the log, or over', async () => {
-  const site = new RelaySite();
-  assert.equal(await site.take(site.batch()), 'unknown_job');
+test('no start is sent for a job that is not in the log or has finished', async () => {
+  const site = new RelayFixture();
+  assert.equal(await site.relayOne(site.batch()), 'unknown_job');
   site.submit();
   applyInbox(site.state, { kind: 'cancel', job: JOB });
-  assert.equal(await site.take(site.batch()), 'unknown_job');
+  assert.equal(await site.relayOne(site.batch()), 'unknown_job');
   assert.deepEqual(site.sent, []);
 });
 
 test('no start is sent that arrives late', async () => {
-  const site = new RelaySite();
+  const site = new RelayFixture();
   site.submit();
   const batch = site.batch();
   await site.time.advance(301);
-  assert.equal(await site.take(batch), 'late');
+  assert.equal(await site.relayOne(batch), 'late');
   assert.deepEqual(site.sent, []);
 });
 
-test('no start is sent that is late once the log was read', async () => {
-  const site = new RelaySite();
+test('no start is sent that is late after the log was read', async () => {
+  const site = new RelayFixture();
   site.readMs = 400;
   site.inbox = () => {
     site.submit();
   };
-  assert.equal(await site.take(site.batch()), 'late');
+  assert.equal(await site.relayOne(site.batch()), 'late');
   assert.deepEqual(site.sent, []);
 });
 
-// The clock of another process of the host may be behind by hours: by it no start would be late.
-test('no start is sent that was meant for another process of the host', async () => {
-  const site = new RelaySite();
+// The clock of another process of the host may be hours behind; on that clock no start would be
+// late.
+test('no start is sent that was addressed to another process of the host', async () => {
+  const site = new RelayFixture();
   site.submit();
   const batch = { ...site.batch(), process: 'another' };
-  assert.equal(await site.take(batch), 'other_process');
+  assert.equal(await site.relayOne(batch), 'other_process');
   assert.deepEqual(site.sent, []);
 });
 
 test('no start is sent by a host that leads, stops or does not follow the log', async () => {
-  const site = new RelaySite();
+  const site = new RelayFixture();
   site.submit();
   site.follows = false;
-  assert.equal(await site.take(site.batch()), 'not_following');
+  assert.equal(await site.relayOne(site.batch()), 'not_following');
   assert.deepEqual(site.sent, []);
 });
 
-test('no start is sent for a leader of which a later one is known', async () => {
-  const site = new RelaySite();
+test('no start is sent for a leader with a known successor', async () => {
+  const site = new RelayFixture();
   site.submit();
   const claim = { kind: 'claim', host: 'h2', nonce: 1 } as const;
   applyJournal(site.state, { ...claim, epoch: EPOCH + 64 });
-  assert.equal(await site.take(site.batch()), 'deposed');
+  assert.equal(await site.relayOne(site.batch()), 'deposed');
   assert.deepEqual(site.sent, []);
 });
 
-test('connections to workers that are not used are closed', async () => {
-  const site = new RelaySite();
+test('idle connections to workers are closed', async () => {
+  const site = new RelayFixture();
   site.submit();
-  await site.take(site.batch());
+  await site.relayOne(site.batch());
   site.relay.closeIdleConnections();
   assert.deepEqual(site.forgotten, []);
   await site.time.advance(60_000);
--- a/packages/daemon/src/job-host/replica.test.ts
+++ b/packages/daemon/src/job-host/replica.test.ts
@@ -9,12 +9,12 @@
 
 const READ_MS = 300;
 
-/** A copy whose reads take 300 ms and find nothing. */
-class SlowReads {
+/** A replica whose reads take 300 ms and find nothing. */
+class SlowReplica {
   readonly time = createVirtualTime();
-  begun = 0;
-  underWay = 0;
-  mostUnderWay = 0;
+  startedReads = 0;
+  readsInFlight = 0;
+  maxReadsInFlight = 0;
   readonly replica: Replica;
 
   constructor() {
@@ -22,13 +22,16 @@
     const jobLog: JobLog = {
       append: () => Promise.resolve({ kind: 'refused', reason: 'read only' }),
       read: async (_stream, offset) => {
-        this.begun += 1;
-        this.underWay += 1;
-        this.mostUnderWay = Math.max(this.mostUnderWay, this.underWay);
+        this.startedReads += 1;
+        this.readsInFlight += 1;
+        this.maxReadsInFlight = Math.max(
+          this.maxReadsInFlight,
+          this.readsInFlight,
+        );
         await new Promise<void>(resolve => {
           schedule(READ_MS, resolve);
         });
-        this.underWay -= 1;
+        this.readsInFlight -= 1;
         return { kind: 'records', records: [], offset, endOffset: 0 };
       },
     };
@@ -38,19 +41,19 @@
 }
 
 for (const stream of ['inbox', 'journal'] as const) {
-  test(`all who ask for the ${stream} at the same time share a read`, async () => {
-    const site = new SlowReads();
+  test(`concurrent refreshes of the ${stream} share a read`, async () => {
+    const site = new SlowReplica();
     void site.replica.refresh('journal');
     await site.time.advance(1_000);
-    site.begun = 0;
+    site.startedReads = 0;
     const asked = [1, 2, 3, 4, 5].map(() => site.replica.refresh(stream));
     await site.time.advance(1_000);
     assert.deepEqual(await Promise.all(asked), [true, true, true, true, true]);
-    assert.equal(site.begun, 1);
+    assert.equal(site.startedReads, 1);
   });
 
-  test(`reads of the ${stream} go one at a time`, async () => {
-    const site = new SlowReads();
+  test(`the ${stream} is read by one read at a time`, async () => {
+    const site = new SlowReplica();
     const asked: Promise<boolean>[] = [];
     for (let at = 0; at < 10; at += 1) {
       asked.push(site.replica.refresh(stream));
@@ -58,6 +61,6 @@
     }
     await site.time.advance(2_000);
     assert.ok((await Promise.all(asked)).every(Boolean));
-    assert.equal(site.mostUnderWay, 1);
+    assert.equal(site.maxReadsInFlight, 1);
   });
 }
--- a/packages/daemon/src/job-host/restarts-site.fixture.test.ts
+++ b/packages/daemon/src/job-host/restarts-site.fixture.test.ts
@@ -18,23 +18,23 @@
 const SHORT_TASKS = 6;
 const SHORT_RUN_MS = 700;
 const SHORT_JOBS = 49;
-const SHORT_EVERY_MS = 900;
+const SHORT_JOB_INTERVAL_MS = 900;
 /** Time until a host leads and the long-running job runs. */
 const SETTLE_MS = 4_000;
 /** Pause between restarts. */
-const EVERY_MS = 5_000;
+const RESTART_INTERVAL_MS = 5_000;
 /** Number of restarts. */
 export const RESTARTS = 6;
 /** Seeds of each scenario. */
 export const SEEDS = [1, 2, 3, 4];
 /** Time after the last restart in which all remaining work completes. */
-const CALM_MS = 30_000;
+const RECOVERY_MS = 30_000;
 
 /** Restarts workers; `turn` counts from 0. */
 export type Restart = (site: Simulation, turn: number) => void | Promise<void>;
 
 /** Settings of a deployment and the restarts in it. */
-export interface RestartsPlay {
+export interface RestartsScenario {
   readonly seed: number;
   readonly restart: Restart;
   readonly keepsIds?: boolean;
@@ -49,7 +49,7 @@
   keepsIds = true,
   maxLeaseMs = 6_000,
   wallOffset = 0,
-}: Omit<RestartsPlay, 'restart'>): Promise<Simulation> {
+}: Omit<RestartsScenario, 'restart'>): Promise<Simulation> {
   const site = new Simulation(seed, { keepsIds, maxLeaseMs });
   site.workerWallOffset = wallOffset;
   site.history.faults = new FaultTimes();
@@ -65,14 +65,18 @@
 }
 
 /** Runs restarts while jobs are submitted; returns the deployment once all jobs should be done. */
-export async function playRestarts(play: RestartsPlay): Promise<Simulation> {
+export async function playRestarts(
+  play: RestartsScenario,
+): Promise<Simulation> {
   const site = await siteWithRestarts(play);
   void submitShortJobs(site);
   for (let turn = 0; turn < RESTARTS; turn += 1) {
-    await site.time.advance(EVERY_MS);
+    await site.time.advance(RESTART_INTERVAL_MS);
     void play.restart(site, turn);
   }
-  await site.time.advance(Math.max(CALM_MS, SHORT_JOBS * SHORT_EVERY_MS));
+  await site.time.advance(
+    Math.max(RECOVERY_MS, SHORT_JOBS * SHORT_JOB_INTERVAL_MS),
+  );
   return site;
 }
 
@@ -81,7 +85,7 @@
     const step = { tasks: SHORT_TASKS, after: [] };
     const script = { runMs: SHORT_RUN_MS, failures: 0 };
     void site.submit(shortJob(index), [step], script);
-    await site.wait(SHORT_EVERY_MS);
+    await site.wait(SHORT_JOB_INTERVAL_MS);
   }
 }
 
--- a/packages/daemon/src/job-host/simulated-network.fixture.test.ts
+++ b/packages/daemon/src/job-host/simulated-network.fixture.test.ts
@@ -18,14 +18,14 @@
 /** Size of each further start in a call to another host. */
 const START_ROW_BYTES = 110;
 /** Timeout of an order to a worker. */
-const ORDER_MS: Millis = 500;
+const ORDER_TIMEOUT_MS: Millis = 500;
 /** Latency of a call between hosts, and its timeouts for being accepted and for the append. */
-const PEER_MS: Millis = 2;
-const PEER_TAKEN_MS: Millis = 80;
-const PEER_APPENDED_MS: Millis = 1_200;
+const PEER_LATENCY_MS: Millis = 2;
+const PEER_ACCEPT_TIMEOUT_MS: Millis = 80;
+const PEER_APPEND_TIMEOUT_MS: Millis = 1_200;
 /** Timeouts for identifying a host, and for starts that it has accepted. */
-const IDENTIFIED_MS: Millis = 300;
-const RELAYED_MS: Millis = 900;
+const IDENTIFY_TIMEOUT_MS: Millis = 300;
+const RELAY_TIMEOUT_MS: Millis = 900;
 const MS_PER_S = 1_000;
 
 /** A host's outgoing link, which carries one byte after the other. */
@@ -46,7 +46,7 @@
     const now = this.time.clock();
     const took = (bytes / this.bytesPerS) * MS_PER_S;
     this.freeAt = Math.max(now, this.freeAt) + took;
-    await pauseOf(this.time, this.freeAt - now);
+    await sleepIn(this.time, this.freeAt - now);
   }
 
   /**
@@ -61,10 +61,12 @@
       bytes: number,
       call: () => Promise<OrderResult>,
     ): Promise<OrderResult> => {
-      const gaveUp = pauseOf(this.time, ORDER_MS).then((): OrderResult => ({
-        kind: 'unknown',
-        reason: 'timeout',
-      }));
+      const gaveUp = sleepIn(this.time, ORDER_TIMEOUT_MS).then(
+        (): OrderResult => ({
+          kind: 'unknown',
+          reason: 'timeout',
+        }),
+      );
       return Promise.race([this.carry(bytes).then(call), gaveUp]);
     };
     return {
@@ -118,14 +120,14 @@
   connect(name: string, link: SimulatedLink): PeerPort {
     return {
       append: async (address, records) => {
-        await this.pause(PEER_MS);
+        await this.pause(PEER_LATENCY_MS);
         const found = this.reach(name, address);
         const unknown = { kind: 'unknown', reason: 'no answer' } as const;
         if (found === undefined || found.process.isStopped) {
-          return this.pause(PEER_TAKEN_MS).then(() => unknown);
+          return this.pause(PEER_ACCEPT_TIMEOUT_MS).then(() => unknown);
         }
         this.appends += 1;
-        const gaveUp = this.pause(PEER_APPENDED_MS).then(() => unknown);
+        const gaveUp = this.pause(PEER_APPEND_TIMEOUT_MS).then(() => unknown);
         return Promise.race([found.host.appendForPeer(records), gaveUp]);
       },
       relay: (address, batch, watch) => {
@@ -134,7 +136,7 @@
           const notTaken = this.time.schedule(watch.takenWithinMs, () => {
             resolve(UNANSWERED);
           });
-          const gaveUp = this.pause(watch.takenWithinMs + RELAYED_MS);
+          const gaveUp = this.pause(watch.takenWithinMs + RELAY_TIMEOUT_MS);
           void gaveUp.then(() => {
             resolve(UNANSWERED);
           });
@@ -151,10 +153,10 @@
       },
       identify: async address => {
         await link.carry(CALL_BYTES);
-        await this.pause(PEER_MS);
+        await this.pause(PEER_LATENCY_MS);
         const found = this.reach(name, address);
         if (found === undefined || found.process.isStopped) {
-          return this.pause(IDENTIFIED_MS).then(() => undefined);
+          return this.pause(IDENTIFY_TIMEOUT_MS).then(() => undefined);
         }
         return found.host.identifyForPeer();
       },
@@ -168,13 +170,13 @@
     batch: RelayBatch,
     watch: RelayWatch,
   ): Promise<RelayEnd> {
-    await this.pause(PEER_MS + (this.startDelays.get(to) ?? 0));
+    await this.pause(PEER_LATENCY_MS + (this.startDelays.get(to) ?? 0));
     const found = this.reach(from, to);
     if (found === undefined) {
       return new Promise(() => undefined);
     }
     const answers = (tell: () => void): void => {
-      void this.pause(PEER_MS).then(() => {
+      void this.pause(PEER_LATENCY_MS).then(() => {
         if (this.reach(from, to) === found) {
           tell();
         }
@@ -208,7 +210,7 @@
   }
 
   private pause(span: Millis): Promise<void> {
-    return pauseOf(this.time, span);
+    return sleepIn(this.time, span);
   }
 }
 
@@ -219,7 +221,7 @@
 };
 
 /** Resolves after `span` of virtual time. */
-export function pauseOf(time: VirtualTime, span: Millis): Promise<void> {
+export function sleepIn(time: VirtualTime, span: Millis): Promise<void> {
   return new Promise(resolve => {
     time.schedule(span, resolve);
   });
--- a/packages/daemon/src/job-host/simulated-process.fixture.test.ts
+++ b/packages/daemon/src/job-host/simulated-process.fixture.test.ts
@@ -8,7 +8,7 @@
 /** Runs the events of a host: timers, results of its calls and callbacks. */
 export class SimulatedProcess {
   private killed = false;
-  private thawsAt: Instant = 0;
+  private frozenUntil: Instant = 0;
   /** Time that its monotonic clock has not counted. */
   private suspendedMs: Millis = 0;
   /** Processing time of each event. */
@@ -26,7 +26,7 @@
 
   /** Whether it is currently frozen. */
   get isStopped(): boolean {
-    return this.thawsAt > this.time.clock();
+    return this.frozenUntil > this.time.clock();
   }
 
   /** Its monotonic clock. */
@@ -43,7 +43,7 @@
 
   /** Freezes the process for `span`. */
   freeze(span: Millis): void {
-    this.thawsAt = this.time.clock() + span;
+    this.frozenUntil = this.time.clock() + span;
   }
 
   /** Freezes the process for `span`, which its monotonic clock and its timers don't count. */
@@ -124,7 +124,7 @@
     }
     const now = this.time.clock();
     if (this.isStopped) {
-      this.time.schedule(this.thawsAt - now, () => {
+      this.time.schedule(this.frozenUntil - now, () => {
         this.run(task);
       });
       return;
--- a/packages/daemon/src/job-host/simulated-wire.fixture.test.ts
+++ b/packages/daemon/src/job-host/simulated-wire.fixture.test.ts
@@ -14,7 +14,7 @@
 import type { VirtualTime } from '@paddlewind/stand-ins';
 
 import {
-  pauseOf,
+  sleepIn,
   type HostLinks,
   type SimulatedLink,
   type SimulatedPeers,
@@ -29,53 +29,53 @@
 }
 
 /** Head sizes of a call and of its answer. */
-const HEAD = 215;
-const ANSWER_HEAD = 110;
+const CALL_HEAD_BYTES = 215;
+const ANSWER_HEAD_BYTES = 110;
 /** Body sizes of calls without payloads. */
-const START = 180;
-const BATCH = 80;
-const RELAYED = 110;
-const ORDER = 80;
-const LOOK = 70;
+const START_BYTES = 180;
+const BATCH_BYTES = 80;
+const RELAYED_START_BYTES = 110;
+const ORDER_BYTES = 80;
+const POLL_BYTES = 70;
 /** Body sizes of answers. */
-const ORDER_ANSWER = 40;
-const TAKEN = 20;
-const OUTCOME = 40;
-const PROCESS_ANSWER = 45;
-const ACTIVE_RUN = 46;
-const ENDED_RUN = 90;
+const ORDER_ANSWER_BYTES = 40;
+const ACCEPTANCE_BYTES = 20;
+const OUTCOME_BYTES = 40;
+const PROCESS_ANSWER_BYTES = 45;
+const ACTIVE_RUN_BYTES = 46;
+const ENDED_RUN_BYTES = 90;
 /** Packets that open a connection, in each direction. */
-const CONNECT = 60;
-const RECORD = 20;
+const CONNECT_BYTES = 60;
+const RECORD_BYTES = 20;
 /** Timeouts of calls to a worker and to the log. */
-const ORDER_MS: Millis = 500;
-const LOG_MS: Millis = 1_500;
-const WAY_MS: Millis = 1;
+const ORDER_TIMEOUT_MS: Millis = 500;
+const LOG_TIMEOUT_MS: Millis = 1_500;
+const LATENCY_MS: Millis = 1;
 /**
  * Timeouts until another host has accepted a call and has answered it; for starts, counted from
  * their acceptance.
  */
-const RELAYED_MS: Millis = 900;
-const PROCESS_LIMITS = { taken: 1_000, answered: 1_000 };
-const APPEND_LIMITS = { taken: 80, answered: 1_200 };
+const RELAY_TIMEOUT_MS: Millis = 900;
+const IDENTIFY_TIMEOUTS = { taken: 1_000, answered: 1_000 };
+const APPEND_TIMEOUTS = { taken: 80, answered: 1_200 };
 const APPEND_CONNECTIONS = 4;
 
-interface Limits {
+interface CallTimeouts {
   readonly taken: Millis;
   readonly answered: Millis;
 }
 
 /** Connections to one host, each of which carries one call at a time. */
-class Connections {
+class ConnectionPool {
   private busy = 0;
   private idle = 0;
   private readonly waiting: (() => void)[] = [];
 
-  constructor(private readonly most: number) {}
+  constructor(private readonly size: number) {}
 
   /** Resolves once a connection is free, with whether it still has to be opened. */
-  async take(): Promise<boolean> {
-    if (this.busy >= this.most) {
+  async acquire(): Promise<boolean> {
+    if (this.busy >= this.size) {
       await new Promise<void>(resolve => {
         this.waiting.push(resolve);
       });
@@ -86,7 +86,7 @@
     return isNew;
   }
 
-  free(isSound: boolean): void {
+  release(isSound: boolean): void {
     this.busy -= 1;
     this.idle += isSound ? 1 : 0;
     this.waiting.shift()?.();
@@ -95,8 +95,8 @@
 
 /** A host's link in both directions. */
 export class SimulatedWire {
-  private readonly relays = new Map<string, Connections>();
-  private readonly leaders = new Map<string, Connections>();
+  private readonly relays = new Map<string, ConnectionPool>();
+  private readonly leaders = new Map<string, ConnectionPool>();
 
   /** Creates a wire without connections. */
   constructor(
@@ -116,27 +116,30 @@
       call: () => Promise<OrderResult>,
     ): Promise<OrderResult> => {
       const answer = this.out
-        .carry(HEAD + bytes)
+        .carry(CALL_HEAD_BYTES + bytes)
         .then(call)
         .then(async res => {
-          await this.into.carry(ANSWER_HEAD + ORDER_ANSWER);
+          await this.into.carry(ANSWER_HEAD_BYTES + ORDER_ANSWER_BYTES);
           return res;
         });
       const unknown = { kind: 'unknown', reason: 'timeout' } as const;
-      return Promise.race([answer, this.pause(ORDER_MS).then(() => unknown)]);
+      return Promise.race([
+        answer,
+        this.pause(ORDER_TIMEOUT_MS).then(() => unknown),
+      ]);
     };
     return {
       ...port,
       start: (to, start) =>
-        order(START + start.payload.length, () => port.start(to, start)),
-      stop: (to, run) => order(ORDER, () => port.stop(to, run)),
-      throttle: (to, run) => order(ORDER, () => port.throttle(to, run)),
+        order(START_BYTES + start.payload.length, () => port.start(to, start)),
+      stop: (to, run) => order(ORDER_BYTES, () => port.stop(to, run)),
+      throttle: (to, run) => order(ORDER_BYTES, () => port.throttle(to, run)),
       look: async (to, look, takeLate) => {
         const answer = this.out
-          .carry(HEAD + LOOK)
+          .carry(CALL_HEAD_BYTES + POLL_BYTES)
           .then(() => port.look(to, look, takeLate))
           .then(async res => {
-            await this.into.carry(sizeOfLook(res));
+            await this.into.carry(sizeOfPollAnswer(res));
             return res;
           });
         const gaveUp = this.pause(look.waitMs + look.slackMs);
@@ -159,25 +162,28 @@
     return {
       append: async (stream, records, stamp) => {
         const answer = this.out
-          .carry(HEAD + sizeOf(records))
+          .carry(CALL_HEAD_BYTES + sizeOf(records))
           .then(() => log.append(stream, records, stamp))
           .then(async res => {
-            await this.into.carry(ANSWER_HEAD);
+            await this.into.carry(ANSWER_HEAD_BYTES);
             return res;
           });
         const unknown = { kind: 'unknown', reason: 'timeout' } as const;
-        return Promise.race([answer, this.pause(LOG_MS).then(() => unknown)]);
+        return Promise.race([
+          answer,
+          this.pause(LOG_TIMEOUT_MS).then(() => unknown),
+        ]);
       },
       read: async (stream, from, limits) => {
         const answer = this.out
-          .carry(HEAD)
+          .carry(CALL_HEAD_BYTES)
           .then(() => log.read(stream, from, limits))
           .then(async res => {
             const records = res.kind === 'records' ? res.records : [];
-            await this.into.carry(ANSWER_HEAD + sizeOf(records));
+            await this.into.carry(ANSWER_HEAD_BYTES + sizeOf(records));
             return res;
           });
-        const gaveUp = this.pause(limits.waitMs + LOG_MS);
+        const gaveUp = this.pause(limits.waitMs + LOG_TIMEOUT_MS);
         const away = { kind: 'unavailable', reason: 'timeout' } as const;
         return Promise.race([answer, gaveUp.then(() => away)]);
       },
@@ -190,7 +196,7 @@
       append: async (address, records) => {
         const bytes = sizeOf(records);
         const pool = poolOf(this.leaders, address, APPEND_CONNECTIONS);
-        const res = await this.call(pool, APPEND_LIMITS, async began => {
+        const res = await this.call(pool, APPEND_TIMEOUTS, async began => {
           const { links, host } = await this.arrive(name, address, bytes, site);
           site.appends += 1;
           began();
@@ -206,20 +212,20 @@
         const rows = batch.starts.length;
         site.relays += rows;
         const pool = poolOf(this.relays, address, this.connections);
-        const answered = takenWithinMs + RELAYED_MS;
+        const answered = takenWithinMs + RELAY_TIMEOUT_MS;
         const limits = { taken: takenWithinMs, answered };
-        const bytes = BATCH + rows * RELAYED;
+        const bytes = BATCH_BYTES + rows * RELAYED_START_BYTES;
         const res = await this.call(pool, limits, async began => {
           await this.pause(site.startDelays.get(address) ?? 0);
           const { links, host } = await this.arrive(name, address, bytes, site);
           const by = host.identifyForPeer();
-          void this.answerBy(links, TAKEN).then(() => {
+          void this.answerBy(links, ACCEPTANCE_BYTES).then(() => {
             began();
             watch.taken(by);
           });
           const answers: Promise<void>[] = [];
           await host.relayForPeer(batch, (at, outcome) => {
-            const answer = this.carryBack(links, OUTCOME).then(() => {
+            const answer = this.carryBack(links, OUTCOME_BYTES).then(() => {
               watch.told(at, outcome);
             });
             answers.push(answer);
@@ -232,10 +238,10 @@
       },
       identify: async address => {
         const pool = poolOf(this.relays, address, this.connections);
-        const res = await this.call(pool, PROCESS_LIMITS, async () => {
+        const res = await this.call(pool, IDENTIFY_TIMEOUTS, async () => {
           const { links, host } = await this.arrive(name, address, 0, site);
           const told = host.identifyForPeer();
-          await this.answerBy(links, PROCESS_ANSWER);
+          await this.answerBy(links, PROCESS_ANSWER_BYTES);
           return told;
         });
         this.replaceIfSilent(this.relays, address, pool, res);
@@ -249,8 +255,8 @@
    * happened before a connection was free.
    */
   private call<R>(
-    pool: Connections,
-    { taken, answered }: Limits,
+    pool: ConnectionPool,
+    { taken, answered }: CallTimeouts,
     send: (began: () => void) => Promise<R>,
   ): Promise<R | undefined> {
     return new Promise(resolve => {
@@ -262,7 +268,7 @@
           notTaken();
           late();
           if (holds) {
-            pool.free(res !== undefined);
+            pool.release(res !== undefined);
           }
           resolve(res);
         }
@@ -273,15 +279,15 @@
       const notTaken = this.time.schedule(taken, giveUp);
       const late = this.time.schedule(answered, giveUp);
       const begin = async (): Promise<void> => {
-        const isNew = await pool.take();
+        const isNew = await pool.acquire();
         if (isOver) {
-          pool.free(!isNew);
+          pool.release(!isNew);
           return;
         }
         holds = true;
         if (isNew) {
-          await this.out.carry(CONNECT);
-          await this.into.carry(CONNECT);
+          await this.out.carry(CONNECT_BYTES);
+          await this.into.carry(CONNECT_BYTES);
         }
         end(await send(notTaken));
       };
@@ -298,15 +304,15 @@
     to: string,
     bytes: number,
     site: SimulatedPeers,
-  ): Promise<Reached> {
-    await this.out.carry(HEAD + bytes);
-    await this.pause(WAY_MS);
+  ): Promise<ReachedProcess> {
+    await this.out.carry(CALL_HEAD_BYTES + bytes);
+    await this.pause(LATENCY_MS);
     const found = site.reach(from, to);
     const links = site.links.get(to);
     if (found === undefined || links === undefined) {
       return new Promise(() => undefined);
     }
-    await links.into.carry(HEAD + bytes);
+    await links.into.carry(CALL_HEAD_BYTES + bytes);
     await new Promise<void>(resolve => {
       found.process.schedule(0, resolve);
     });
@@ -315,21 +321,21 @@
 
   /** Carries an answer from another host. */
   private async answerBy(links: HostLinks, bytes: number): Promise<void> {
-    await this.carryBack(links, ANSWER_HEAD + bytes);
+    await this.carryBack(links, ANSWER_HEAD_BYTES + bytes);
   }
 
   /** Carries bytes from another host. */
   private async carryBack(links: HostLinks, bytes: number): Promise<void> {
     await links.out.carry(bytes);
-    await this.pause(WAY_MS);
+    await this.pause(LATENCY_MS);
     await this.into.carry(bytes);
   }
 
   /** Replaces the connections after a call that timed out, since all of them may be broken. */
   private replaceIfSilent(
-    pools: Map<string, Connections>,
+    pools: Map<string, ConnectionPool>,
     address: string,
-    used: Connections,
+    used: ConnectionPool,
     res: unknown,
   ): void {
     if (res === undefined && pools.get(address) === used) {
@@ -338,11 +344,11 @@
   }
 
   private pause(span: Millis): Promise<void> {
-    return pauseOf(this.time, span);
+    return sleepIn(this.time, span);
   }
 }
 
-interface Reached {
+interface ReachedProcess {
   readonly links: HostLinks;
   readonly host: NonNullable<ReturnType<SimulatedPeers['reach']>>['host'];
 }
@@ -354,23 +360,23 @@
 };
 
 function poolOf(
-  pools: Map<string, Connections>,
+  pools: Map<string, ConnectionPool>,
   address: string,
   most: number,
-): Connections {
-  const found = pools.get(address) ?? new Connections(most);
+): ConnectionPool {
+  const found = pools.get(address) ?? new ConnectionPool(most);
   pools.set(address, found);
   return found;
 }
 
 function sizeOf(records: readonly Uint8Array[]): number {
-  return records.reduce((sum, { length }) => sum + RECORD + length, 0);
+  return records.reduce((sum, { length }) => sum + RECORD_BYTES + length, 0);
 }
 
-function sizeOfLook(res: LookResult): number {
+function sizeOfPollAnswer(res: LookResult): number {
   return res.kind === 'seen'
-    ? ANSWER_HEAD +
-        ACTIVE_RUN * res.active.length +
-        ENDED_RUN * res.ended.length
-    : ANSWER_HEAD;
+    ? ANSWER_HEAD_BYTES +
+        ACTIVE_RUN_BYTES * res.active.length +
+        ENDED_RUN_BYTES * res.ended.length
+    : ANSWER_HEAD_BYTES;
 }
--- a/packages/daemon/src/job-host/simulation.fixture.test.ts
+++ b/packages/daemon/src/job-host/simulation.fixture.test.ts
@@ -37,7 +37,7 @@
 import { startJobHost, type JobHost } from './start-job-host.js';
 
 const MAX_LEASE_MS = 6_000;
-const REVIVAL_MS = 2_500;
+const WORKER_RESTART_MS = 2_500;
 const RETENTION_MS = 30_000;
 const STATUS_MS = 20_000;
 const CAPACITY = { cpuMilli: 4_000, memoryMiB: 8_000, accelerators: 0 };
@@ -78,7 +78,7 @@
 export type TestStep = Pick<StepSpec, 'tasks' | 'after'> & Partial<StepSpec>;
 
 /** Settings of a simulated deployment. */
-interface SiteOptions {
+interface SimulationOptions {
   /** Longest lease that workers accept. */
   readonly maxLeaseMs?: Millis;
   /** Time until a worker that was crashed by a task is back. */
@@ -91,7 +91,7 @@
    * Whether hosts assume that their links carry no payload at all, so that other hosts send the
    * starts.
    */
-  readonly relaysAll?: boolean;
+  readonly relayAllStarts?: boolean;
   /** Size of calls on links in both directions; by default only `SimulatedLink` is used. */
   readonly wire?: WireOptions;
 }
@@ -123,19 +123,19 @@
   private readonly linkBytesPerS: number;
   private readonly relaysAll: boolean;
   private readonly wire: WireOptions | undefined;
-  private lives = 0;
+  private incarnations = 0;
 
   /** Creates a simulation whose randomness is derived from `seed`. */
   constructor(
     seed: number,
     {
       maxLeaseMs = MAX_LEASE_MS,
-      revivalMs = REVIVAL_MS,
+      revivalMs = WORKER_RESTART_MS,
       keepsIds = false,
       linkBytesPerS = Infinity,
-      relaysAll = process.env.TEST_RELAYS !== undefined,
+      relayAllStarts: relaysAll = process.env.TEST_RELAYS !== undefined,
       wire,
-    }: SiteOptions = {},
+    }: SimulationOptions = {},
   ) {
     this.maxLeaseMs = maxLeaseMs;
     this.keepsIds = keepsIds;
@@ -172,7 +172,7 @@
     labels: readonly string[] = [],
     capacity = CAPACITY,
   ): void {
-    this.lives += 1;
+    this.incarnations += 1;
     const clockRate = 0.98 + 0.02 * this.random();
     const clockOffset = Math.floor(this.random() * 100_000);
     const traits = {
@@ -189,7 +189,7 @@
       const life = { id: machine, startedAt, clockOffset: sinceStart };
       this.fleet.add(machine, { ...traits, ...life });
     } else {
-      const id = `${machine}-life${this.lives}`;
+      const id = `${machine}-life${this.incarnations}`;
       this.fleet.add(machine, { ...traits, id, clockOffset });
     }
   }
--- a/packages/daemon/src/job-host/start-job-host.test.ts
+++ b/packages/daemon/src/job-host/start-job-host.test.ts
@@ -3,7 +3,7 @@
 
 import { Simulation } from './simulation.fixture.test.js';
 
-/** Two hosts that have a configuration. */
+/** Starts two hosts with a configuration. */
 async function siteOfTwo(seed: number): Promise<Simulation> {
   const site = new Simulation(seed);
   site.configured = true;
@@ -13,7 +13,7 @@
   return site;
 }
 
-test('hosts that have read all and have a configuration are ready', async () => {
+test('hosts that have read everything and have a configuration are ready', async () => {
   const site = await siteOfTwo(1);
   for (const { host } of site.hosts.values()) {
     assert.ok(host.ready());
@@ -47,7 +47,7 @@
   site.log.hostStreamModes.set('h3 journal', 'unreadable');
   const host = site.startHost('h3');
   await site.time.advance(50);
-  // Only the read that settles where the journal begins gets through.
+  // Only the read that locates the start of the journal succeeds.
   site.log.hostStreamModes.clear();
   void host.service.status('00000000000000b2');
   await site.time.advance(1);
@@ -58,7 +58,7 @@
   }
 });
 
-test('a host that ceases to lead is ready again once it has read all', async () => {
+test('a host that loses the leadership is ready again once it has read everything', async () => {
   const site = await siteOfTwo(4);
   const name = site.leader();
   const host = site.hosts.get(name)?.host;
--- a/packages/daemon/src/job-host/suspended-hosts.test.ts
+++ b/packages/daemon/src/job-host/suspended-hosts.test.ts
@@ -14,27 +14,28 @@
 } from './lasting-site.fixture.test.js';
 
 const SEEDS = [1, 2, 3, 4, 5, 6];
-/** Spans for which a machine is suspended, and how long it is up in between. */
-const SHORTEST_MS = 3_000;
-const LONGEST_MS = 8_000;
-const UP_MS = 10_000;
-const WATCHED_MS = 90_000;
-/** A worker is lost with each third suspension. */
-const LOST_EVERY = 3;
-const CALM_MS = 20_000;
+/** Range of the time for which a machine is suspended, and maximum time between suspensions. */
+const MIN_SUSPENSION_MS = 3_000;
+const MAX_SUSPENSION_MS = 8_000;
+const MAX_UP_MS = 10_000;
+const OBSERVATION_MS = 90_000;
+/** Every third suspension a worker is lost. */
+const SUSPENSIONS_PER_LOSS = 3;
+const RECOVERY_MS = 20_000;
 const CHECK = { tasks: 3, after: [] };
 
-test('no promise is broken by hosts whose steady clock does not count a suspension', async () => {
+test('guarantees hold on hosts whose monotonic clock stops during suspension', async () => {
   for (const seed of SEEDS) {
     const site = await siteWithNeighbours(seed);
     const { history, time, random, fleet } = site;
-    const endsAt = time.clock() + WATCHED_MS;
+    const endsAt = time.clock() + OBSERVATION_MS;
     const ids: string[] = [];
     for (let turn = 1; time.clock() < endsAt; turn += 1) {
       const names = [...site.hosts.keys()];
       const other = names[Math.floor(random() * names.length)] ?? '';
       const name = turn % 2 === 1 ? site.leader() : other;
-      const span = SHORTEST_MS + random() * (LONGEST_MS - SHORTEST_MS);
+      const span =
+        MIN_SUSPENSION_MS + random() * (MAX_SUSPENSION_MS - MIN_SUSPENSION_MS);
       const from = time.clock();
       history.faults?.add({ from, until: from + span, of: { host: name } });
       site.suspend(name, span);
@@ -44,14 +45,14 @@
         runMs: 1_500,
         failures: 0,
       });
-      if (turn % LOST_EVERY === 0) {
+      if (turn % SUSPENSIONS_PER_LOSS === 0) {
         const lost = WORKERS[Math.floor(random() * WORKERS.length)] ?? '';
         fleet.crash(lost);
         fleet.onCrash(lost);
       }
-      await time.advance(span + UP_MS * random());
+      await time.advance(span + MAX_UP_MS * random());
     }
-    await time.advance(CALM_MS);
+    await time.advance(RECOVERY_MS);
     assert.deepEqual(history.check(), []);
     assert.equal(history.runningOf(NEIGHBOUR), NEIGHBOUR_TASKS);
     for (const id of ids) {
@@ -60,9 +61,9 @@
   }
 });
 
-test('no task runs twice where a suspended leader alone reaches its worker', async () => {
+test('no task runs twice if only a suspended leader can reach its worker', async () => {
   for (const seed of [1, 2, 3]) {
-    // From just over the time in which another host leads up to the lease of the worker.
+    // From just over the time in which another host takes over up to the lease of the worker.
     for (const span of [3_000, 3_500, 4_000, 4_500, 4_900]) {
       const site = await siteWithLastingJob(seed, ['h1', 'h2', 'h3']);
       const leader = site.leader();
@@ -72,7 +73,7 @@
         }
       }
       site.suspend(leader, span);
-      await site.time.advance(CALM_MS);
+      await site.time.advance(RECOVERY_MS);
       assert.deepEqual(site.history.check(), []);
       assert.equal(site.history.runningOf(LASTING_JOB), LASTING_TASKS);
     }
--- a/packages/daemon/src/job-host/unreadable-entries.test.ts
+++ b/packages/daemon/src/job-host/unreadable-entries.test.ts
@@ -1,7 +1,7 @@
 /**
- * Seen in a trial: one entry of the registry that was not of the form of a worker's ended the leader, and
- * each that followed it. The others have to go on, and so has what runs at a worker whose entry can't be
- * read any more; it gets nothing new until it can.
+ * Guards against a malformed registry entry that ends the leader and each of its successors. Other
+ * workers have to keep working. What runs on a worker whose entry can no longer be read keeps
+ * running; the worker gets nothing new until its entry can be read again.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -12,7 +12,7 @@
 
 const LONG = { runMs: 8_000, failures: 0 };
 
-/** A site of two workers; the entry of the second can't be read while `foreign` says so. */
+/** Starts two workers; the entry of the second can't be read while `foreign` returns true. */
 function siteOf(foreign: () => boolean): Simulation {
   const site = new Simulation(1);
   site.history.faults = new FaultTimes();
@@ -39,7 +39,7 @@
   return site;
 }
 
-test('what runs at a worker whose entry can not be read runs to its end', async () => {
+test('a run on a worker whose entry cannot be read completes', async () => {
   let foreign = false;
   const site = siteOf(() => foreign);
   const id = '00000000000000e1';
@@ -51,7 +51,7 @@
   assert.deepEqual(site.history.check(), []);
 });
 
-test('a worker whose entry can not be read gets nothing new', async () => {
+test('a worker whose entry cannot be read gets no new runs', async () => {
   let foreign = true;
   const site = siteOf(() => foreign);
   const id = '00000000000000e2';
