--- a/packages/bench/src/demo/run-on-platform.ts
+++ b/packages/bench/src/demo/run-on-platform.ts
@@ -169,7 +169,10 @@
 function verdict(history: JobHistory): string[] {
   const broken = history
     .check()
-    .map(({ promise, task, detail }) => `${promise}: ${task}: ${detail}`);
+    .map(
+      ({ guarantee: promise, task, detail }) =>
+        `${promise}: ${task}: ${detail}`,
+    );
   const undone = [SHORT_JOB, LONG_JOB]
     .filter(({ id }) => !history.isDone(id))
     .map(({ id }) => `not every task of job ${id} has a run that is done`);
--- a/packages/daemon/src/job-host/given-up-runs.ts
+++ b/packages/daemon/src/job-host/abandoned-runs.ts
@@ -2,7 +2,7 @@
 import { refOf, taskName, type Run } from '@paddlewind/domain/jobs';
 
 import type { HostContext } from './context.js';
-import type { WorkerGivenUp } from './meters.js';
+import type { AbandonedWorkerReason } from './meters.js';
 
 /** Most runs that the line names: what brings a worker down is mostly what began there last. */
 const NAMED_RUNS = 5;
@@ -12,7 +12,7 @@
   ctx: HostContext,
   worker: string,
   runs: readonly Run[],
-  reason: WorkerGivenUp,
+  reason: AbandonedWorkerReason,
   contact: Readonly<Record<string, unknown>> = {},
 ): void {
   if (runs.length === 0) {
--- a/packages/daemon/src/job-host/portion.test.ts
+++ b/packages/daemon/src/job-host/adaptive-read-size.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { Portion } from './portion.js';
+import { AdaptiveReadSize } from './adaptive-read-size.js';
 
 test('a read that fails asks for less the next time, down to a bound', () => {
-  const portion = new Portion();
+  const portion = new AdaptiveReadSize();
   const first = portion.bytes;
   portion.noteFailure();
   assert.equal(portion.bytes, first / 2);
@@ -15,7 +15,7 @@
 });
 
 test('quick answers let reads grow, slow ones shrink them', () => {
-  const portion = new Portion();
+  const portion = new AdaptiveReadSize();
   for (let reads = 0; reads < 10; reads += 1) {
     portion.noteAnswer(50, portion.bytes);
   }
@@ -27,7 +27,7 @@
 });
 
 test('an answer without a record asks for more: the next record may be large', () => {
-  const portion = new Portion();
+  const portion = new AdaptiveReadSize();
   portion.noteFailure();
   const before = portion.bytes;
   portion.noteAnswer(900, 0);
@@ -35,7 +35,7 @@
 });
 
 test('small answers tell nothing of how much a link carries', () => {
-  const portion = new Portion();
+  const portion = new AdaptiveReadSize();
   const before = portion.bytes;
   portion.noteAnswer(5, 200);
   assert.equal(portion.bytes, before);
--- a/packages/daemon/src/job-host/portion.ts
+++ b/packages/daemon/src/job-host/adaptive-read-size.ts
@@ -17,7 +17,7 @@
  * for the same again brings nothing either: on links of 10 Mbit/s hosts received 0.8 MB a second
  * without learning anything.
  */
-export class Portion {
+export class AdaptiveReadSize {
   private size = FIRST_BYTES;
 
   /** Bytes to ask for. */
--- a/packages/daemon/src/job-host/answer-slack.ts
+++ b/packages/daemon/src/job-host/adaptive-timeout.ts
@@ -23,7 +23,7 @@
  * Adapts the time for an answer to what answers were seen to take, as on a link that carries too little for
  * all workers of a leader: one that answers late is not silent.
  */
-export class AnswerSlack {
+export class AdaptiveTimeout {
   private tookMs: Millis = 0;
 
   /** Creates a slack of the least time. */
@@ -37,7 +37,7 @@
   }
 
   /** Notes what an answer took beyond the worker's own wait. */
-  note(tookMs: Millis): void {
+  record(tookMs: Millis): void {
     this.tookMs = Math.max(tookMs, FADING * this.tookMs);
   }
 }
--- a/packages/daemon/src/job-host/adviser.ts
+++ b/packages/daemon/src/job-host/adviser.ts
@@ -1,11 +1,11 @@
 /** Asks the advice service about waiting steps, one question at a time. */
 import {
-  candidates,
-  hasRoom,
+  orderedCandidates,
+  hasCapacity,
   workerRuns,
-  type Advice,
+  type AdviceTickets,
   type PlanInput,
-  type Question,
+  type AdviceRequest,
 } from '@paddlewind/domain/jobs';
 import type { AdvicePort } from '@paddlewind/ports/jobs';
 
@@ -20,7 +20,7 @@
   constructor(
     private readonly ctx: HostContext,
     private readonly port: AdvicePort,
-    private readonly advice: Advice,
+    private readonly advice: AdviceTickets,
     private readonly answered: () => void,
   ) {}
 
@@ -36,20 +36,20 @@
     }
   }
 
-  private nextQuestion(input: PlanInput): Question | undefined {
+  private nextQuestion(input: PlanInput): AdviceRequest | undefined {
     const { state, workers, times, time } = input;
     const asking = [...state.open].filter(
       ({ spec }) => spec.terms.advice !== undefined,
     );
-    for (const { step } of candidates(asking, times, time)) {
+    for (const { step } of orderedCandidates(asking, times, time)) {
       const { terms } = step.occurrence.job.spec;
       const fitting = workers
         .filter(({ info }) => info.service === terms.service)
         .filter(({ info }) =>
-          hasRoom(info, workerRuns(state, info.id), step.spec),
+          hasCapacity(info, workerRuns(state, info.id), step.spec),
         )
         .map(({ info }) => info.id);
-      const question = this.advice.questionFor(step, fitting, time.now);
+      const question = this.advice.requestFor(step, fitting, time.now);
       if (question !== undefined) {
         return question;
       }
@@ -57,7 +57,7 @@
     return undefined;
   }
 
-  private async ask(question: Question): Promise<void> {
+  private async ask(question: AdviceRequest): Promise<void> {
     const { ctx } = this;
     const { step, workers } = question;
     const { occurrence, number } = step;
@@ -72,7 +72,11 @@
       expectedMs + ADVICE_SLACK_MS,
     );
     if (found.kind === 'advised') {
-      this.advice.take(question, found.tickets, sentAt + found.validityMs);
+      this.advice.recordAnswer(
+        question,
+        found.tickets,
+        sentAt + found.validityMs,
+      );
       ctx.log.info(
         { ...ref, asked: workers.length, allowed: found.tickets.size },
         'advice: answered',
--- a/packages/daemon/src/job-host/workers-start-again.test.ts
+++ b/packages/daemon/src/job-host/all-workers-restart.test.ts
@@ -1,8 +1,8 @@
 import { test } from 'node:test';
 
 import {
-  oneByOne,
-  playRestarts,
+  restartOneByOne,
+  runRestarts,
   restartHost,
   restartHosts,
   restartWorkers,
@@ -10,16 +10,16 @@
   WORKERS,
   assertNothingLost,
   type Restart,
-} from './restarts-site.fixture.test.js';
+} from './restarts-deployment.fixture.test.js';
 
 // What ran on a worker that has started again under its id was taken to run on until another host led, and what
 // ended there was forgotten unseen: then it was begun again though it was done.
 test('nothing is lost or done twice where workers start again under their ids', async () => {
   for (const awayMs of [0, 30, 1_200]) {
-    const restart = oneByOne(awayMs);
+    const restart = restartOneByOne(awayMs);
     for (const seed of SEEDS) {
       const note = `away for ${awayMs} ms, seed ${seed}`;
-      assertNothingLost(await playRestarts({ seed, restart }), note);
+      assertNothingLost(await runRestarts({ seed, restart }), note);
       const withHosts: Restart = async (site, turn) => {
         await restart(site, turn);
         if (turn % 3 === 2) {
@@ -27,7 +27,7 @@
           restartHosts(site);
         }
       };
-      const site = await playRestarts({ seed, restart: withHosts });
+      const site = await runRestarts({ seed, restart: withHosts });
       assertNothingLost(site, `${note}, then all hosts`);
     }
   }
@@ -38,10 +38,10 @@
   for (const heldMs of [500, 3_000]) {
     for (const seed of SEEDS) {
       const restart: Restart = (site, turn) => {
-        site.fleet.holdEntry(WORKERS[turn] ?? '', heldMs);
-        void oneByOne(30)(site, turn);
+        site.fleet.freezeEntry(WORKERS[turn] ?? '', heldMs);
+        void restartOneByOne(30)(site, turn);
       };
-      const site = await playRestarts({ seed, restart });
+      const site = await runRestarts({ seed, restart });
       assertNothingLost(site, `told ${heldMs} ms late, seed ${seed}`);
     }
   }
@@ -52,10 +52,10 @@
   for (const seed of SEEDS) {
     const restart: Restart = (site, turn) => {
       site.workerWallOffset -= 3_600_000;
-      void oneByOne(30)(site, turn);
+      void restartOneByOne(30)(site, turn);
     };
     const begun = { seed, wallOffset: 100_000_000 };
-    const site = await playRestarts({ ...begun, restart });
+    const site = await runRestarts({ ...begun, restart });
     assertNothingLost(site, `seed ${seed}`);
   }
 });
@@ -71,7 +71,7 @@
       }
     };
     for (const restart of [several, all]) {
-      assertNothingLost(await playRestarts({ seed, restart }), `seed ${seed}`);
+      assertNothingLost(await runRestarts({ seed, restart }), `seed ${seed}`);
     }
   }
 });
@@ -81,11 +81,11 @@
   for (const afterMs of [0, 50, 300, 600]) {
     for (const seed of SEEDS) {
       const restart: Restart = async (site, turn) => {
-        await oneByOne(30)(site, turn);
+        await restartOneByOne(30)(site, turn);
         await site.wait(30 + afterMs);
         restartHost(site, site.leader(), 1_500);
       };
-      const site = await playRestarts({ seed, restart });
+      const site = await runRestarts({ seed, restart });
       assertNothingLost(site, `killed after ${afterMs} ms, seed ${seed}`);
     }
   }
--- a/packages/daemon/src/job-host/answers-from-replica.test.ts
+++ b/packages/daemon/src/job-host/answers-from-replica.test.ts
@@ -64,7 +64,7 @@
   ['h1', 'h2', 'h3'].forEach(name => site.startHost(name));
   await site.time.advance(2_500);
   const name = follower(site);
-  site.log.modes.set(name, 'unreadable');
+  site.log.hostModes.set(name, 'unreadable');
   for (const id of JOBS) {
     void site.submit(id, [{ tasks: 2, after: [] }], QUICK);
   }
@@ -77,7 +77,7 @@
   ['h1', 'h2', 'h3'].forEach(name => site.startHost(name));
   await site.time.advance(2_500);
   const name = follower(site);
-  site.log.modes.set(name, 'silent');
+  site.log.hostModes.set(name, 'silent');
   for (const id of JOBS) {
     void site.submit(id, [{ tasks: 2, after: [] }], QUICK);
   }
@@ -93,11 +93,11 @@
   const service = site.hosts.get(name)?.host.service;
   assert.ok(service);
   void service.queueLength('checks');
-  site.log.modes.set(name, 'refusing');
+  site.log.hostModes.set(name, 'refusing');
   await site.time.advance(2_400);
   void service.queueLength('checks');
   await site.time.advance(100);
-  site.log.modes.delete(name);
+  site.log.hostModes.delete(name);
   while (site.leader() === name) {
     await site.time.advance(10);
   }
@@ -127,7 +127,7 @@
   site.addWorker('w1');
   ['h1', 'h2'].forEach(name => site.startHost(name));
   await site.time.advance(2_500);
-  site.fleet.slowness.set('w1', 450);
+  site.fleet.orderDelays.set('w1', 450);
   const size = { cpuMilli: 200, memoryMiB: 10, accelerators: 0 };
   const ids = Array.from({ length: 20 }, (_, at) =>
     (at + 1).toString(16).padStart(16, '0'),
@@ -193,7 +193,7 @@
   const name = follower(site);
   site.kill(name);
   // At this rate a mebibyte takes 1.7 s.
-  site.log.links.set(name, 600);
+  site.log.linkRates.set(name, 600);
   site.startHost(name);
   await site.time.advance(12_000);
   const asked = site.hosts.get(name)?.host.service.queueLength('checks');
@@ -212,13 +212,13 @@
   const service = site.hosts.get(name)?.host.service;
   void service?.status(id);
   await site.time.advance(500);
-  site.log.modes.set(name, 'silent');
+  site.log.hostModes.set(name, 'silent');
   // The job finishes while the host is cut off from the log, and the records of that are dropped.
   site.addWorker('w1');
   await site.time.advance(4_000);
   site.log.trimTo(site.log.recordsOf('journal').length);
   await site.time.advance(12_000);
-  site.log.modes.delete(name);
+  site.log.hostModes.delete(name);
   await site.time.advance(6_000);
   const asked = service?.status(id);
   await site.time.advance(1_500);
--- a/packages/daemon/src/job-host/append-again.test.ts
+++ b/packages/daemon/src/job-host/append-again.test.ts
@@ -4,7 +4,7 @@
 import { createVirtualTime } from '@paddlewind/stand-ins';
 import type { AppendResult } from '@paddlewind/ports/jobs';
 
-import { appendAgain } from './append-again.js';
+import { appendHedged } from './append-hedged.js';
 import { testContext } from './context.fixture.test.js';
 
 const EVERY_MS = 450;
@@ -39,7 +39,7 @@
     });
   const stopped = (): boolean => time.clock() >= stoppedAt;
   const options = { everyMs: EVERY_MS, stopped };
-  void appendAgain(testContext(time), append, options).then(result => {
+  void appendHedged(testContext(time), append, options).then(result => {
     outcome = result;
   });
   return { time, sent: () => sent, outcome: () => outcome };
--- a/packages/daemon/src/job-host/append-again.ts
+++ b/packages/daemon/src/job-host/append-hedged.ts
@@ -9,7 +9,7 @@
 const MAX_ATTEMPTS_IN_FLIGHT = 4;
 
 /** Hedge only after this multiple of the duration of the last append, since the log may be slow. */
-export const SLOW_FACTOR = 2;
+export const SLOW_APPEND_FACTOR = 2;
 
 /** When an append is hedged. */
 export interface HedgedAppendOptions {
@@ -27,7 +27,7 @@
  * An attempt that a silent log has dropped ends only with its timeout of 1.5 s. A later attempt is
  * answered as soon as the log is back, at most 0.45 s later.
  */
-export async function appendAgain(
+export async function appendHedged(
   ctx: HostContext,
   append: () => Promise<AppendResult>,
   { everyMs, stopped }: HedgedAppendOptions,
--- a/packages/daemon/src/job-host/http-front.ts
+++ b/packages/daemon/src/job-host/caller-server.ts
@@ -30,7 +30,7 @@
 export type Handler = (req: CallerRequest) => Promise<CallerAnswer>;
 
 /** A listening server. */
-export interface HttpFront {
+export interface CallerServer {
   readonly port: number;
   /** Completes requests in flight, closes idle connections and stops; resolves when all are closed. */
   close(): Promise<void>;
@@ -52,9 +52,9 @@
 const KEEP_ALIVE_TIMEOUT_MS = 60_000;
 
 /** Starts listening. */
-export async function startHttpFront(
+export async function startCallerServer(
   options: CallerServerOptions,
-): Promise<HttpFront> {
+): Promise<CallerServer> {
   let closing = false;
   const server = createServer((req, res) => {
     void serve(req, res);
--- a/packages/daemon/src/job-host/claims-read-late.test.ts
+++ b/packages/daemon/src/job-host/claims-read-late.test.ts
@@ -11,7 +11,7 @@
 import { UNKNOWN_SPAN, type Millis } from '@paddlewind/domain';
 import {
   encodeRecord,
-  type HandedLeases,
+  type LeaseHandover,
   type JournalRecord,
 } from '@paddlewind/domain/jobs';
 import { createVirtualTime } from '@paddlewind/stand-ins';
@@ -21,15 +21,15 @@
 import { LeaseEnds } from './lease-ends.js';
 import { Replica } from './replica.js';
 import { jobOf } from './simulation.fixture.test.js';
-import { LONGEST_HELD_MS, TASK_LEASE_MS } from './timing.js';
+import { MAX_LEASE_AFTER_LAST_RECORD_MS, TASK_LEASE_MS } from './timing.js';
 
-const HELD_MS = Math.ceil(LONGEST_HELD_MS);
+const HELD_MS = Math.ceil(MAX_LEASE_AFTER_LAST_RECORD_MS);
 
 function claim(epoch: number): JournalRecord {
   return { kind: 'claim', epoch, host: 'h', nonce: 0 };
 }
 
-function heartbeat(epoch: number, handed?: HandedLeases): JournalRecord {
+function heartbeat(epoch: number, handed?: LeaseHandover): JournalRecord {
   const leader = {
     epoch,
     host: 'h',
@@ -51,14 +51,14 @@
   const [claimer, reader] = [endsFromBeginning(), endsFromBeginning()];
   const silent = heartbeat(1, { epochs: [[1, 7_703]], workers: [['w', 500]] });
   for (const ends of [claimer, reader]) {
-    ends.note(claim(1), 1, 100);
-    ends.note(silent, 1, 1_000);
+    ends.applyRecord(claim(1), 1, 100);
+    ends.applyRecord(silent, 1, 1_000);
   }
   const late = claim(2);
   // Meanwhile the leader records that the worker answers again, and extends its lease.
   for (const ends of [claimer, reader]) {
-    ends.note({ kind: 'reached', worker: 'w' }, 1, 1_450);
-    ends.note(late, 2, 1_500);
+    ends.applyRecord({ kind: 'reached', worker: 'w' }, 1, 1_450);
+    ends.applyRecord(late, 2, 1_500);
     const end = ends.endFor('w', 1);
     assert.ok(end >= 1_450 + TASK_LEASE_MS, `ended at ${end}`);
   }
@@ -66,34 +66,38 @@
 
 test('a leader that wrote after the claimer last read has given leases since then', () => {
   const reader = endsFromBeginning();
-  reader.note(claim(1), 1, 100);
+  reader.applyRecord(claim(1), 1, 100);
   // The leader was cut off for 1.3 s: the claim was sent then and is carried out 2 s later.
   const late = claim(2);
-  reader.note(heartbeat(1, { epochs: [[1, HELD_MS]], workers: [] }), 1, 3_300);
-  reader.note(late, 2, 3_400);
+  reader.applyRecord(
+    heartbeat(1, { epochs: [[1, HELD_MS]], workers: [] }),
+    1,
+    3_300,
+  );
+  reader.applyRecord(late, 2, 3_400);
   const end = reader.endFor('w', 1);
-  assert.ok(end >= 3_300 + LONGEST_HELD_MS, `ended at ${end}`);
+  assert.ok(end >= 3_300 + MAX_LEASE_AFTER_LAST_RECORD_MS, `ended at ${end}`);
 });
 
 test('a leader unknown to the claimer may have given leases', () => {
   const reader = endsFromBeginning();
-  reader.note(claim(1), 1, 100);
+  reader.applyRecord(claim(1), 1, 100);
   // A host whose claim was refused skips epochs.
   const late = claim(5);
-  reader.note(claim(2), 2, 1_410);
-  reader.note({ kind: 'reached', worker: 'w' }, 2, 1_500);
-  reader.note(late, 5, 1_600);
+  reader.applyRecord(claim(2), 2, 1_410);
+  reader.applyRecord({ kind: 'reached', worker: 'w' }, 2, 1_500);
+  reader.applyRecord(late, 5, 1_600);
   const end = reader.endFor('w', 2);
   assert.ok(end >= 1_500 + TASK_LEASE_MS, `ended at ${end}`);
 });
 
 test('a host that missed records does not know of all leaders', () => {
   const ends = endsFromBeginning();
-  ends.note(claim(3), 3, 100);
+  ends.applyRecord(claim(3), 3, 100);
   // This host followed the summary meanwhile. The records of leader 4 are no longer kept, and
   // leader 5 hands over nothing.
   ends.noteGap();
-  ends.note(claim(5), 5, 90_000);
+  ends.applyRecord(claim(5), 5, 90_000);
   const end = ends.endFor('w', 4);
   assert.ok(end >= 90_000 + TASK_LEASE_MS, `ended at ${end}`);
 });
--- a/packages/daemon/src/job-host/crashing-site.fixture.test.ts
+++ b/packages/daemon/src/job-host/crashing-deployment.fixture.test.ts
@@ -5,10 +5,10 @@
 import { Simulation, type TestStep } from './simulation.fixture.test.js';
 
 /** The long-running job and its number of tasks. */
-export const NEIGHBOUR = '00000000000000f1';
+export const NEIGHBOUR_JOB = '00000000000000f1';
 export const NEIGHBOUR_TASKS = 8;
 /** The first job that crashes its workers. */
-export const CRASHER = '00000000000000f2';
+export const CRASHING_JOB = '00000000000000f2';
 
 /** Seeds of each scenario. */
 export const SEEDS = [1, 2, 3];
@@ -20,7 +20,7 @@
 export const REVIVAL_MS = 2_500;
 export const LONG_REVIVAL_MS = 6_000;
 /** A job of many short tasks. */
-export const CROWD = '00000000000000f3';
+export const SHORT_TASKS_JOB = '00000000000000f3';
 
 const HOSTS = ['h1', 'h2', 'h3', 'h4', 'h5', 'h6'];
 /** Machines of the workers. */
@@ -32,7 +32,7 @@
 const QUERY_INTERVAL_MS = 250;
 
 /** Starts six hosts, six workers of four cores and the long-running job. */
-export async function siteWithNeighbours(
+export async function deploymentWithNeighbours(
   seed: number,
   revivalMs?: Millis,
   keepsIds = false,
@@ -47,7 +47,7 @@
   });
   HOSTS.forEach(name => site.startHost(name));
   const step = { tasks: NEIGHBOUR_TASKS, after: [], lasting: true };
-  void site.submit(NEIGHBOUR, [step], ENDLESS);
+  void site.submit(NEIGHBOUR_JOB, [step], ENDLESS);
   await site.time.advance(SETTLE_MS);
   void queryStates(site);
   return site;
@@ -81,7 +81,7 @@
 }
 
 /** Returns a job with one task that crashes its worker `afterMs` after it started. */
-export function crasher(
+export function crashingJob(
   afterMs: Millis,
   step: Partial<TestStep> = {},
 ): Crasher {
--- a/packages/daemon/src/job-host/crashing-shapes.test.ts
+++ b/packages/daemon/src/job-host/crashing-shapes.test.ts
@@ -11,16 +11,16 @@
   MAX_CRASHES,
   REVIVAL_MS,
   LONG_REVIVAL_MS,
-  CROWD,
-  CRASHER,
-  crasher,
+  SHORT_TASKS_JOB,
+  CRASHING_JOB,
+  crashingJob,
   freezeLeaders,
   killLeaders,
-  NEIGHBOUR,
+  NEIGHBOUR_JOB,
   NEIGHBOUR_TASKS,
-  siteWithNeighbours,
+  deploymentWithNeighbours,
   type Crasher,
-} from './crashing-site.fixture.test.js';
+} from './crashing-deployment.fixture.test.js';
 import type { Simulation } from './simulation.fixture.test.js';
 
 /** Time from a crash until a worker that starts again at once is back. */
@@ -36,31 +36,31 @@
 }
 
 const SHAPES: readonly Shape[] = [
-  { name: 'plain', crasher: crasher(10) },
+  { name: 'plain', crasher: crashingJob(10) },
   {
     name: 'workers are away for long',
-    crasher: crasher(10),
+    crasher: crashingJob(10),
     revivalMs: LONG_REVIVAL_MS,
   },
   {
     name: 'leaders are killed',
-    crasher: crasher(10),
+    crasher: crashingJob(10),
     beside: site => void killLeaders(site, 5_000),
   },
   {
     name: 'leaders freeze',
-    crasher: crasher(10),
+    crasher: crashingJob(10),
     beside: site => void freezeLeaders(site, 10_000, 3_000),
   },
   {
     name: 'six in one step',
-    crasher: crasher(10, { tasks: 6 }),
+    crasher: crashingJob(10, { tasks: 6 }),
     crashers: 6,
   },
-  { name: 'before the start is answered', crasher: crasher(0) },
-  { name: 'long after the start', crasher: crasher(4_000) },
-  { name: 'lasting', crasher: crasher(900, { lasting: true }) },
-  { name: 'copies', crasher: crasher(10, { speculative: true }) },
+  { name: 'before the start is answered', crasher: crashingJob(0) },
+  { name: 'long after the start', crasher: crashingJob(4_000) },
+  { name: 'lasting', crasher: crashingJob(900, { lasting: true }) },
+  { name: 'copies', crasher: crashingJob(10, { speculative: true }) },
   {
     name: 'gang',
     crasher: {
@@ -75,10 +75,10 @@
   },
   {
     name: 'in a crowd',
-    crasher: crasher(10),
+    crasher: crashingJob(10),
     beside: site => {
       const steps = [{ tasks: 80, after: [] }];
-      void site.submit(CROWD, steps, { runMs: 2_000, failures: 0 });
+      void site.submit(SHORT_TASKS_JOB, steps, { runMs: 2_000, failures: 0 });
     },
   },
 ];
@@ -88,32 +88,36 @@
   seed: number,
   keepsIds = false,
 ): Promise<string[]> {
-  const site = await siteWithNeighbours(
+  const site = await deploymentWithNeighbours(
     seed,
     shape.revivalMs ?? REVIVAL_MS,
     keepsIds,
   );
   shape.beside?.(site);
   const { steps, script } = shape.crasher;
-  void site.submit(CRASHER, steps, script);
+  void site.submit(CRASHING_JOB, steps, script);
   await site.time.advance(WATCHED_MS);
   const { history } = site;
   const found = history
     .check()
-    .map(({ promise, detail }) => `${promise} ${detail.slice(0, 120)}`);
-  const crashes = history.broughtDownBy(CRASHER);
+    .map(
+      ({ guarantee: promise, detail }) => `${promise} ${detail.slice(0, 120)}`,
+    );
+  const crashes = history.workersCrashedBy(CRASHING_JOB);
   if (crashes > MAX_CRASHES * (shape.crashers ?? 1)) {
     found.push(`${crashes} workers lost`);
   }
   // In the end it is over, and later forgotten.
-  const told = history.statesTold(CRASHER).filter(at => at !== 'no_such_job');
+  const told = history
+    .reportedStates(CRASHING_JOB)
+    .filter(at => at !== 'no_such_job');
   if (told.at(-1) !== 'failed') {
     found.push(`shown as ${told.join(', ')}`);
   }
-  if (history.runningOf(NEIGHBOUR) !== NEIGHBOUR_TASKS) {
-    found.push(`${history.runningOf(NEIGHBOUR)} lasting tasks run`);
+  if (history.runningOf(NEIGHBOUR_JOB) !== NEIGHBOUR_TASKS) {
+    found.push(`${history.runningOf(NEIGHBOUR_JOB)} lasting tasks run`);
   }
-  if (history.jobs.has(CROWD) && !history.isDone(CROWD)) {
+  if (history.jobs.has(SHORT_TASKS_JOB) && !history.isDone(SHORT_TASKS_JOB)) {
     found.push('the crowd is not done');
   }
   return found.map(line => `${shape.name}, seed ${seed}: ${line}`);
--- a/packages/daemon/src/job-host/crashing-tasks.test.ts
+++ b/packages/daemon/src/job-host/crashing-tasks.test.ts
@@ -18,15 +18,15 @@
   MAX_CRASHES,
   REVIVAL_MS,
   LONG_REVIVAL_MS,
-  CROWD,
-  CRASHER,
-  crasher,
+  SHORT_TASKS_JOB,
+  CRASHING_JOB,
+  crashingJob,
   killLeaders,
-  NEIGHBOUR,
+  NEIGHBOUR_JOB,
   NEIGHBOUR_TASKS,
-  siteWithNeighbours,
+  deploymentWithNeighbours,
   WORKERS,
-} from './crashing-site.fixture.test.js';
+} from './crashing-deployment.fixture.test.js';
 import type { Simulation } from './simulation.fixture.test.js';
 
 /** Time after the last crash in which lasting tasks run again. */
@@ -34,65 +34,65 @@
 
 test('no task is given up that only stood on workers which crashed for other reasons', async () => {
   for (const seed of SEEDS) {
-    const site = await siteWithNeighbours(seed);
+    const site = await deploymentWithNeighbours(seed);
     const { history, time } = site;
     await crashAtRandom(site);
     await time.advance(CALM_MS);
     assert.deepEqual(history.check(), []);
-    assert.equal(history.runningOf(NEIGHBOUR), NEIGHBOUR_TASKS);
+    assert.equal(history.runningOf(NEIGHBOUR_JOB), NEIGHBOUR_TASKS);
   }
 });
 
 test('a task is given up alone, though others arrived and were lost with it', async () => {
   for (const seed of SEEDS) {
-    const site = await siteWithNeighbours(seed, REVIVAL_MS);
+    const site = await deploymentWithNeighbours(seed, REVIVAL_MS);
     const { history } = site;
     const others = ['00000000000000e1', '00000000000000e2', '00000000000000e3'];
-    const { steps, script } = crasher(10);
+    const { steps, script } = crashingJob(10);
     const sound = { runMs: script.runMs, failures: 0 };
     for (const id of others) {
       void site.submit(id, steps, sound);
     }
-    void site.submit(CRASHER, steps, script);
+    void site.submit(CRASHING_JOB, steps, script);
     await site.time.advance(WATCHED_MS);
     assert.deepEqual(history.check(), []);
-    assert.ok(history.statesTold(CRASHER).includes('failed'));
+    assert.ok(history.reportedStates(CRASHING_JOB).includes('failed'));
     for (const id of others) {
       assert.ok(history.isDone(id), `seed ${seed}: ${id} is not done`);
     }
-    assert.equal(history.runningOf(NEIGHBOUR), NEIGHBOUR_TASKS);
+    assert.equal(history.runningOf(NEIGHBOUR_JOB), NEIGHBOUR_TASKS);
   }
 });
 
 test('few neighbours are lost with a task that crashes its workers, however full these are', async () => {
   for (const seed of SEEDS) {
-    const site = await siteWithNeighbours(seed, REVIVAL_MS);
+    const site = await deploymentWithNeighbours(seed, REVIVAL_MS);
     const crowd = [{ tasks: 80, after: [] }];
-    void site.submit(CROWD, crowd, { runMs: 2_000, failures: 0 });
-    const { steps, script } = crasher(10);
-    void site.submit(CRASHER, steps, script);
+    void site.submit(SHORT_TASKS_JOB, crowd, { runMs: 2_000, failures: 0 });
+    const { steps, script } = crashingJob(10);
+    void site.submit(CRASHING_JOB, steps, script);
     await site.time.advance(WATCHED_MS);
     assert.deepEqual(site.history.check(), []);
     // Three beside it at its first two workers, for its later ones are its own: four cores each.
-    const lost = site.history.lostBeside(CRASHER);
+    const lost = site.history.otherRunsLostWith(CRASHING_JOB);
     assert.ok(lost <= 2 * 3, `seed ${seed}: ${lost} lost beside it`);
   }
 });
 
 test('callers of all hosts are told why the job has failed, also by those that read the summary', async () => {
-  const site = await siteWithNeighbours(1, REVIVAL_MS);
+  const site = await deploymentWithNeighbours(1, REVIVAL_MS);
   for (let at = 1; at <= 8; at += 1) {
     site.startHost(`s${at}`, 0.5);
   }
   await site.time.advance(REVIVAL_MS);
-  const { steps, script } = crasher(10);
-  void site.submit(CRASHER, steps, script);
+  const { steps, script } = crashingJob(10);
+  void site.submit(CRASHING_JOB, steps, script);
   await site.time.until(
-    () => site.history.firstTold(CRASHER, 'failed') < Infinity,
+    () => site.history.firstReportedAt(CRASHING_JOB, 'failed') < Infinity,
     WATCHED_MS,
   );
   const asked = [...site.hosts.values()].map(({ host }) =>
-    host.service.status(CRASHER),
+    host.service.status(CRASHING_JOB),
   );
   await site.time.advance(1_000);
   const expected = { kind: 'known', status: 'failed', failure: 'workers_lost' };
@@ -103,11 +103,13 @@
 
 test('losses count though the journal is trimmed and all hosts are new', async () => {
   for (const seed of SEEDS) {
-    const site = await siteWithNeighbours(seed, LONG_REVIVAL_MS);
-    const { steps, script } = crasher(10);
-    void site.submit(CRASHER, steps, script);
+    const site = await deploymentWithNeighbours(seed, LONG_REVIVAL_MS);
+    const { steps, script } = crashingJob(10);
+    void site.submit(CRASHING_JOB, steps, script);
     await site.time.until(() => restatedWithLoss(site), WATCHED_MS);
-    const kept = [CRASHER, NEIGHBOUR].map(id => lastRestated(site, id));
+    const kept = [CRASHING_JOB, NEIGHBOUR_JOB].map(id =>
+      lastRestated(site, id),
+    );
     site.log.trimTo(Math.min(...kept));
     for (const name of [...site.hosts.keys()]) {
       site.kill(name);
@@ -116,8 +118,8 @@
     await site.time.advance(WATCHED_MS);
     const { history } = site;
     assert.deepEqual(history.check(), []);
-    assert.ok(history.statesTold(CRASHER).includes('failed'));
-    assert.ok(history.broughtDownBy(CRASHER) <= MAX_CRASHES);
+    assert.ok(history.reportedStates(CRASHING_JOB).includes('failed'));
+    assert.ok(history.workersCrashedBy(CRASHING_JOB) <= MAX_CRASHES);
   }
 });
 
@@ -136,7 +138,7 @@
 
 /** Whether the job is restated with a worker that was lost under its task. */
 function restatedWithLoss(site: Simulation): boolean {
-  return imagesOf(site, CRASHER).some(image => {
+  return imagesOf(site, CRASHING_JOB).some(image => {
     const [, steps] = image?.occurrences[0] ?? [];
     const [, , , , , , losses] = steps?.[0]?.tasks[0] ?? [];
     return losses !== undefined;
@@ -145,17 +147,20 @@
 
 test('nothing of a job begins once it is cancelled between two crashes', async () => {
   for (const seed of SEEDS) {
-    const site = await siteWithNeighbours(seed, REVIVAL_MS);
-    const { steps, script } = crasher(10);
+    const site = await deploymentWithNeighbours(seed, REVIVAL_MS);
+    const { steps, script } = crashingJob(10);
     const { history, time } = site;
-    void site.submit(CRASHER, steps, script);
-    await time.until(() => history.broughtDownBy(CRASHER) === 2, WATCHED_MS);
-    void site.cancel(CRASHER);
+    void site.submit(CRASHING_JOB, steps, script);
+    await time.until(
+      () => history.workersCrashedBy(CRASHING_JOB) === 2,
+      WATCHED_MS,
+    );
+    void site.cancel(CRASHING_JOB);
     await time.advance(WATCHED_MS);
     assert.deepEqual(history.check(), []);
-    assert.equal(history.broughtDownBy(CRASHER), 2);
-    assert.equal(history.firstTold(CRASHER, 'failed'), Infinity);
-    assert.equal(history.runningOf(NEIGHBOUR), NEIGHBOUR_TASKS);
+    assert.equal(history.workersCrashedBy(CRASHING_JOB), 2);
+    assert.equal(history.firstReportedAt(CRASHING_JOB, 'failed'), Infinity);
+    assert.equal(history.runningOf(NEIGHBOUR_JOB), NEIGHBOUR_TASKS);
   }
 });
 
@@ -185,11 +190,11 @@
 test('no task is given up for crashes of its workers while leaders are killed', async () => {
   const givenUp: number[] = [];
   for (const seed of [16, 30]) {
-    const site = await siteWithNeighbours(seed);
+    const site = await deploymentWithNeighbours(seed);
     void killLeaders(site, 5_000);
     await crashAtRandom(site);
     await site.time.advance(CALM_MS);
-    if (site.history.statesTold(NEIGHBOUR).includes('failed')) {
+    if (site.history.reportedStates(NEIGHBOUR_JOB).includes('failed')) {
       givenUp.push(seed);
     }
   }
@@ -203,13 +208,13 @@
 ): Promise<number[]> {
   const givenUp: number[] = [];
   for (const seed of seeds) {
-    const site = await siteWithNeighbours(seed);
+    const site = await deploymentWithNeighbours(seed);
     if (killEveryMs !== undefined) {
       void killLeaders(site, killEveryMs);
     }
     await crashAtRandom(site, 1_200, 2_000);
     await site.time.advance(CALM_MS);
-    if (site.history.statesTold(NEIGHBOUR).includes('failed')) {
+    if (site.history.reportedStates(NEIGHBOUR_JOB).includes('failed')) {
       givenUp.push(seed);
     }
   }
--- a/packages/daemon/src/job-host/decision-log.test.ts
+++ b/packages/daemon/src/job-host/decision-log.test.ts
@@ -70,7 +70,7 @@
     .recordsOf('journal')
     .map(bytes => decodeJournal(bytes)?.kind);
   assert.deepEqual(kinds, ['reached']);
-  assert.ok(replica.state.reachedIn.has('w'));
+  assert.ok(replica.state.reachedInEpoch.has('w'));
 });
 
 test('a decision that is not recorded when the log is closed never will be', async () => {
--- a/packages/daemon/src/job-host/decision-log.ts
+++ b/packages/daemon/src/job-host/decision-log.ts
@@ -38,7 +38,7 @@
   ) {
     this.writer = new JournalWriter(ctx, jobLog, claim);
     this.state = replica.state;
-    replica.becomeWriter();
+    replica.startLeading();
   }
 
   /** Monotonic time at which the newest confirmed append was sent. */
@@ -87,7 +87,7 @@
     const written = result.kind === 'written';
     // Once this host has ceased to lead its copy is read anew from the log.
     if (written && !this.closed) {
-      this.replica.wroteJournal(result.nextOffset);
+      this.replica.noteJournalWritten(result.nextOffset);
     }
     settle(batch, written);
     return written;
--- a/packages/daemon/src/job-host/duty.test.ts
+++ b/packages/daemon/src/job-host/duty.test.ts
@@ -183,10 +183,10 @@
   const id = idOf(1);
   const name = 'h20';
   void site.submit(id, [{ tasks: 1, after: [] }], QUICK);
-  site.log.modes.set(name, 'silent');
+  site.log.hostModes.set(name, 'silent');
   await site.time.advance(25_000);
   site.log.trimStream('summary', site.log.recordsOf('summary').length - 20);
-  site.log.modes.delete(name);
+  site.log.hostModes.delete(name);
   await site.time.advance(3_000);
   const asked = site.hosts.get(name)?.host.service.status(id);
   await site.time.advance(100);
--- a/packages/daemon/src/job-host/earlier-version-restarts.test.ts
+++ b/packages/daemon/src/job-host/earlier-version-restarts.test.ts
@@ -9,13 +9,13 @@
 
 import {
   assertNothingLost,
-  playRestarts,
+  runRestarts,
   restartHost,
   restartHosts,
   restartWorkers,
   WORKERS,
   type Restart,
-} from './restarts-site.fixture.test.js';
+} from './restarts-deployment.fixture.test.js';
 import type { Simulation } from './simulation.fixture.test.js';
 
 const SEEDS = [1, 2, 3, 4];
@@ -44,7 +44,7 @@
         restartHosts(site);
       }
     };
-    assertNothingLost(await playRestarts({ seed, restart }), `seed ${seed}`);
+    assertNothingLost(await runRestarts({ seed, restart }), `seed ${seed}`);
   }
 });
 
@@ -56,7 +56,7 @@
       await site.wait(2_500);
       restartOne(site, turn);
     };
-    assertNothingLost(await playRestarts({ seed, restart }), `seed ${seed}`);
+    assertNothingLost(await runRestarts({ seed, restart }), `seed ${seed}`);
   }
 });
 
@@ -69,7 +69,7 @@
         await claimAsBefore(site);
       }
     };
-    assertNothingLost(await playRestarts({ seed, restart }), `seed ${seed}`);
+    assertNothingLost(await runRestarts({ seed, restart }), `seed ${seed}`);
   }
 });
 
@@ -83,6 +83,6 @@
   assert.equal(found.kind, 'appended');
   for (const name of WORKERS) {
     const look = { acknowledged: 0, leaseUntil: undefined, waitMs: 0 };
-    void site.fleet.at(name)?.look({ ...look, fence: epoch, slackMs: 0 });
+    void site.fleet.at(name)?.poll({ ...look, fence: epoch, slackMs: 0 });
   }
 }
--- a/packages/daemon/src/job-host/fenced-leader.test.ts
+++ b/packages/daemon/src/job-host/fenced-leader.test.ts
@@ -22,11 +22,11 @@
     void site.submit(job, [lasting], { runMs: 10_000_000, failures: 0 });
     await site.time.advance(3_500);
     const first = site.leader();
-    site.log.modes.set(first, 'silent');
+    site.log.hostModes.set(first, 'silent');
     await site.time.until(() => site.leader() !== first, 5_000);
     await site.time.advance(1_000);
     assert.equal(site.hosts.get(first)?.host.gauges.epoch(), 0);
-    site.log.modes.clear();
+    site.log.hostModes.clear();
     await site.time.advance(10_000);
     assert.equal(site.history.runningOf(job), 2);
     assert.deepEqual(site.history.check(), []);
--- a/packages/daemon/src/job-host/fleet.ts
+++ b/packages/daemon/src/job-host/fleet.ts
@@ -1,9 +1,9 @@
 /** The leader's links to all registered workers. */
 import type { Instant } from '@paddlewind/domain';
 import {
-  openRunsAt,
-  startOf,
-  workerOf,
+  countOpenRunsAt,
+  startTimeOf,
+  workerIdOf,
   type JobsState,
   type PlanWorker,
   type WorkerHealth,
@@ -81,12 +81,12 @@
 
   /** Returns the link to the present incarnation of the worker that an incarnation belongs to. */
   linkToPresent(worker: string): WorkerLink | undefined {
-    return this.links.get(this.present.get(workerOf(worker)) ?? '');
+    return this.links.get(this.present.get(workerIdOf(worker)) ?? '');
   }
 
   /** Takes in that another incarnation has answered in place of the one of a link. */
   replace(before: WorkerInfo, by: string): void {
-    const worker = workerOf(by);
+    const worker = workerIdOf(by);
     if (!this.closed && this.present.get(worker) === before.id) {
       this.replaced.get(worker)?.delete(by);
       this.open({ ...before, id: by, leaving: false });
@@ -106,7 +106,7 @@
     if (this.leaving.has(incarnation)) {
       return 'leaving';
     }
-    const worker = workerOf(incarnation);
+    const worker = workerIdOf(incarnation);
     const isThere =
       this.listed.has(worker) && this.present.get(worker) === incarnation;
     return isThere ? 'registered' : 'gone';
@@ -145,7 +145,7 @@
     if (this.closed) {
       return;
     }
-    this.listed = new Set(workers.map(({ id }) => workerOf(id)));
+    this.listed = new Set(workers.map(({ id }) => workerIdOf(id)));
     this.registered = new Set();
     for (const info of workers) {
       this.takeEntry(info);
@@ -164,7 +164,7 @@
       return;
     }
     const { id } = current.info;
-    if (info.id === id || startOf(info.id) === undefined) {
+    if (info.id === id || startTimeOf(info.id) === undefined) {
       current.info = { ...info, id };
       this.noteLeaving(current.info, true);
       this.registered.add(id);
@@ -173,14 +173,14 @@
 
   /** Whether an entry tells of an incarnation that has replaced the one that is known: it may be an old entry. */
   private isNewer(told: string, known: string): boolean {
-    const toldStart = startOf(told) ?? -Infinity;
-    const knownStart = startOf(known) ?? -Infinity;
-    const isReplaced = this.replaced.get(workerOf(told))?.has(told) === true;
+    const toldStart = startTimeOf(told) ?? -Infinity;
+    const knownStart = startTimeOf(known) ?? -Infinity;
+    const isReplaced = this.replaced.get(workerIdOf(told))?.has(told) === true;
     return toldStart > knownStart && !isReplaced;
   }
 
   private open(info: WorkerInfo): void {
-    const worker = workerOf(info.id);
+    const worker = workerIdOf(info.id);
     const before = this.linkToPresent(info.id);
     if (before !== undefined) {
       this.endReplaced(before, info.id);
@@ -191,7 +191,7 @@
 
   private endReplaced(link: WorkerLink, by: string): void {
     const { id } = link.info;
-    const worker = workerOf(id);
+    const worker = workerIdOf(id);
     const runs = this.options.state.workers.get(id)?.runs.size ?? 0;
     this.options.ctx.meters.workerRestarted();
     this.options.ctx.log.warn(
@@ -232,8 +232,8 @@
   private dropLeft(): void {
     const { ctx, state } = this.options;
     for (const [id, link] of this.links) {
-      const worker = workerOf(id);
-      if (!this.listed.has(worker) && openRunsAt(state, worker) === 0) {
+      const worker = workerIdOf(id);
+      if (!this.listed.has(worker) && countOpenRunsAt(state, worker) === 0) {
         ctx.log.info({ worker: id }, 'fleet: worker has left');
         link.close();
         this.links.delete(id);
--- a/packages/daemon/src/job-host/group-append.ts
+++ b/packages/daemon/src/job-host/group-append.ts
@@ -2,8 +2,8 @@
 import type { Millis } from '@paddlewind/domain';
 import type { AppendResult, JobLog } from '@paddlewind/ports/jobs';
 
-import { SLOW_FACTOR } from './append-again.js';
-import { appendHedgedOnce, HEDGE_DELAY_MS } from './append-twice.js';
+import { SLOW_APPEND_FACTOR } from './append-hedged.js';
+import { appendHedgedOnce, HEDGE_DELAY_MS } from './append-hedged-once.js';
 import { withTimeout } from './caller-view.js';
 import type { HostContext } from './context.js';
 
@@ -72,7 +72,7 @@
     // On a slow log, sending each append twice would need twice the time that the log has.
     const secondTryMs = Math.max(
       HEDGE_DELAY_MS,
-      SLOW_FACTOR * this.lastAppendMs,
+      SLOW_APPEND_FACTOR * this.lastAppendMs,
     );
     const result = await appendHedgedOnce(ctx, jobLog, records, {
       hedgeDelayMs: secondTryMs,
--- a/packages/daemon/src/job-host/handed-over-leases.test.ts
+++ b/packages/daemon/src/job-host/handed-over-leases.test.ts
@@ -15,10 +15,10 @@
 import { decodeJournal } from '@paddlewind/domain/jobs';
 
 import {
-  LASTING_JOB,
-  LASTING_TASKS,
-  siteWithLastingJob,
-} from './lasting-site.fixture.test.js';
+  LONG_RUNNING_JOB,
+  LONG_RUNNING_TASKS,
+  deploymentWithLongRunningJob,
+} from './long-running-deployment.fixture.test.js';
 import type { Simulation } from './simulation.fixture.test.js';
 
 const HOSTS = ['h1', 'h2', 'h3', 'h4', 'h5', 'h6'];
@@ -75,7 +75,7 @@
 /** Ends w1, and all tasks with it. */
 function crash(site: Simulation): void {
   site.fleet.crash('w1');
-  assert.equal(site.history.runningOf(LASTING_JOB), 0);
+  assert.equal(site.history.runningOf(LONG_RUNNING_JOB), 0);
 }
 
 /** Cuts w1 off from `hosts`: it runs on under its lease. */
@@ -91,7 +91,7 @@
     site,
     HOSTS.filter(host => host !== name),
   );
-  site.log.modes.set(name, 'silent');
+  site.log.hostModes.set(name, 'silent');
 }
 
 /** Advances until another host than `before` has claimed. */
@@ -131,7 +131,7 @@
 async function timeAway(site: Simulation): Promise<Millis> {
   const from = site.time.clock();
   const back = (): boolean =>
-    site.history.runningOf(LASTING_JOB) === LASTING_TASKS;
+    site.history.runningOf(LONG_RUNNING_JOB) === LONG_RUNNING_TASKS;
   await site.time.until(back, LONGEST_AWAY_MS);
   return Math.round(site.time.clock() - from);
 }
@@ -150,14 +150,14 @@
 /** Fails where a task runs in two places, or does not run in the end. */
 async function assertNoneTwice(site: Simulation): Promise<void> {
   await site.time.advance(CALM_MS);
-  assert.equal(site.history.runningOf(LASTING_JOB), LASTING_TASKS);
+  assert.equal(site.history.runningOf(LONG_RUNNING_JOB), LONG_RUNNING_TASKS);
   assert.deepEqual(site.history.check(), []);
 }
 
 test('tasks are back in time from a worker that the next leader reached', async () => {
   const late: string[] = [];
   for (const seed of SEEDS) {
-    const site = await siteWithLastingJob(seed, HOSTS);
+    const site = await deploymentWithLongRunningJob(seed, HOSTS);
     await handOverW1(site);
     await site.time.advance(700);
     crash(site);
@@ -223,7 +223,7 @@
   const late: string[] = [];
   for (const { name, times, change, withinMs } of cases) {
     for (const seed of SEEDS) {
-      const site = await siteWithLastingJob(seed, HOSTS);
+      const site = await deploymentWithLongRunningJob(seed, HOSTS);
       crash(site);
       changeAt(site, times, change);
       late.push(...(await tellIfLate(site, withinMs, `${name}, seed ${seed}`)));
@@ -235,7 +235,7 @@
 for (const { name, times, change } of [...STOPS, ...KILLS]) {
   for (const seed of SEEDS) {
     test(`w1 is out of reach and ${name}, seed ${seed}`, async () => {
-      const site = await siteWithLastingJob(seed, HOSTS);
+      const site = await deploymentWithLongRunningJob(seed, HOSTS);
       cutOff(site, HOSTS);
       changeAt(site, times, change);
       await assertNoneTwice(site);
@@ -247,7 +247,7 @@
   // The lease that the earlier leader gave last has nearly all of its time left.
   for (const lead of REACHED_LEADS) {
     test(`w1 is out of reach ${lead} ms after a leader that was handed over to reached it, seed ${seed}`, async () => {
-      const site = await siteWithLastingJob(seed, HOSTS);
+      const site = await deploymentWithLongRunningJob(seed, HOSTS);
       await handOverW1(site);
       await site.time.advance(lead);
       cutOff(site, HOSTS);
@@ -256,14 +256,14 @@
   }
 
   test(`only a leader without the log reaches w1, seed ${seed}`, async () => {
-    const site = await siteWithLastingJob(seed, HOSTS);
+    const site = await deploymentWithLongRunningJob(seed, HOSTS);
     isolate(site, site.leader());
     await assertNoneTwice(site);
   });
 
   // It does not learn of the claim that follows its release, and goes on until its own lease ends.
   test(`only a leader that was to stop reaches w1, seed ${seed}`, async () => {
-    const site = await siteWithLastingJob(seed, HOSTS);
+    const site = await deploymentWithLongRunningJob(seed, HOSTS);
     const name = site.leader();
     void site.hosts.get(name)?.host.handOver(HAND_OVER_MS);
     await untilReleased(site);
@@ -275,13 +275,13 @@
   // That the worker answers again may come too late to be recorded.
   for (const lead of ANSWER_LEADS) {
     test(`w1 answers its leader again ${lead} ms before that loses the log, seed ${seed}`, async () => {
-      const site = await siteWithLastingJob(seed, HOSTS);
+      const site = await deploymentWithLongRunningJob(seed, HOSTS);
       const name = site.leader();
       cutOff(site, HOSTS);
       await site.time.advance(SILENT_MS);
       site.fleet.cuts.delete(`${name}>w1`);
       await site.time.advance(lead);
-      site.log.modes.set(name, 'silent');
+      site.log.hostModes.set(name, 'silent');
       await assertNoneTwice(site);
     });
   }
@@ -289,7 +289,7 @@
   // What the earlier leader knew of the silent worker holds no more.
   for (const lead of REACHED_LEADS) {
     test(`w1 is lost ${lead} ms after the next leader reached it, seed ${seed}`, async () => {
-      const site = await siteWithLastingJob(seed, HOSTS);
+      const site = await deploymentWithLongRunningJob(seed, HOSTS);
       cutOff(site, [site.leader()]);
       await site.time.advance(SILENT_MS);
       const before = site.leader();
--- a/packages/daemon/src/job-host/duty.ts
+++ b/packages/daemon/src/job-host/host-role.ts
@@ -7,18 +7,18 @@
  * what the hosts spent.
  */
 import type { Instant, Millis } from '@paddlewind/domain';
-import { encodeRecord, STANDBYS } from '@paddlewind/domain/jobs';
+import { encodeRecord, MAX_STANDBYS } from '@paddlewind/domain/jobs';
 
 import type { HostContext } from './context.js';
 import type { Replica } from './replica.js';
 import type { SummaryFollower } from './summary-follower.js';
 import {
-  DUTY_SPREAD_MS,
-  LEADER_CORES,
-  LEADER_SILENCE_MS,
-  SUMMARY_READ_EVERY_MS,
-  SUMMARY_SILENCE_MS,
-  VOLUNTEER_EVERY_MS,
+  ROLE_CHANGE_JITTER_MS,
+  MIN_LEADER_CORES,
+  LEADER_SILENCE_TIMEOUT_MS,
+  SUMMARY_READ_INTERVAL_MS,
+  SUMMARY_SILENCE_TIMEOUT_MS,
+  STANDBY_OFFER_INTERVAL_MS,
 } from './timing.js';
 
 /** What the role of a host depends on. */
@@ -38,7 +38,7 @@
 }
 
 /** The role of one host. */
-export class Duty {
+export class HostRole {
   private followingSummary = false;
   /** Whether this process has tried to read the leader from the summary. */
   private hasTriedSummary = false;
@@ -51,7 +51,7 @@
   /** Creates the role of a host that has read nothing. */
   constructor(private readonly options: HostRoleOptions) {
     const { ctx } = options;
-    this.leaderTimeoutMs = SUMMARY_SILENCE_MS + this.randomDelay();
+    this.leaderTimeoutMs = SUMMARY_SILENCE_TIMEOUT_MS + this.randomDelay();
     this.nextOfferAt = ctx.clock() + this.randomDelay();
   }
 
@@ -64,7 +64,7 @@
    * Updates the role; resolves with true if this host follows the summary and does not read the
    * journal.
    */
-  async observes(): Promise<boolean> {
+  async followsSummary(): Promise<boolean> {
     if (this.followingSummary) {
       await this.followSummary();
     } else if (this.isReleased()) {
@@ -78,7 +78,7 @@
 
   private async followSummary(): Promise<void> {
     const { ctx, summary } = this.options;
-    if (ctx.clock() - this.summaryReadAt >= SUMMARY_READ_EVERY_MS) {
+    if (ctx.clock() - this.summaryReadAt >= SUMMARY_READ_INTERVAL_MS) {
       this.summaryReadAt = ctx.clock();
       await summary.refresh();
     }
@@ -137,7 +137,7 @@
     return (
       replica.isComplete &&
       replica.state.claim.epoch > 0 &&
-      ctx.clock() - replica.journalHeardAt < LEADER_SILENCE_MS
+      ctx.clock() - replica.journalReceivedAt < LEADER_SILENCE_TIMEOUT_MS
     );
   }
 
@@ -148,7 +148,7 @@
     if (!this.followingSummary) {
       return this.hasLiveLeader() && now >= this.nextOfferAt;
     }
-    const isVacant = (summary.leaderInfo?.standbys.length ?? 0) < STANDBYS;
+    const isVacant = (summary.leaderInfo?.standbys.length ?? 0) < MAX_STANDBYS;
     if (isVacant && !this.hadVacancy) {
       this.nextOfferAt = now + this.randomDelay();
     }
@@ -158,7 +158,7 @@
 
   private offer(): void {
     const { ctx, cores, peerAddress } = this.options;
-    this.nextOfferAt = ctx.clock() + VOLUNTEER_EVERY_MS;
+    this.nextOfferAt = ctx.clock() + STANDBY_OFFER_INTERVAL_MS;
     const record = encodeRecord({
       kind: 'volunteer',
       host: ctx.host,
@@ -171,7 +171,7 @@
   /** Returns a random delay; large hosts act first. */
   private randomDelay(): Millis {
     const { ctx, cores } = this.options;
-    const baseDelay = cores < LEADER_CORES ? DUTY_SPREAD_MS : 0;
-    return baseDelay + ctx.random() * DUTY_SPREAD_MS;
+    const baseDelay = cores < MIN_LEADER_CORES ? ROLE_CHANGE_JITTER_MS : 0;
+    return baseDelay + ctx.random() * ROLE_CHANGE_JITTER_MS;
   }
 }
--- a/packages/daemon/src/job-host/inbox-sender.ts
+++ b/packages/daemon/src/job-host/inbox-sender.ts
@@ -2,10 +2,10 @@
 import type { Instant, Millis } from '@paddlewind/domain';
 import type { AppendResult, JobLog } from '@paddlewind/ports/jobs';
 
-import { appendHedgedOnce } from './append-twice.js';
+import { appendHedgedOnce } from './append-hedged-once.js';
 import type { CallerView } from './caller-view.js';
 import { pause, type HostContext } from './context.js';
-import { CONTACT_LOST_MS, INBOX_RETRY_MS } from './timing.js';
+import { LOG_CONTACT_TIMEOUT_MS, INBOX_RETRY_DELAY_MS } from './timing.js';
 
 /** Time for which appends go directly to the log after the leader failed to append one. */
 const LEADER_BACKOFF_MS: Millis = 2_000;
@@ -40,7 +40,8 @@
   /** Appends records; readers of the inbox apply a duplicate record only once. */
   async append(records: readonly Uint8Array[]): Promise<AppendResult> {
     const { ctx, jobLog, view } = this.options;
-    const isDisconnected = ctx.clock() - view().contactAt > CONTACT_LOST_MS;
+    const isDisconnected =
+      ctx.clock() - view().contactAt > LOG_CONTACT_TIMEOUT_MS;
     if (isDisconnected || this.awaitsInboxRead) {
       const reason = 'the log does not answer this host';
       return { kind: 'refused', reason };
@@ -92,7 +93,7 @@
     const since = ctx.clock();
     while (view().inboxKnownAsOf <= since) {
       if (!(await view().readInbox())) {
-        await pause(ctx, INBOX_RETRY_MS);
+        await pause(ctx, INBOX_RETRY_DELAY_MS);
       }
     }
     this.awaitsInboxRead = false;
--- a/packages/daemon/src/job-host/index.ts
+++ b/packages/daemon/src/job-host/index.ts
@@ -1,11 +1,11 @@
 export * from './context.js';
-export * from './http-front.js';
+export * from './caller-server.js';
 export * from './caller-view.js';
 export * from './job-service.js';
 export * from './loop-delay.js';
 export * from './meters.js';
 export * from './start-job-host.js';
-export { registerLinkUse } from './link-meters.js';
+export { registerLinkMetrics as registerLinkUse } from './link-meters.js';
 export { linkSharesOf } from './relay/link-shares.js';
 export { startAdmin } from '../admin/server.js';
 export { splitAddress } from '../listening.js';
--- a/packages/daemon/src/job-host/job-host.fuzz.test.ts
+++ b/packages/daemon/src/job-host/job-host.fuzz.test.ts
@@ -52,8 +52,8 @@
       site.freeze(found.host, found.span);
       return;
     case 'log':
-      log.modes.set(found.host, found.mode);
-      time.schedule(found.span, () => log.modes.delete(found.host));
+      log.hostModes.set(found.host, found.mode);
+      time.schedule(found.span, () => log.hostModes.delete(found.host));
       return;
     case 'stream':
       log.streamModes.set(found.stream, 'refusing');
@@ -81,8 +81,8 @@
       });
       return;
     case 'lag':
-      fleet.slowness.set(found.worker, LAG_MS);
-      time.schedule(found.span, () => fleet.slowness.delete(found.worker));
+      fleet.orderDelays.set(found.worker, LAG_MS);
+      time.schedule(found.span, () => fleet.orderDelays.delete(found.worker));
       return;
     case 'slow':
       site.slow(found.host, found.eventMs);
@@ -91,17 +91,17 @@
       });
       return;
     case 'link':
-      log.links.set(found.host, found.bytesPerMs);
-      time.schedule(found.span, () => log.links.delete(found.host));
+      log.linkRates.set(found.host, found.bytesPerMs);
+      time.schedule(found.span, () => log.linkRates.delete(found.host));
       return;
     case 'hang':
     case 'fail':
       disturbWorker(site, found.kind, found.worker, found.span);
       return;
     case 'late':
-      fleet.lateShare = found.share;
+      fleet.delayedOrderShare = found.share;
       time.schedule(found.span, () => {
-        fleet.lateShare = 0;
+        fleet.delayedOrderShare = 0;
       });
       return;
   }
@@ -148,7 +148,7 @@
       const askedAt = site.time.clock();
       void service.queueLength('checks').then(length => {
         if (length !== undefined) {
-          site.history.toldLength(name, askedAt, length);
+          site.history.recordQueueLength(name, askedAt, length);
         }
       });
       if (id !== undefined) {
@@ -177,10 +177,10 @@
   const from = time.clock() + at;
   history.faults?.add({ from, until: from + span + delayMs, of: 'workers' });
   time.schedule(at, () => {
-    fleet.lookDelays.set(worker, delayMs);
+    fleet.pollDelays.set(worker, delayMs);
   });
   time.schedule(at + span, () => {
-    fleet.lookDelays.delete(worker);
+    fleet.pollDelays.delete(worker);
   });
 }
 
@@ -324,7 +324,7 @@
         void submitCrashingJob(started, drawn);
       });
       assertGuarantees(site, found);
-      assert.ok(site.history.statesTold(CRASHING_JOB).includes('failed'));
+      assert.ok(site.history.reportedStates(CRASHING_JOB).includes('failed'));
     }),
     fuzzOptions(10, 20261206),
   );
--- a/packages/daemon/src/job-host/job-host.test.ts
+++ b/packages/daemon/src/job-host/job-host.test.ts
@@ -58,7 +58,7 @@
   await site.time.advance(3_500);
   const first = site.leader();
   // The tasks end while the leader cannot write, and its workers keep reporting them.
-  site.log.modes.set(first, 'refusing');
+  site.log.hostModes.set(first, 'refusing');
   await site.time.advance(8_000);
   assert.notEqual(site.leader(), first);
   assert.deepEqual(site.history.check(), []);
@@ -160,7 +160,7 @@
 test('a host that is cut off from the log refuses at once', async () => {
   const site = smallSite(11);
   await site.time.advance(1_000);
-  site.log.modes.set('h1', 'silent');
+  site.log.hostModes.set('h1', 'silent');
   await site.time.advance(4_000);
   const service = site.hosts.get('h1')?.host.service;
   const before = site.time.clock();
@@ -194,7 +194,7 @@
   await site.time.advance(1_500);
   void site.cancel('0000000000000013');
   await site.time.advance(1_000);
-  site.log.modes.set(site.leader(), 'refusing');
+  site.log.hostModes.set(site.leader(), 'refusing');
   await site.time.advance(12_000);
   assert.deepEqual(site.history.check(), []);
 });
@@ -206,10 +206,10 @@
   await site.time.advance(1_000);
   void site.submit('0000000000000014', [{ tasks: 2, after: [] }], slow);
   await site.time.advance(200);
-  site.log.modes.set(site.leader(), 'refusing');
+  site.log.hostModes.set(site.leader(), 'refusing');
   void site.cancel('0000000000000014');
   await site.time.advance(100);
-  site.log.modes.clear();
+  site.log.hostModes.clear();
   site.log.streamModes.set('inbox', 'refusing');
   await site.time.advance(9_000);
   site.log.streamModes.clear();
@@ -329,7 +329,7 @@
   const site = smallSite(19);
   await site.time.advance(2_000);
   const service = site.hosts.get('h1')?.host.service;
-  site.log.modes.set('h1', 'silent');
+  site.log.hostModes.set('h1', 'silent');
   const job = jobOf('0000000000000019', TWO_STEPS, QUICK);
   const asked = service?.submit(job, site.time.clock() + 3_000);
   await site.time.advance(1_400);
@@ -340,7 +340,7 @@
   const site = smallSite(20);
   await site.time.advance(2_000);
   const service = site.hosts.get('h1')?.host.service;
-  site.log.loseNext = 1;
+  site.log.unansweredAppends = 1;
   const job = jobOf('0000000000000020', TWO_STEPS, QUICK);
   const asked = service?.submit(job, site.time.clock() + 3_000);
   await site.time.advance(600);
--- a/packages/daemon/src/job-host/job-service.test.ts
+++ b/packages/daemon/src/job-host/job-service.test.ts
@@ -142,7 +142,7 @@
 test('one lost answer does not make later callers wait or retry', async () => {
   const site = new FollowerFixture();
   await site.follow();
-  site.log.loseNext = 1;
+  site.log.unansweredAppends = 1;
   await outcomeOfSubmit(site, '0000000000000001', 1_000);
   assert.equal(await outcomeOfSubmit(site, '0000000000000002', 50), 'recorded');
 });
--- a/packages/daemon/src/job-host/journal-writer.ts
+++ b/packages/daemon/src/job-host/journal-writer.ts
@@ -3,10 +3,10 @@
 import { encodeRecord, type JournalRecord } from '@paddlewind/domain/jobs';
 import type { AppendResult, JobLog, WriterStamp } from '@paddlewind/ports/jobs';
 
-import { appendAgain, SLOW_FACTOR } from './append-again.js';
+import { appendHedged, SLOW_APPEND_FACTOR } from './append-hedged.js';
 import { pause, type HostContext } from './context.js';
 import type { WonClaim } from './leadership.js';
-import { APPEND_AGAIN_MS, APPEND_RETRY_MS } from './timing.js';
+import { APPEND_AGAIN_MS, APPEND_RETRY_DELAY_MS } from './timing.js';
 
 /** What became of a batch. */
 export type WriteResult =
@@ -77,11 +77,14 @@
   private async append(encoded: readonly Uint8Array[]): Promise<AppendResult> {
     const { ctx, jobLog, stamp } = this;
     const sentAt = ctx.clock();
-    const everyMs = Math.max(APPEND_AGAIN_MS, SLOW_FACTOR * this.answerMs);
+    const everyMs = Math.max(
+      APPEND_AGAIN_MS,
+      SLOW_APPEND_FACTOR * this.answerMs,
+    );
     const append = (): Promise<AppendResult> =>
       jobLog.append('journal', encoded, stamp);
     const stopped = (): boolean => this.closed;
-    const result = await appendAgain(ctx, append, { everyMs, stopped });
+    const result = await appendHedged(ctx, append, { everyMs, stopped });
     if (result.kind === 'appended') {
       // How long an outage took tells nothing of how fast the log is after it.
       this.answerMs = Math.min(ctx.clock() - sentAt, APPEND_AGAIN_MS);
@@ -95,6 +98,6 @@
     reason,
   }: Extract<AppendResult, { kind: 'refused' | 'unknown' }>): Promise<void> {
     this.ctx.log.warn({ why: kind, reason }, 'journal: an append is repeated');
-    await pause(this.ctx, APPEND_RETRY_MS);
+    await pause(this.ctx, APPEND_RETRY_DELAY_MS);
   }
 }
--- a/packages/daemon/src/job-host/late-answers.test.ts
+++ b/packages/daemon/src/job-host/late-answers.test.ts
@@ -36,7 +36,7 @@
   await site.time.until(runs, 6_000);
   site.addWorker('w2');
   await site.time.advance(300);
-  site.fleet.lookDelays.set('w1', LATE_MS);
+  site.fleet.pollDelays.set('w1', LATE_MS);
   return site;
 }
 
--- a/packages/daemon/src/job-host/late-claim-horizon.test.ts
+++ b/packages/daemon/src/job-host/late-claim-horizon.test.ts
@@ -7,13 +7,13 @@
 
 import { decodeJournal } from '@paddlewind/domain/jobs';
 
-import { siteWithLastingJob } from './lasting-site.fixture.test.js';
+import { deploymentWithLongRunningJob } from './long-running-deployment.fixture.test.js';
 
 const HOSTS = ['h1', 'h2'];
 
 for (let seed = 1; seed <= 24; seed += 1) {
   test(`a claim is carried out with a delay, seed ${seed}`, async () => {
-    const site = await siteWithLastingJob(seed, HOSTS);
+    const site = await deploymentWithLongRunningJob(seed, HOSTS);
     const name = site.leader();
     for (const host of HOSTS.filter(other => other !== name)) {
       // Claims get no answer and are carried out at once or up to 6 s later.
@@ -27,7 +27,7 @@
         .map(decodeJournal)
         .filter(record => record?.kind === 'claim').length;
     await site.time.until(() => claims() > 1, 20_000);
-    site.log.modes.set(name, 'silent');
+    site.log.hostModes.set(name, 'silent');
     site.log.hostStreamModes.clear();
     await site.time.advance(20_000);
     assert.deepEqual(site.history.check(), []);
--- a/packages/daemon/src/job-host/late-claim-twice.test.ts
+++ b/packages/daemon/src/job-host/late-claim-twice.test.ts
@@ -10,10 +10,10 @@
 import { decodeJournal } from '@paddlewind/domain/jobs';
 
 import {
-  LASTING_JOB,
-  LASTING_TASKS,
-  siteWithLastingJob,
-} from './lasting-site.fixture.test.js';
+  LONG_RUNNING_JOB,
+  LONG_RUNNING_TASKS,
+  deploymentWithLongRunningJob,
+} from './long-running-deployment.fixture.test.js';
 import type { Simulation } from './simulation.fixture.test.js';
 
 const HOSTS = ['h1', 'h2', 'h3'];
@@ -34,7 +34,7 @@
     for (const [silent, lead] of SILENCE_DURATIONS_MS.flatMap(s =>
       RECONNECT_DELAYS_MS.map(l => [s, l] as const),
     )) {
-      const site = await siteWithLastingJob(seed, HOSTS);
+      const site = await deploymentWithLongRunningJob(seed, HOSTS);
       const name = site.leader();
       for (const host of HOSTS) {
         site.fleet.cuts.add(`${host}>w1`);
@@ -47,10 +47,13 @@
       });
       await site.time.until(() => claims(site) > 1, 5_000);
       // This leader does not see the claim and continues until its own leases end.
-      site.log.modes.set(name, 'silent');
+      site.log.hostModes.set(name, 'silent');
       site.log.appendMs = 0;
       await site.time.advance(RECOVERY_MS);
-      assert.equal(site.history.runningOf(LASTING_JOB), LASTING_TASKS);
+      assert.equal(
+        site.history.runningOf(LONG_RUNNING_JOB),
+        LONG_RUNNING_TASKS,
+      );
       const found = site.history.check();
       if (found.length > 0) {
         broken.push({ silent, lead, found: found[0] });
--- a/packages/daemon/src/job-host/leader-leases.ts
+++ b/packages/daemon/src/job-host/leader-leases.ts
@@ -1,8 +1,8 @@
 /** The leases that a leader gives: until when, what it tells others of them, and which have ended. */
 import type { Instant, Millis } from '@paddlewind/domain';
 import {
-  workerOf,
-  type HandedLeases,
+  workerIdOf,
+  type LeaseHandover,
   type JobsState,
   type JournalRecord,
   type Run,
@@ -10,7 +10,7 @@
 
 import type { HostContext } from './context.js';
 import type { Fleet } from './fleet.js';
-import { tellGivenUp } from './given-up-runs.js';
+import { tellGivenUp } from './abandoned-runs.js';
 import type { WonClaim } from './leadership.js';
 import { longestLeaseEnd } from './lease.js';
 import type { Replica } from './replica.js';
@@ -63,7 +63,7 @@
   }
 
   /** Returns what a record that is written now tells others; undefined while this host may not know of all leaders. */
-  tell(): HandedLeases | undefined {
+  tell(): LeaseHandover | undefined {
     const { replica, claim, ctx, fleet } = this.options;
     const now = ctx.clock();
     const handed = replica.handedLeases(claim.epoch, this.heldMs());
@@ -74,7 +74,7 @@
     const workers = new Map<string, Millis>();
     for (const { worker, leaseEnd } of told) {
       fleet.linkToPresent(worker)?.noteSilenceTold();
-      workers.set(workerOf(worker), Math.max(0, Math.ceil(leaseEnd - now)));
+      workers.set(workerIdOf(worker), Math.max(0, Math.ceil(leaseEnd - now)));
     }
     return { ...handed, workers: [...workers] };
   }
--- a/packages/daemon/src/job-host/leader-log.ts
+++ b/packages/daemon/src/job-host/leader-log.ts
@@ -1,11 +1,11 @@
 /** The lines of a leader's log that tell of runs and jobs. */
 import {
-  lostUnder,
+  workersLostUnder,
   objectiveOf,
   refOf,
   statusOf,
   taskName,
-  workOf,
+  expectedWorkOf,
   type Occurrence,
   type Run,
   type RunTimes,
@@ -39,7 +39,7 @@
 
 /** Tells of a task that is given up, and which workers were lost under it. */
 export function logGivenUp({ ctx, claim }: Writer, task: Task): void {
-  const workers = lostUnder(task);
+  const workers = workersLostUnder(task);
   const name = taskName(refOf(task));
   const { epoch } = claim;
   ctx.log.warn(
@@ -82,7 +82,7 @@
       objectiveMs: Math.round(objectiveOf(occurrence, times)),
       tasks: tasks.length,
       runs: tasks.reduce((sum, { lastRun }) => sum + lastRun, 0),
-      coreMs: Math.round(workOf(occurrence, times)),
+      coreMs: Math.round(expectedWorkOf(occurrence, times)),
     },
     'leader: a job is over',
   );
--- a/packages/daemon/src/job-host/leader-records.ts
+++ b/packages/daemon/src/job-host/leader-records.ts
@@ -2,7 +2,7 @@
 import type { Instant } from '@paddlewind/domain';
 import {
   chooseStandbys,
-  type HandedLeases,
+  type LeaseHandover,
   type Interference,
   type JournalRecord,
   type Run,
@@ -28,7 +28,7 @@
     readonly replica: Replica;
     readonly peerAddress: string;
   },
-  handed: HandedLeases | undefined,
+  handed: LeaseHandover | undefined,
 ): JournalRecord {
   return {
     kind: 'heartbeat',
--- a/packages/daemon/src/job-host/leader.ts
+++ b/packages/daemon/src/job-host/leader.ts
@@ -1,16 +1,16 @@
 /** The leader's loop: takes in ends, plans starts, records both, then acts. */
 import type { Instant, Millis } from '@paddlewind/domain';
 import {
-  Advice,
+  AdviceTickets,
   createRunTimes,
   EMPTY_ACCOUNT,
   Interference,
-  planCopies,
+  planSpeculativeCopies,
   planStarts,
   refOf,
-  runsOfOthers,
+  runsOfOtherIncarnations,
   WorkerHealth,
-  workerOf,
+  workerIdOf,
   workerRuns,
   type ApplyStart,
   type JobsState,
@@ -23,7 +23,7 @@
 } from '@paddlewind/domain/jobs';
 
 import { Adviser } from './adviser.js';
-import { Alarm } from './alarm.js';
+import { WakeSignal } from './wake-signal.js';
 import { pause } from './context.js';
 import { DecisionLog } from './decision-log.js';
 import { Fences } from './fences.js';
@@ -40,9 +40,9 @@
 import { StartWindow } from './start-window.js';
 import { SummaryWriter } from './summary-writer.js';
 import {
-  CLAIM_REPEAT_MS,
+  CLAIM_INTERVAL_MS,
   HEARTBEAT_EVERY_MS,
-  INBOX_RETRY_MS,
+  INBOX_RETRY_DELAY_MS,
   INBOX_STALE_MS,
   INBOX_WAIT_MS,
   LEARNT_EVERY_MS,
@@ -68,10 +68,10 @@
   private readonly interference: Interference;
   private readonly window = new StartWindow();
   private readonly health = new WorkerHealth();
-  private readonly advice = new Advice();
+  private readonly advice = new AdviceTickets();
   private readonly adviser: Adviser;
   private readonly supervisor: RunSupervisor;
-  private readonly alarm: Alarm;
+  private readonly alarm: WakeSignal;
   /** Whether a worker has ceased to answer since the others were told which do not. */
   private silenceUntold = false;
   private ended = false;
@@ -84,12 +84,12 @@
     const earlier = this.state.learnt;
     this.times = createRunTimes(earlier?.learnt.runTimes);
     this.interference = new Interference(earlier);
-    this.alarm = new Alarm(ctx.schedule);
+    this.alarm = new WakeSignal(ctx.schedule);
     this.adviser = new Adviser(
       ctx,
       options.advicePort,
       this.advice,
-      this.alarm.ring,
+      this.alarm.notify,
     );
     this.supervisor = new RunSupervisor({
       ctx,
@@ -113,7 +113,7 @@
       },
       presenceOf: worker => this.fleet.presenceOf(worker),
       fleetSize: () => this.fleet.registeredWorkers().length,
-      changed: this.alarm.ring,
+      changed: this.alarm.notify,
     });
     this.summary = new SummaryWriter({
       ctx,
@@ -134,7 +134,7 @@
       left: (worker, announced) => {
         this.runs.workerLeft(worker, announced);
       },
-      changed: this.alarm.ring,
+      changed: this.alarm.notify,
     });
     this.fences = new Fences(claim.firstFence, claim.epoch, worker => {
       ctx.log.warn({ worker }, 'leader: its fences are used up');
@@ -171,7 +171,7 @@
   release(): void {
     this.recordLearnt();
     this.decisions.record(this.leases.release());
-    this.alarm.ring();
+    this.alarm.notify();
   }
 
   /** Resolves when all that was decided so far is recorded; with false when it never will be. */
@@ -185,14 +185,14 @@
       ctx,
       port,
       starts,
-      fence: this.fences.next(workerOf(info.id)),
+      fence: this.fences.next(workerIdOf(info.id)),
       maxLeaseMs,
       earlierLeaseEnd: this.leases.earlierEnd(info.id, isNew, maxLeaseMs),
       horizon: () => this.leases.horizon,
       inboxAgeMs: () => this.inboxAgeMs(),
       registryAgeMs: () => ctx.clock() - this.fleet.knownAsOf,
       runs: () => workerRuns(this.state, info.id),
-      otherRuns: () => runsOfOthers(this.state, info.id),
+      otherRuns: () => runsOfOtherIncarnations(this.state, info.id),
       isNew,
       leadsSince: claim.wonAt,
       lookWaitMs: () => this.supervisor.lookWaitMs(info),
@@ -219,7 +219,7 @@
           this.runs.reached(info.id, done);
         },
         ticketRefused: ({ step }) => {
-          this.advice.refuse(step, info.id);
+          this.advice.discardTicket(step, info.id);
         },
         fenced: () => {
           // Its claim was recorded, so that nothing of this leader will be: the log may not tell it for seconds.
@@ -242,7 +242,7 @@
           this.silenceUntold = true;
           this.window.noteSilence(ctx.clock());
         },
-        changed: this.alarm.ring,
+        changed: this.alarm.notify,
       },
     });
     void keepRunning(ctx, 'looks', () => link.begin());
@@ -253,12 +253,12 @@
     const { replica } = this.options;
     while (!this.ended) {
       const before = replica.nextOffset('inbox');
-      if (replica.lostTrack) {
+      if (replica.hasGap) {
         this.end();
       } else if (!(await replica.readToEnd('inbox', INBOX_WAIT_MS))) {
-        await pause(this.options.ctx, INBOX_RETRY_MS);
+        await pause(this.options.ctx, INBOX_RETRY_DELAY_MS);
       } else if (replica.nextOffset('inbox') !== before) {
-        this.alarm.ring();
+        this.alarm.notify();
       }
     }
   }
@@ -296,7 +296,7 @@
       const restMs = now - beganAt;
       const idle =
         this.decisions.isEmpty && now - wroteAt >= HEARTBEAT_EVERY_MS;
-      const repeatMs = this.silenceUntold ? TELL_SILENCE_MS : CLAIM_REPEAT_MS;
+      const repeatMs = this.silenceUntold ? TELL_SILENCE_MS : CLAIM_INTERVAL_MS;
       if (idle || now - claimedAt >= repeatMs) {
         this.recordHeartbeat();
         claimedAt = now;
@@ -312,12 +312,12 @@
           return;
         }
         wroteAt = ctx.clock();
-        if (wroteAt - now > CLAIM_REPEAT_MS) {
+        if (wroteAt - now > CLAIM_INTERVAL_MS) {
           // The log was away: leases are extended only by what is written now.
-          this.alarm.ring();
+          this.alarm.notify();
         }
       }
-      this.summary.tell(told);
+      this.summary.publish(told);
       if (restMs > LONG_ROUND_MS) {
         await pause(ctx, restMs);
       }
@@ -345,7 +345,7 @@
     planStarts(input, start, urgency => {
       this.supervisor.moveOffLeaving(input, urgency);
     });
-    planCopies(input, start);
+    planSpeculativeCopies(input, start);
     this.supervisor.moveSlowed(input);
     this.adviser.askIfNeeded(input);
   }
@@ -360,9 +360,9 @@
       advice: this.advice,
       time: { now: ctx.clock(), nowWall: ctx.wallClock() },
       leadsSince: this.options.claim.wonAt,
-      mostStarts: this.window.free(starts.mostStarts),
+      maxStarts: this.window.free(starts.maxStarts),
       isLinkBusy: starts.isBusy,
-      moving: this.supervisor.moving(),
+      movingTasks: this.supervisor.moving(),
     };
   }
 
--- a/packages/daemon/src/job-host/leadership.ts
+++ b/packages/daemon/src/job-host/leadership.ts
@@ -4,14 +4,14 @@
 import type { JobLog, WriterStamp } from '@paddlewind/ports/jobs';
 
 import { pause, type HostContext } from './context.js';
-import type { Duty } from './duty.js';
+import type { HostRole } from './host-role.js';
 import type { Replica } from './replica.js';
 import {
-  APPEND_RETRY_MS,
+  APPEND_RETRY_DELAY_MS,
   CLAIM_SPREAD_MS,
-  FOLLOW_EVERY_MS,
-  LEADER_CORES,
-  LEADER_SILENCE_MS,
+  JOURNAL_READ_INTERVAL_MS,
+  MIN_LEADER_CORES,
+  LEADER_SILENCE_TIMEOUT_MS,
   SMALL_HOST_DELAY_MS,
 } from './timing.js';
 
@@ -46,7 +46,7 @@
   readonly ctx: HostContext;
   readonly jobLog: JobLog;
   readonly replica: Replica;
-  readonly duty: Duty;
+  readonly duty: HostRole;
   /** Processors of this host. */
   readonly cores: number;
   readonly stopped: () => boolean;
@@ -62,14 +62,14 @@
   stopped,
 }: CandidateOptions): Promise<WonClaim | undefined> {
   const claims = { floor: 0, delayMs: claimDelay(cores) };
-  const patience = LEADER_SILENCE_MS + ctx.random() * CLAIM_SPREAD_MS;
+  const patience = LEADER_SILENCE_TIMEOUT_MS + ctx.random() * CLAIM_SPREAD_MS;
   while (!stopped()) {
-    if (await duty.observes()) {
-      await pause(ctx, FOLLOW_EVERY_MS);
+    if (await duty.followsSummary()) {
+      await pause(ctx, JOURNAL_READ_INTERVAL_MS);
       continue;
     }
     const before = ctx.clock();
-    if (replica.lostTrack) {
+    if (replica.hasGap) {
       replica.reset();
     }
     const read = await replica.refresh('journal');
@@ -85,14 +85,14 @@
       }
       continue;
     }
-    await pause(ctx, FOLLOW_EVERY_MS);
+    await pause(ctx, JOURNAL_READ_INTERVAL_MS);
   }
   return undefined;
 }
 
 function isLeaderless(
   ctx: HostContext,
-  { state, journalHeardAt }: Replica,
+  { state, journalReceivedAt: journalHeardAt }: Replica,
   patienceMs: number,
 ): boolean {
   const { epoch, host } = state.claim;
@@ -112,7 +112,7 @@
 
 /** Large hosts lead before small ones, which lead where no other does. */
 function claimDelay(cores: number): Millis {
-  return cores < LEADER_CORES ? SMALL_HOST_DELAY_MS : 0;
+  return cores < MIN_LEADER_CORES ? SMALL_HOST_DELAY_MS : 0;
 }
 
 async function claim(
@@ -151,7 +151,7 @@
       if (result.kind !== 'refused') {
         claims.floor = 2 * epoch;
       }
-      await pause(ctx, APPEND_RETRY_MS);
+      await pause(ctx, APPEND_RETRY_DELAY_MS);
       return undefined;
     }
   }
@@ -174,10 +174,10 @@
     !(await replica.refresh('journal')) ||
     replica.nextOffset('journal') < nextOffset
   ) {
-    if (replica.lostTrack) {
+    if (replica.hasGap) {
       return undefined;
     }
-    await pause(ctx, APPEND_RETRY_MS);
+    await pause(ctx, APPEND_RETRY_DELAY_MS);
   }
   const { claim: newest } = replica.state;
   if (newest.epoch !== stamp.epoch || newest.nonce !== stamp.sequence) {
@@ -193,15 +193,15 @@
     nextStamp: { ...stamp, sequence: stamp.sequence + 1 },
     sentAt,
     wonAt,
-    silence: replica.silenceUntil(wonAt),
+    silence: replica.heartbeatAge(wonAt),
   };
 }
 
 /** An epoch may have been claimed between the one that was known and this one; the journal tells of it. */
 function firstFenceOf(
   epoch: number,
-  { state, knowsBeginning }: Replica,
+  { state, startedAtFirstRecord: knowsBeginning }: Replica,
 ): number {
-  const isKnown = state.epochBefore > 0 || knowsBeginning;
-  return isKnown ? state.epochBefore + 1 : epoch;
+  const isKnown = state.previousEpoch > 0 || knowsBeginning;
+  return isKnown ? state.previousEpoch + 1 : epoch;
 }
--- a/packages/daemon/src/job-host/lease-ends.ts
+++ b/packages/daemon/src/job-host/lease-ends.ts
@@ -6,7 +6,7 @@
  * early: a record is read after it was written.
  */
 import type { Instant, Millis } from '@paddlewind/domain';
-import type { HandedLeases, JournalRecord } from '@paddlewind/domain/jobs';
+import type { LeaseHandover, JournalRecord } from '@paddlewind/domain/jobs';
 
 import { LONGEST_HELD_UNTOLD_MS } from './timing.js';
 
@@ -44,7 +44,7 @@
   }
 
   /** Takes in a record that was read at `now`; `epoch` is that of its writer. */
-  note(record: JournalRecord, epoch: number, now: Instant): void {
+  applyRecord(record: JournalRecord, epoch: number, now: Instant): void {
     if (epoch < this.newest.epoch) {
       // Read once more; later records have told what is left.
       return;
@@ -96,11 +96,11 @@
    * Returns what the leader of `epoch`, whose own leases hold for `heldMs`, hands on at `now`; undefined
    * while this host does not know of all leaders.
    */
-  handedBy(
+  leasesToHandOver(
     epoch: number,
     heldMs: Millis,
     now: Instant,
-  ): HandedLeases | undefined {
+  ): LeaseHandover | undefined {
     if (this.othersEnd > now) {
       return undefined;
     }
@@ -147,7 +147,7 @@
   }
 
   /** Takes in what a leader says: it has read all that earlier ones wrote. */
-  private noteHanded(handed: HandedLeases | undefined, now: Instant): void {
+  private noteHanded(handed: LeaseHandover | undefined, now: Instant): void {
     if (handed === undefined) {
       // One that does not say which workers do not answer may have reached all.
       this.workers.clear();
@@ -179,7 +179,7 @@
     }
   }
 
-  private noteWorkers(handed: HandedLeases['workers'], now: Instant): void {
+  private noteWorkers(handed: LeaseHandover['workers'], now: Instant): void {
     const before = new Map(this.workers);
     this.workers.clear();
     for (const [worker, leftMs] of handed) {
--- a/packages/daemon/src/job-host/link-meters.ts
+++ b/packages/daemon/src/job-host/link-meters.ts
@@ -11,7 +11,7 @@
  * Registers a counter of the bytes to and from peers of each kind, updated when the metrics are
  * scraped.
  */
-export function registerLinkUse<K extends string>(
+export function registerLinkMetrics<K extends string>(
   registry: Registry,
   kinds: readonly K[],
   total: (kind: K) => BytesSoFar,
--- a/packages/daemon/src/job-host/linked-runs.ts
+++ b/packages/daemon/src/job-host/linked-runs.ts
@@ -4,21 +4,21 @@
   newProgress,
   refOf,
   runKey,
-  startOf,
+  startTimeOf,
   taskName,
   type Run,
   type RunEnd,
   type WorkerInfo,
   type WorkerRuns,
 } from '@paddlewind/domain/jobs';
-import type { ActiveRun, EndedRun, LookResult } from '@paddlewind/ports/jobs';
+import type { ActiveRun, EndedRun, PollResult } from '@paddlewind/ports/jobs';
 
 import type { HostContext } from './context.js';
-import { tellGivenUp } from './given-up-runs.js';
-import type { WorkerGivenUp } from './meters.js';
-import { ReportTrail } from './report-trail.js';
+import { tellGivenUp } from './abandoned-runs.js';
+import type { AbandonedWorkerReason } from './meters.js';
+import { ReportTrail } from './report-checks.js';
 
-type Report = Extract<LookResult, { kind: 'seen' }>;
+type Report = Extract<PollResult, { kind: 'seen' }>;
 
 /** What is told of runs. */
 export interface LinkedRunEvents {
@@ -28,7 +28,7 @@
   givenUp(
     worker: string,
     runs: readonly Run[],
-    reason: WorkerGivenUp,
+    reason: AbandonedWorkerReason,
     lostBy: Instant,
   ): void;
   /** A run that was meant for an earlier incarnation is at this one, which is to be recorded. */
@@ -108,7 +108,7 @@
 
   /** Gives up what was seen at this incarnation, which another one has replaced. */
   giveUpListed(): void {
-    if (startOf(this.options.info().id) === undefined) {
+    if (startTimeOf(this.options.info().id) === undefined) {
       // The one that is there now may be this one.
       return;
     }
@@ -120,7 +120,7 @@
   }
 
   /** Gives up all runs. */
-  giveUpAll(reason: WorkerGivenUp): void {
+  giveUpAll(reason: AbandonedWorkerReason): void {
     this.giveUp(this.all, reason);
   }
 
@@ -164,7 +164,7 @@
   private giveUpOthers(runs: readonly Run[]): void {
     // An earlier version of a leader did not tell which incarnation it meant: the run may never have begun.
     const isVoid = ({ worker, progress }: Run): boolean =>
-      startOf(worker) === undefined && progress === undefined;
+      startTimeOf(worker) === undefined && progress === undefined;
     for (const run of runs.filter(isVoid)) {
       this.options.events.ended(run, 'void', '');
     }
@@ -215,7 +215,7 @@
     }
   }
 
-  private giveUp(runs: readonly Run[], reason: WorkerGivenUp): void {
+  private giveUp(runs: readonly Run[], reason: AbandonedWorkerReason): void {
     const { ctx, events, contact, lostBy } = this.options;
     for (const worker of new Set(runs.map(run => run.worker))) {
       const lost = runs.filter(run => run.worker === worker);
--- a/packages/daemon/src/job-host/lasting-site.fixture.test.ts
+++ b/packages/daemon/src/job-host/long-running-deployment.fixture.test.ts
@@ -9,10 +9,10 @@
 import { Simulation } from './simulation.fixture.test.js';
 
 /** The job with the long-running tasks. */
-export const LASTING_JOB = '00000000000000e1';
+export const LONG_RUNNING_JOB = '00000000000000e1';
 
 /** Number of its tasks. */
-export const LASTING_TASKS = 4;
+export const LONG_RUNNING_TASKS = 4;
 
 /** Longest lease that the workers accept: twice the lease that leaders give. */
 const MAX_LEASE_MS = 10_000;
@@ -21,7 +21,7 @@
  * Starts a deployment of `hosts`. After `settleMs` all four tasks run on w1, since the first of
  * several equal workers is filled first.
  */
-export async function siteWithLastingJob(
+export async function deploymentWithLongRunningJob(
   seed: number,
   hosts: readonly string[],
   settleMs: Millis = 3_500,
@@ -33,10 +33,10 @@
   for (const name of hosts) {
     site.startHost(name);
   }
-  const step = { tasks: LASTING_TASKS, after: [], lasting: true };
+  const step = { tasks: LONG_RUNNING_TASKS, after: [], lasting: true };
   const script = { runMs: 10_000_000, failures: 0 };
-  void site.submit(LASTING_JOB, [step], script);
+  void site.submit(LONG_RUNNING_JOB, [step], script);
   await site.time.advance(settleMs);
-  assert.equal(site.history.runningOf(LASTING_JOB), LASTING_TASKS);
+  assert.equal(site.history.runningOf(LONG_RUNNING_JOB), LONG_RUNNING_TASKS);
   return site;
 }
--- a/packages/daemon/src/job-host/loop-delay.test.ts
+++ b/packages/daemon/src/job-host/loop-delay.test.ts
@@ -5,7 +5,7 @@
 import type { Millis } from '@paddlewind/domain';
 import { pino } from 'pino';
 
-import { LOOP_SAMPLE_INTERVAL_MS, watchLoop } from './loop-delay.js';
+import { LOOP_SAMPLE_INTERVAL_MS, monitorEventLoop } from './loop-delay.js';
 
 interface Line {
   readonly msg: string;
@@ -23,7 +23,7 @@
   private dueAt = 0;
 
   constructor() {
-    this.stop = watchLoop({
+    this.stop = monitorEventLoop({
       clock: () => this.now,
       schedule: (delay, task) => {
         this.task = task;
--- a/packages/daemon/src/job-host/lost-standbys.test.ts
+++ b/packages/daemon/src/job-host/lost-standbys.test.ts
@@ -8,10 +8,10 @@
 import { decodeJournal } from '@paddlewind/domain/jobs';
 
 import {
-  LASTING_JOB,
-  LASTING_TASKS,
-  siteWithLastingJob,
-} from './lasting-site.fixture.test.js';
+  LONG_RUNNING_JOB,
+  LONG_RUNNING_TASKS,
+  deploymentWithLongRunningJob,
+} from './long-running-deployment.fixture.test.js';
 import type { Simulation } from './simulation.fixture.test.js';
 
 const HOSTS = Array.from({ length: 14 }, (_, at) => `h${at + 1}`);
@@ -22,7 +22,7 @@
 test('tasks are back in time though the leader and all who stand by are lost', async () => {
   const late: string[] = [];
   for (const seed of [1, 2, 3]) {
-    const site = await siteWithLastingJob(seed, HOSTS, NAMED_MS);
+    const site = await deploymentWithLongRunningJob(seed, HOSTS, NAMED_MS);
     const standbys = standbysOf(site);
     assert.ok(standbys.length > 0 && standbys.length < HOSTS.length - 1);
     site.fleet.crash('w1');
@@ -31,7 +31,7 @@
     }
     const from = site.time.clock();
     await site.time.until(
-      () => site.history.runningOf(LASTING_JOB) === LASTING_TASKS,
+      () => site.history.runningOf(LONG_RUNNING_JOB) === LONG_RUNNING_TASKS,
       25_000,
     );
     const away = Math.round(site.time.clock() - from);
--- a/packages/daemon/src/job-host/metered-ports.ts
+++ b/packages/daemon/src/job-host/metered-ports.ts
@@ -48,8 +48,8 @@
     start: (worker, order) => time('start', port.start(worker, order)),
     stop: (worker, order) => time('stop', port.stop(worker, order)),
     throttle: (worker, order) => time('throttle', port.throttle(worker, order)),
-    look: (worker, order, takeLate) =>
-      time('look', port.look(worker, order, takeLate)),
+    poll: (worker, order, takeLate) =>
+      time('look', port.poll(worker, order, takeLate)),
     isConnected: worker => port.isConnected(worker),
     forget: worker => {
       port.forget(worker);
--- a/packages/daemon/src/job-host/meters.ts
+++ b/packages/daemon/src/job-host/meters.ts
@@ -17,14 +17,15 @@
  * Why a planned start was not sent: it waited too long, its job has finished, the run is not needed
  * any more, the state it was planned from is too old, or its worker does not answer or is leaving.
  */
-export type StartGivenUp = 'late' | 'over' | 'needless' | 'stale' | 'worker';
+export type DroppedStartReason =
+  'late' | 'over' | 'needless' | 'stale' | 'worker';
 
 /**
  * Why all runs of a worker were abandoned: it restarted or another worker answered, it did not
  * answer until its lease had expired, or it was removed from the registry before this leader took
  * over.
  */
-export type WorkerGivenUp = 'replaced' | 'unanswered' | 'unregistered';
+export type AbandonedWorkerReason = 'replaced' | 'unanswered' | 'unregistered';
 
 /**
  * Kinds of caller requests that are counted when refused; refused changes are counted among the
@@ -57,7 +58,7 @@
   /** A run ended; `lost` if it ended with its worker. */
   readonly ended: (how: RunEnd | 'lost') => void;
   /** All runs of a worker, one or more, were abandoned. */
-  readonly workerGivenUp: (reason: WorkerGivenUp) => void;
+  readonly workerGivenUp: (reason: AbandonedWorkerReason) => void;
   /** A worker restarted under its id. */
   readonly workerRestarted: () => void;
   /** A worker stopped listing a run as active without having listed its end. */
@@ -75,7 +76,7 @@
   /** Another host accepted starts `tookMs` after they were sent. */
   readonly startsTaken: (tookMs: Millis) => void;
   /** A planned start was dropped. */
-  readonly startGivenUp: (reason: StartGivenUp) => void;
+  readonly startGivenUp: (reason: DroppedStartReason) => void;
   /** A caller's request was refused; nothing was recorded. */
   readonly refused: (what: RefusedRequest, why: RefusalReason) => void;
   /** A timer of the process fired late by `delay`. */
--- a/packages/daemon/src/job-host/model/leader-steps.fixture.test.ts
+++ b/packages/daemon/src/job-host/model/leader-steps.fixture.test.ts
@@ -10,7 +10,7 @@
   INBOX_STALE_MS,
   LEASE_HORIZON_MS,
   MIN_START_LEASE_MS,
-  START_WAIT_MS,
+  MAX_START_WAIT_MS,
   TASK_LEASE_MS,
 } from '../timing.js';
 import {
@@ -135,7 +135,7 @@
   const heldMs = horizonOf(lead, state.now) - state.now + HORIZON_SLACK_MS;
   const { epoch } = lead;
   const ends = leaseEndsOf(host, state);
-  const known = ends.handedBy(epoch, Math.ceil(heldMs), state.now);
+  const known = ends.leasesToHandOver(epoch, Math.ceil(heldMs), state.now);
   const handed = known && { ...known, workers };
   return {
     kind: 'heartbeat',
@@ -323,7 +323,7 @@
     !isFinished &&
     status !== 'done' &&
     state.now - lead.inboxAt <= INBOX_STALE_MS &&
-    state.now - lead.progress.decidedAt <= START_WAIT_MS &&
+    state.now - lead.progress.decidedAt <= MAX_START_WAIT_MS &&
     verified &&
     answering &&
     reached &&
--- a/packages/daemon/src/job-host/model/states.fixture.test.ts
+++ b/packages/daemon/src/job-host/model/states.fixture.test.ts
@@ -5,7 +5,7 @@
   applyJournal,
   emptyJobsState,
   findTask,
-  isOver,
+  isFinished,
   PLAIN_STEP,
   type JobSpec,
   type JobsState,
@@ -287,12 +287,12 @@
   const run = task.runs[0];
   return {
     status: task.status,
-    isFinished: isOver(task.step.occurrence.job),
+    isFinished: isFinished(task.step.occurrence.job),
     lastRun: task.lastRun,
     run: run?.number ?? 0,
     at: run?.worker === WORKER_NAMES[1] ? 1 : 0,
     epoch: state.claim.epoch,
-    reachedIn: state.reachedIn,
+    reachedIn: state.reachedInEpoch,
   };
 }
 
@@ -364,7 +364,7 @@
   for (const [upTo, at] of journalReads) {
     for (const { epoch, records } of journal.slice(from, upTo)) {
       records.forEach(record => {
-        ends.note(record, epoch, at);
+        ends.applyRecord(record, epoch, at);
       });
     }
     from = upTo;
--- a/packages/daemon/src/job-host/orders.fixture.test.ts
+++ b/packages/daemon/src/job-host/orders.fixture.test.ts
@@ -14,8 +14,8 @@
 } from '@paddlewind/domain/jobs';
 import type {
   EndedRun,
-  LookOrder,
-  LookResult,
+  PollRequest,
+  PollResult,
   OrderResult,
   RunOrder,
   StartOrder,
@@ -57,7 +57,7 @@
   /** Ends that were told, such as `0#1 void`. */
   readonly ended: string[] = [];
   /** Looks that were sent. */
-  readonly looks: LookOrder[] = [];
+  readonly looks: PollRequest[] = [];
   /** Ends that the worker lists until they are acknowledged. */
   readonly listed: EndedRun[] = [];
   /** What the worker's answers tell of its start. */
@@ -75,13 +75,13 @@
     start: (_to, order) => this.take('start', order),
     stop: (_to, order) => this.take('stop', order),
     throttle: (_to, order) => this.take('throttle', order, order.percent),
-    look: (_to, order) => this.look(order),
+    poll: (_to, order) => this.look(order),
     isConnected: () => this.connected,
     forget: () => undefined,
   };
 
   readonly starts: StartSender = {
-    mostStarts: Infinity,
+    maxStarts: Infinity,
     isBusy: false,
     begin: () => Promise.resolve(),
     close: () => undefined,
@@ -142,7 +142,7 @@
     return answer;
   }
 
-  private async look(order: LookOrder): Promise<LookResult> {
+  private async look(order: PollRequest): Promise<PollResult> {
     this.looks.push(order);
     // A look takes a while, so that looks don't follow each other without end.
     await this.pause(Math.max(50, order.waitMs));
--- a/packages/daemon/src/job-host/outage-leases.test.ts
+++ b/packages/daemon/src/job-host/outage-leases.test.ts
@@ -38,10 +38,10 @@
         void site.submit(ID, [LASTING], ENDLESS);
         await site.time.advance(3_500 + 70 * seed);
         for (const name of HOSTS) {
-          site.log.modes.set(name, mode);
+          site.log.hostModes.set(name, mode);
         }
         await site.time.advance(outageMs);
-        site.log.modes.clear();
+        site.log.hostModes.clear();
         await site.time.advance(CALM_MS);
         const ends = site.log.recordsOf('journal').map(decodeJournal);
         const found = ends.filter(record => record?.kind === 'end');
--- a/packages/daemon/src/job-host/planted-faults.test.ts
+++ b/packages/daemon/src/job-host/planted-faults.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 
 import type { WorkerInfo } from '@paddlewind/domain/jobs';
-import { FaultTimes, type PromiseName } from '@paddlewind/stand-ins/jobs';
+import { FaultTimes, type GuaranteeName } from '@paddlewind/stand-ins/jobs';
 
 import { Simulation } from './simulation.fixture.test.js';
 
@@ -36,8 +36,10 @@
   return site;
 }
 
-function broken(site: Simulation): PromiseName[] {
-  return [...new Set(site.history.check().map(({ promise }) => promise))];
+function broken(site: Simulation): GuaranteeName[] {
+  return [
+    ...new Set(site.history.check().map(({ guarantee: promise }) => promise)),
+  ];
 }
 
 test('a sound site breaks no promise', async () => {
--- a/packages/daemon/src/job-host/relay/overload-site.fixture.test.ts
+++ b/packages/daemon/src/job-host/relay/overload-site.fixture.test.ts
@@ -127,7 +127,7 @@
 
   /** Returns the share of jobs submitted from `from` to `until` that did not start in time. */
   lateShare(from: Instant, until: Instant): number {
-    const begins = this.site.history.firstBegins();
+    const begins = this.site.history.firstStarts();
     const asked = this.asked.filter(({ at }) => at >= from && at < until);
     const late = asked.filter(
       ({ id, at }) => (begins.get(id) ?? Infinity) - at > DEADLINE_MS,
--- a/packages/daemon/src/job-host/relay/relay-batches.ts
+++ b/packages/daemon/src/job-host/relay/relay-batches.ts
@@ -1,7 +1,7 @@
 /** Collects starts into batches and distributes them over the hosts that can send them. */
 import type { Instant, Millis } from '@paddlewind/domain';
 
-import { AnswerSlack } from '../answer-slack.js';
+import { AdaptiveTimeout } from '../adaptive-timeout.js';
 import type { HostContext } from '../context.js';
 import type { RelayedOrder, RelayHost, RelayResult } from './relay-host.js';
 
@@ -31,7 +31,7 @@
   private pendingStarts: PendingStart[] = [];
   private isScheduled = false;
   private sentAt: Instant = -Infinity;
-  private readonly acceptTimeout = new AnswerSlack(ACCEPT_TIMEOUT_BOUNDS);
+  private readonly acceptTimeout = new AdaptiveTimeout(ACCEPT_TIMEOUT_BOUNDS);
 
   /** Creates batches for `hosts`, which may be called at any time. */
   constructor(
@@ -41,7 +41,7 @@
 
   /** Records how long a host took to accept starts. */
   recordAccepted(tookMs: Millis): void {
-    this.acceptTimeout.note(tookMs);
+    this.acceptTimeout.record(tookMs);
   }
 
   /** Whether any host may be given starts. */
--- a/packages/daemon/src/job-host/relay/relay-host.ts
+++ b/packages/daemon/src/job-host/relay/relay-host.ts
@@ -201,11 +201,11 @@
       { epoch, process, starts },
       {
         takenWithinMs,
-        taken: by => {
+        onAccepted: by => {
           this.updateClockBound(by);
           this.recordAccepted(orders.length, ctx.clock() - sentAt);
         },
-        told: (at, outcome) => {
+        onOutcome: (at, outcome) => {
           this.handleOutcome(outcome);
           settle(at, outcome);
         },
--- a/packages/daemon/src/job-host/relay/relayed-starts.test.ts
+++ b/packages/daemon/src/job-host/relay/relayed-starts.test.ts
@@ -82,7 +82,7 @@
     },
     stop: () => Promise.resolve(ACCEPTED),
     throttle: () => Promise.resolve(ACCEPTED),
-    look: () => Promise.resolve({ kind: 'fenced' }),
+    poll: () => Promise.resolve({ kind: 'fenced' }),
     isConnected: () => false,
     forget: () => undefined,
   };
@@ -94,7 +94,7 @@
       const found = { process: `of ${address}`, clock: this.remoteClock() };
       return Promise.resolve(gone ? undefined : found);
     },
-    relay: (address, batch, { taken, told }) => {
+    relay: (address, batch, { onAccepted: taken, onOutcome: told }) => {
       this.sentBy.push(address);
       this.relayed.push(batch);
       const answer = this.answers.get(address) ?? {
--- a/packages/daemon/src/job-host/relay/relayed-starts.ts
+++ b/packages/daemon/src/job-host/relay/relayed-starts.ts
@@ -102,7 +102,7 @@
   }
 
   /** Number of starts that the link can carry soon. */
-  get mostStarts(): number {
+  get maxStarts(): number {
     return this.batches.hasUsableHost
       ? this.window.size
       : this.directPacer.maxStarts;
--- a/packages/daemon/src/job-host/relay/relaying-hosts.test.ts
+++ b/packages/daemon/src/job-host/relay/relaying-hosts.test.ts
@@ -189,8 +189,8 @@
   const offer = decodeInbox(row);
   assert.ok(offer?.kind === 'volunteer');
   const { cores, address } = offer;
-  const earlier: Volunteer = { cores, address, heardAt: 0 };
-  const newer: Volunteer = { cores, address: 'a:1', heardAt: 0 };
+  const earlier: Volunteer = { cores, address, lastOfferAt: 0 };
+  const newer: Volunteer = { cores, address: 'a:1', lastOfferAt: 0 };
   const volunteers = new Map([
     ['h1', earlier],
     ['h2', newer],
--- a/packages/daemon/src/job-host/relay/start-relay.test.ts
+++ b/packages/daemon/src/job-host/relay/start-relay.test.ts
@@ -82,7 +82,7 @@
     },
     stop: () => Promise.resolve(ACCEPTED),
     throttle: () => Promise.resolve(ACCEPTED),
-    look: () => Promise.resolve({ kind: 'fenced' }),
+    poll: () => Promise.resolve({ kind: 'fenced' }),
     isConnected: () => false,
     forget: ({ id }) => {
       this.forgotten.push(id);
--- a/packages/daemon/src/job-host/relay/start-relay.ts
+++ b/packages/daemon/src/job-host/relay/start-relay.ts
@@ -1,6 +1,6 @@
 /** Sends starts to workers on behalf of a leader whose link can't carry them all. */
 import type { Instant, Millis } from '@paddlewind/domain';
-import { isOver } from '@paddlewind/domain/jobs';
+import { isFinished } from '@paddlewind/domain/jobs';
 import type {
   PeerProcess,
   RelayBatch,
@@ -71,7 +71,7 @@
       await replica.refresh('inbox');
     }
     const knownJob = replica.state.jobs.get(job);
-    if (knownJob === undefined || isOver(knownJob)) {
+    if (knownJob === undefined || isFinished(knownJob)) {
       return { kind: 'refused', why: 'unknown_job' };
     }
     // Reading the log may have taken long and revealed another leader.
--- a/packages/daemon/src/job-host/relay/start-sender.ts
+++ b/packages/daemon/src/job-host/relay/start-sender.ts
@@ -31,7 +31,7 @@
   /** Whether starts wait for their turn. */
   readonly isBusy: boolean;
   /** Maximum number of starts in flight; more would wait too long. */
-  readonly mostStarts: number;
+  readonly maxStarts: number;
   /** Sends a start, retrying within its limits. */
   send(
     worker: WorkerAddress,
--- a/packages/daemon/src/job-host/replica-view.ts
+++ b/packages/daemon/src/job-host/replica-view.ts
@@ -2,7 +2,7 @@
 import type { Instant, Millis } from '@paddlewind/domain';
 import {
   statusOf,
-  toldStateOf,
+  reportedStateOf,
   type InboxRecord,
 } from '@paddlewind/domain/jobs';
 
@@ -74,7 +74,7 @@
       refresh: () => this.refreshInTime('journal'),
       currentState: () => {
         const known = replica.state.jobs.get(job);
-        return known === undefined ? undefined : toldStateOf(known);
+        return known === undefined ? undefined : reportedStateOf(known);
       },
     });
   }
@@ -87,7 +87,7 @@
     }
     let count = 0;
     for (const job of this.replica.state.open) {
-      if (!job.begun && job.spec.terms.queue === queue) {
+      if (!job.hasStarted && job.spec.terms.queue === queue) {
         count += 1;
       }
     }
--- a/packages/daemon/src/job-host/replica.ts
+++ b/packages/daemon/src/job-host/replica.ts
@@ -11,8 +11,8 @@
   decodeInbox,
   decodeJournal,
   emptyJobsState,
-  workerOf,
-  type HandedLeases,
+  workerIdOf,
+  type LeaseHandover,
   type InboxRecord,
   type JobsState,
   type JournalRecord,
@@ -22,7 +22,7 @@
 import { coalesce } from './coalesce.js';
 import type { HostContext } from './context.js';
 import { LeaseEnds } from './lease-ends.js';
-import { Portion } from './portion.js';
+import { AdaptiveReadSize } from './adaptive-read-size.js';
 
 /** Size of a read that only locates the first record that the log still keeps. */
 const PROBE_BYTES = 1_024;
@@ -46,11 +46,11 @@
 export class Replica {
   state: JobsState = emptyJobsState();
   /** Monotonic time at which journal records last arrived. */
-  journalHeardAt: Instant;
+  journalReceivedAt: Instant;
   /** Monotonic time of the last answer from the log. */
   contactAt: Instant = -Infinity;
   /** Whether the log has dropped records that this copy lacks, so that it has to be rebuilt. */
-  lostTrack = false;
+  hasGap = false;
 
   private readonly leaseEnds = new LeaseEnds();
   private readonly nextOffsets: Record<FoldedStream, number> = {
@@ -61,9 +61,9 @@
     inbox: -Infinity,
     journal: -Infinity,
   };
-  private readonly readSizes: Record<FoldedStream, Portion> = {
-    inbox: new Portion(),
-    journal: new Portion(),
+  private readonly readSizes: Record<FoldedStream, AdaptiveReadSize> = {
+    inbox: new AdaptiveReadSize(),
+    journal: new AdaptiveReadSize(),
   };
   private readonly refreshes: Record<FoldedStream, () => Promise<boolean>> = {
     inbox: coalesce(() => this.readToEnd('inbox', 0)),
@@ -86,7 +86,7 @@
     private readonly ctx: HostContext,
     private readonly jobLog: JobLog,
   ) {
-    this.journalHeardAt = ctx.clock();
+    this.journalReceivedAt = ctx.clock();
   }
 
   /** Returns the offset up to which a stream was read. */
@@ -199,7 +199,7 @@
   }
 
   /** Whether this copy includes the first records ever written. */
-  get knowsBeginning(): boolean {
+  get startedAtFirstRecord(): boolean {
     return !this.trimmed;
   }
 
@@ -208,8 +208,8 @@
    * ended; infinite for a worker that the current leader has reached.
    */
   earlierLeaseEnd(worker: string): Instant {
-    const id = workerOf(worker);
-    const reachedIn = this.state.reachedIn.get(id);
+    const id = workerIdOf(worker);
+    const reachedIn = this.state.reachedInEpoch.get(id);
     // Epoch 0: the claim of that leader was dropped, so it is unknown which leader it was.
     return this.leaseEnds.endFor(id, reachedIn === 0 ? undefined : reachedIn);
   }
@@ -218,12 +218,12 @@
    * Returns the ends of leases that this host, which leads or claims in `epoch`, hands over; its
    * own leases hold for `heldMs`. Undefined if it may not know of all leaders.
    */
-  handedLeases(epoch: number, heldMs: Millis): HandedLeases | undefined {
-    return this.leaseEnds.handedBy(epoch, heldMs, this.ctx.clock());
+  handedLeases(epoch: number, heldMs: Millis): LeaseHandover | undefined {
+    return this.leaseEnds.leasesToHandOver(epoch, heldMs, this.ctx.clock());
   }
 
   /** Returns how long before `now` the newest heartbeat was written. */
-  silenceUntil(now: Instant): SpanBounds {
+  heartbeatAge(now: Instant): SpanBounds {
     if (this.heartbeat === undefined) {
       return UNKNOWN_SPAN;
     }
@@ -253,15 +253,15 @@
    * flight or queued may return what the leader has written since and has applied already. A start
    * that is applied twice is a run that never ends, and its task does not run again.
    */
-  becomeWriter(): void {
+  startLeading(): void {
     this.isLeading = true;
   }
 
   /** Records that this host, the leader, has written the journal up to `nextOffset`. */
-  wroteJournal(nextOffset: number): void {
+  noteJournalWritten(nextOffset: number): void {
     this.nextOffsets.journal = nextOffset;
-    this.journalHeardAt = this.ctx.clock();
-    this.contactAt = this.journalHeardAt;
+    this.journalReceivedAt = this.ctx.clock();
+    this.contactAt = this.journalReceivedAt;
   }
 
   /** Discards the copy so that it is read from scratch. */
@@ -276,9 +276,9 @@
     this.hasStartOffset.journal = false;
     this.trimmed = false;
     this.isLeading = false;
-    this.lostTrack = false;
+    this.hasGap = false;
     this.heartbeat = undefined;
-    this.journalHeardAt = this.ctx.clock();
+    this.journalReceivedAt = this.ctx.clock();
   }
 
   private async applyRead(
@@ -291,7 +291,7 @@
     }
     if (found.kind === 'trimmed' && this.hasStartOffset[stream]) {
       // The changes that the dropped records made to known jobs can't be read anywhere else.
-      this.lostTrack = true;
+      this.hasGap = true;
       return 'none';
     }
     if (found.kind === 'trimmed') {
@@ -366,11 +366,15 @@
           'replica: the journal names an unknown job',
         );
       }
-      this.leaseEnds.note(record, this.state.claim.epoch, this.ctx.clock());
+      this.leaseEnds.applyRecord(
+        record,
+        this.state.claim.epoch,
+        this.ctx.clock(),
+      );
     }
     const now = this.ctx.clock();
     if (decoded.length > 0) {
-      this.journalHeardAt = now;
+      this.journalReceivedAt = now;
     }
     if (decoded.some(record => record?.kind === 'heartbeat')) {
       this.heartbeat = { readAt: now, absentAt: this.readToEndAt.journal };
--- a/packages/daemon/src/job-host/report-trail.ts
+++ b/packages/daemon/src/job-host/report-checks.ts
@@ -1,10 +1,10 @@
 /** Compares each report of a worker with the one before: what a worker should never leave out. */
 import type { Run } from '@paddlewind/domain/jobs';
-import type { LookResult } from '@paddlewind/ports/jobs';
+import type { PollResult } from '@paddlewind/ports/jobs';
 
 import type { HostContext } from './context.js';
 
-type Report = Extract<LookResult, { kind: 'seen' }>;
+type Report = Extract<PollResult, { kind: 'seen' }>;
 
 /** The reports of one incarnation of a worker. */
 export class ReportTrail {
--- a/packages/daemon/src/job-host/restarts-site.fixture.test.ts
+++ b/packages/daemon/src/job-host/restarts-deployment.fixture.test.ts
@@ -10,8 +10,8 @@
 import { Simulation } from './simulation.fixture.test.js';
 
 /** The long-running job and its number of tasks. */
-export const LASTING_JOB = '00000000000000d1';
-export const LASTING_TASKS = 8;
+export const LONG_RUNNING_JOB = '00000000000000d1';
+export const LONG_RUNNING_TASKS = 8;
 const HOSTS = ['h1', 'h2', 'h3', 'h4', 'h5'];
 /** Machines of the workers. */
 export const WORKERS = ['w1', 'w2', 'w3', 'w4', 'w5', 'w6'];
@@ -24,7 +24,7 @@
 /** Pause between restarts. */
 const RESTART_INTERVAL_MS = 5_000;
 /** Number of restarts. */
-export const RESTARTS = 6;
+export const RESTART_ROUNDS = 6;
 /** Seeds of each scenario. */
 export const SEEDS = [1, 2, 3, 4];
 /** Time after the last restart in which all remaining work completes. */
@@ -44,7 +44,7 @@
 }
 
 /** Starts hosts, workers and the long-running job. */
-export async function siteWithRestarts({
+export async function deploymentWithRestarts({
   seed,
   keepsIds = true,
   maxLeaseMs = 6_000,
@@ -57,20 +57,20 @@
     site.addWorker(name);
   });
   HOSTS.forEach(name => site.startHost(name));
-  const step = { tasks: LASTING_TASKS, after: [], lasting: true };
-  void site.submit(LASTING_JOB, [step], { runMs: 10_000_000, failures: 0 });
+  const step = { tasks: LONG_RUNNING_TASKS, after: [], lasting: true };
+  void site.submit(LONG_RUNNING_JOB, [step], { runMs: 10_000_000, failures: 0 });
   await site.time.advance(SETTLE_MS);
-  assert.equal(site.history.runningOf(LASTING_JOB), LASTING_TASKS);
+  assert.equal(site.history.runningOf(LONG_RUNNING_JOB), LONG_RUNNING_TASKS);
   return site;
 }
 
 /** Runs restarts while jobs are submitted; returns the deployment once all jobs should be done. */
-export async function playRestarts(
+export async function runRestarts(
   play: RestartsScenario,
 ): Promise<Simulation> {
-  const site = await siteWithRestarts(play);
+  const site = await deploymentWithRestarts(play);
   void submitShortJobs(site);
-  for (let turn = 0; turn < RESTARTS; turn += 1) {
+  for (let turn = 0; turn < RESTART_ROUNDS; turn += 1) {
     await site.time.advance(RESTART_INTERVAL_MS);
     void play.restart(site, turn);
   }
@@ -113,7 +113,7 @@
 }
 
 /** Returns a restart of one worker after the other, each unavailable for `awayMs`. */
-export function oneByOne(awayMs: number): Restart {
+export function restartOneByOne(awayMs: number): Restart {
   return (site, turn) => {
     restartWorkers(site, WORKERS.slice(turn, turn + 1), awayMs);
   };
@@ -139,7 +139,7 @@
 }
 
 /** Disconnects a worker from all hosts for `span`. */
-export function cutOff(site: Simulation, machine: string, span: Millis): void {
+export function disconnectWorker(site: Simulation, machine: string, span: Millis): void {
   const from = site.time.clock();
   site.history.faults?.add({ from, until: from + span, of: 'workers' });
   const pairs = HOSTS.map(host => `${host}>${machine}`);
@@ -153,6 +153,6 @@
 export function assertNothingLost(site: Simulation, note: string): void {
   assert.deepEqual(site.history.check(), [], note);
   assert.deepEqual(unfinished(site), [], note);
-  const running = site.history.runningOf(LASTING_JOB);
-  assert.equal(running, LASTING_TASKS, note);
+  const running = site.history.runningOf(LONG_RUNNING_JOB);
+  assert.equal(running, LONG_RUNNING_TASKS, note);
 }
--- a/packages/daemon/src/job-host/run-recorder.ts
+++ b/packages/daemon/src/job-host/run-recorder.ts
@@ -1,21 +1,21 @@
 /** What a leader records of runs at work: that their workers were reached, and that they began and ended. */
 import {
   findTask,
-  isGivenUp,
-  isOver,
-  isWanted,
+  isAbandoned,
+  isFinished,
+  isAwaitingCompletion,
   noteWorkerLoss,
   refOf,
-  suspicionsOf,
-  workerOf,
-  type JudgedLoss,
+  attributeLoss,
+  workerIdOf,
+  type LossAttribution,
   type JobsState,
   type JournalRecord,
   type Run,
   type RunEnd,
   type RunTimes,
   type Task,
-  type WorkerFate,
+  type WorkerLossKind,
   type WorkerHealth,
 } from '@paddlewind/domain/jobs';
 import type { Instant } from '@paddlewind/domain';
@@ -27,7 +27,7 @@
 import { logGivenUp, logJobOver, logRun, logStrayEnd } from './leader-log.js';
 import { learnFromEnd } from './leader-records.js';
 import type { WonClaim } from './leadership.js';
-import type { WorkerGivenUp } from './meters.js';
+import type { AbandonedWorkerReason } from './meters.js';
 import type { StartWindow } from './start-window.js';
 
 /** What a recorder is given. */
@@ -53,7 +53,7 @@
 type EndRecord = Extract<JournalRecord, { kind: 'end' | 'lost' }>;
 
 /** What is told of the loss of a run that has ended otherwise. */
-const NOT_LOST: Partial<JudgedLoss> = {};
+const NOT_LOST: Partial<LossAttribution> = {};
 
 /** Records what becomes of runs, until it is closed. */
 export class RunRecorder {
@@ -79,15 +79,15 @@
   givenUp(
     worker: string,
     runs: readonly Run[],
-    reason: WorkerGivenUp,
+    reason: AbandonedWorkerReason,
     lostBy: Instant,
   ): void {
     if (runs.length > 0) {
       this.givenUpWorkers.add(worker);
     }
     const { ctx, claim, state, fleetSize } = this.options;
-    const judged = suspicionsOf(state, runs, {
-      fate: this.fateOf(worker, reason),
+    const judged = attributeLoss(state, runs, {
+      lossKind: this.fateOf(worker, reason),
       fleetSize: fleetSize(),
       leadsSince: claim.wonAt,
       lostBy,
@@ -126,7 +126,10 @@
   }
 
   /** A worker that had left before this leader took over may have announced that. */
-  private fateOf(worker: string, reason: WorkerGivenUp): WorkerFate {
+  private fateOf(
+    worker: string,
+    reason: AbandonedWorkerReason,
+  ): WorkerLossKind {
     const presence = this.options.presenceOf(worker);
     if (presence === 'leaving') {
       return 'unknown';
@@ -141,13 +144,13 @@
     }
   }
 
-  private lost(run: Run, loss: JudgedLoss): void {
+  private lost(run: Run, loss: LossAttribution): void {
     const { task } = run;
-    const wasGivenUp = isGivenUp(task);
+    const wasGivenUp = isAbandoned(task);
     const checkpoint = checkpointOf(run);
     const ref = { task: refOf(task), run: run.number };
     this.end(run, 'lost', { kind: 'lost', ...ref, checkpoint, ...loss });
-    if (!wasGivenUp && isGivenUp(task)) {
+    if (!wasGivenUp && isAbandoned(task)) {
       this.options.ctx.meters.taskGivenUp();
       logGivenUp(this.options, task);
     }
@@ -163,7 +166,7 @@
     ctx.meters.ended(how);
     this.options.noteEnd(run);
     window.noteEnded(run);
-    const expectedMs = Math.round(times.expect(task.step));
+    const expectedMs = Math.round(times.expectedMs(task.step));
     const { suspicion, age } = record.kind === 'lost' ? record : NOT_LOST;
     const more = { how, expectedMs, suspicion, age };
     logRun(this.options, run, 'leader: a run has ended', more);
@@ -176,7 +179,7 @@
    */
   strayEnd(worker: string, ended: EndedRun): void {
     const task = findTask(this.options.state, ended.task);
-    if (this.closed || ended.how !== 'done' || !isWanted(task)) {
+    if (this.closed || ended.how !== 'done' || !isAwaitingCompletion(task)) {
       return;
     }
     const { run, how, checkpoint } = ended;
@@ -190,7 +193,7 @@
     if (this.closed) {
       return;
     }
-    const id = workerOf(worker);
+    const id = workerIdOf(worker);
     this.options.decisions.record({ kind: 'reached', worker: id }, written => {
       if (written) {
         done();
@@ -204,7 +207,7 @@
     const { decisions, window } = this.options;
     window.noteBegun(run);
     const { job } = run.task.step.occurrence;
-    if (!this.closed && !job.begun) {
+    if (!this.closed && !job.hasStarted) {
       decisions.record({ kind: 'begun', job: job.spec.id });
     }
   }
@@ -213,9 +216,9 @@
   private decideEnd(task: Task, record: EndRecord): void {
     const { ctx, decisions, times, changed } = this.options;
     const { occurrence } = task.step;
-    const wasOver = isOver(occurrence.job);
+    const wasOver = isFinished(occurrence.job);
     decisions.record(record);
-    if (!wasOver && isOver(occurrence.job)) {
+    if (!wasOver && isFinished(occurrence.job)) {
       logJobOver(ctx, times, occurrence);
     }
     changed();
--- a/packages/daemon/src/job-host/run-supervisor.test.ts
+++ b/packages/daemon/src/job-host/run-supervisor.test.ts
@@ -41,7 +41,7 @@
   serve(site);
   assert.ok(run.progress);
   // A share that the model does not give.
-  run.progress.allowed = 1;
+  run.progress.allowedPercent = 1;
   const limits: number[] = [];
   for (const kind of ['unknown', 'unknown', 'accepted', 'accepted'] as const) {
     site.answer =
--- a/packages/daemon/src/job-host/run-supervisor.ts
+++ b/packages/daemon/src/job-host/run-supervisor.ts
@@ -1,14 +1,14 @@
 /** Watches what runs: stops what nobody needs, what stands still, and limits what disturbs. */
 import type { Instant, Millis } from '@paddlewind/domain';
 import {
-  findPlace,
-  isOver,
-  isSlowed,
+  findWorker,
+  isFinished,
+  shouldRelocateFiller,
   isStalled,
   planEvacuation,
   refOf,
   taskName,
-  whyNeedless,
+  obsoleteReasonOf,
   workerRuns,
   type Interference,
   type JobsState,
@@ -69,7 +69,10 @@
   stopNeedless(): void {
     const now = this.options.ctx.clock();
     for (const run of this.openRuns()) {
-      if (whyNeedless(run) !== undefined && run.progress?.stopping === false) {
+      if (
+        obsoleteReasonOf(run) !== undefined &&
+        run.progress?.stopping === false
+      ) {
         this.stop(run, 'needless');
       } else if (isStalled(run, now)) {
         this.stopStalled(run, now);
@@ -80,12 +83,12 @@
   /** Stops fillers that are slowed here and would not be elsewhere. */
   moveSlowed(input: PlanInput): void {
     for (const run of this.openRuns()) {
-      const slowed = isSlowed(run, input.time.now);
-      const better = slowed ? findPlace(input, run.task) : undefined;
+      const slowed = shouldRelocateFiller(run, input.time.now);
+      const better = slowed ? findWorker(input, run.task) : undefined;
       if (better !== undefined) {
         this.logRun(run, 'leader: a run is slowed here and moves', {
           better: better.info.id,
-          allowed: run.progress?.allowed,
+          allowed: run.progress?.allowedPercent,
         });
         this.stop(run, 'slowed');
       }
@@ -98,7 +101,7 @@
     for (const run of this.moved) {
       const { task } = run;
       const [open] = task.runs;
-      const over = isOver(task.step.occurrence.job);
+      const over = isFinished(task.step.occurrence.job);
       if (over || (open !== undefined && open !== run)) {
         this.moved.delete(run);
       } else {
@@ -141,7 +144,11 @@
   learnFrom({ id, capacity }: WorkerInfo): void {
     const { ctx, state, interference } = this.options;
     const load = workerRuns(state, id);
-    const over = interference.learn(load, capacity.cpuMilli, ctx.clock());
+    const over = interference.learnFromReport(
+      load,
+      capacity.cpuMilli,
+      ctx.clock(),
+    );
     for (const { run, overMs } of over) {
       if (overMs >= TOLD_OVER_MS) {
         const fillers = load.fillerCpuMilli;
@@ -157,7 +164,12 @@
     const info = this.options.linkTo(run.worker)?.info;
     if (info !== undefined) {
       const load = workerRuns(state, run.worker);
-      interference.noteEnd(load, run, info.capacity.cpuMilli, ctx.clock());
+      interference.recordFillerEnd(
+        load,
+        run,
+        info.capacity.cpuMilli,
+        ctx.clock(),
+      );
     }
   }
 
@@ -171,7 +183,10 @@
     const { cpuMilli } = link.info.capacity;
     const shares = interference.shares(load, cpuMilli, ctx.clock());
     for (const [run, share] of shares) {
-      if (run.progress?.confirmed === true && run.progress.allowed !== share) {
+      if (
+        run.progress?.confirmed === true &&
+        run.progress.allowedPercent !== share
+      ) {
         link.throttle(run, share);
       }
     }
@@ -181,7 +196,7 @@
   lookWaitMs({ id, capacity }: WorkerInfo): number {
     const { state, interference } = this.options;
     const load = workerRuns(state, id);
-    return interference.isTight(load, capacity.cpuMilli)
+    return interference.hasLowHeadroom(load, capacity.cpuMilli)
       ? TIGHT_LOOK_WAIT_MS
       : LOOK_WAIT_MS;
   }
--- a/packages/daemon/src/job-host/shrinking-workers.test.ts
+++ b/packages/daemon/src/job-host/shrinking-workers.test.ts
@@ -3,7 +3,7 @@
 
 import { FaultTimes } from '@paddlewind/stand-ins/jobs';
 
-import { killLeaders } from './crashing-site.fixture.test.js';
+import { killLeaders } from './crashing-deployment.fixture.test.js';
 import { Simulation } from './simulation.fixture.test.js';
 
 const SEEDS = [1, 2, 3, 4, 5];
@@ -90,7 +90,7 @@
   for (let turn = 0; ; turn += 1) {
     await site.wait(RESTART_EVERY_MS);
     const name = SHRINKING[turn % SHRINKING.length] ?? '';
-    site.fleet.holdEntry(name, 1_500);
+    site.fleet.freezeEntry(name, 1_500);
     site.restartWorker(name, 30, turn % 2 === 0 ? HALF : WHOLE);
   }
 }
--- a/packages/daemon/src/job-host/simulated-network.fixture.test.ts
+++ b/packages/daemon/src/job-host/simulated-network.fixture.test.ts
@@ -4,8 +4,8 @@
   OrderResult,
   PeerPort,
   RelayBatch,
-  RelayEnd,
-  RelayWatch,
+  RelayCallResult,
+  RelayObserver,
   WorkerPort,
 } from '@paddlewind/ports/jobs';
 import type { VirtualTime } from '@paddlewind/stand-ins';
@@ -75,9 +75,9 @@
         order(CALL_BYTES + start.payload.length, () => port.start(to, start)),
       stop: (to, run) => order(CALL_BYTES, () => port.stop(to, run)),
       throttle: (to, run) => order(CALL_BYTES, () => port.throttle(to, run)),
-      look: async (to, look, takeLate) => {
+      poll: async (to, look, takeLate) => {
         await this.carry(CALL_BYTES);
-        return port.look(to, look, takeLate);
+        return port.poll(to, look, takeLate);
       },
     };
   }
@@ -140,14 +140,16 @@
           void gaveUp.then(() => {
             resolve(UNANSWERED);
           });
-          const taken: RelayWatch['taken'] = by => {
+          const taken: RelayObserver['onAccepted'] = by => {
             notTaken();
-            watch.taken(by);
+            watch.onAccepted(by);
           };
           const more = batch.starts.length - 1;
           void link
             .carry(CALL_BYTES + more * START_ROW_BYTES)
-            .then(() => this.relay(name, address, batch, { ...watch, taken }))
+            .then(() =>
+              this.relay(name, address, batch, { ...watch, onAccepted: taken }),
+            )
             .then(resolve);
         });
       },
@@ -168,8 +170,8 @@
     from: string,
     to: string,
     batch: RelayBatch,
-    watch: RelayWatch,
-  ): Promise<RelayEnd> {
+    watch: RelayObserver,
+  ): Promise<RelayCallResult> {
     await this.pause(PEER_LATENCY_MS + (this.startDelays.get(to) ?? 0));
     const found = this.reach(from, to);
     if (found === undefined) {
@@ -186,11 +188,11 @@
       found.process.schedule(0, () => {
         const by = found.host.identifyForPeer();
         answers(() => {
-          watch.taken(by);
+          watch.onAccepted(by);
         });
-        const told: RelayWatch['told'] = (at, outcome) => {
+        const told: RelayObserver['onOutcome'] = (at, outcome) => {
           answers(() => {
-            watch.told(at, outcome);
+            watch.onOutcome(at, outcome);
           });
         };
         void found.host.relayForPeer(batch, told).then(() => {
@@ -214,7 +216,7 @@
   }
 }
 
-const UNANSWERED: RelayEnd = {
+const UNANSWERED: RelayCallResult = {
   kind: 'failed',
   outcome: 'unknown',
   reason: 'no answer',
--- a/packages/daemon/src/job-host/simulated-wire.fixture.test.ts
+++ b/packages/daemon/src/job-host/simulated-wire.fixture.test.ts
@@ -5,10 +5,10 @@
 import type { Millis } from '@paddlewind/domain';
 import type {
   JobLog,
-  LookResult,
+  PollResult,
   OrderResult,
   PeerPort,
-  RelayEnd,
+  RelayCallResult,
   WorkerPort,
 } from '@paddlewind/ports/jobs';
 import type { VirtualTime } from '@paddlewind/stand-ins';
@@ -134,10 +134,10 @@
         order(START_BYTES + start.payload.length, () => port.start(to, start)),
       stop: (to, run) => order(ORDER_BYTES, () => port.stop(to, run)),
       throttle: (to, run) => order(ORDER_BYTES, () => port.throttle(to, run)),
-      look: async (to, look, takeLate) => {
+      poll: async (to, look, takeLate) => {
         const answer = this.out
           .carry(CALL_HEAD_BYTES + POLL_BYTES)
-          .then(() => port.look(to, look, takeLate))
+          .then(() => port.poll(to, look, takeLate))
           .then(async res => {
             await this.into.carry(sizeOfPollAnswer(res));
             return res;
@@ -221,12 +221,12 @@
           const by = host.identifyForPeer();
           void this.answerBy(links, ACCEPTANCE_BYTES).then(() => {
             began();
-            watch.taken(by);
+            watch.onAccepted(by);
           });
           const answers: Promise<void>[] = [];
           await host.relayForPeer(batch, (at, outcome) => {
             const answer = this.carryBack(links, OUTCOME_BYTES).then(() => {
-              watch.told(at, outcome);
+              watch.onOutcome(at, outcome);
             });
             answers.push(answer);
           });
@@ -353,7 +353,7 @@
   readonly host: NonNullable<ReturnType<SimulatedPeers['reach']>>['host'];
 }
 
-const UNANSWERED: RelayEnd = {
+const UNANSWERED: RelayCallResult = {
   kind: 'failed',
   outcome: 'unknown',
   reason: 'timeout',
@@ -373,7 +373,7 @@
   return records.reduce((sum, { length }) => sum + RECORD_BYTES + length, 0);
 }
 
-function sizeOfPollAnswer(res: LookResult): number {
+function sizeOfPollAnswer(res: PollResult): number {
   return res.kind === 'seen'
     ? ANSWER_HEAD_BYTES +
         ACTIVE_RUN_BYTES * res.active.length +
--- a/packages/daemon/src/job-host/simulation.fixture.test.ts
+++ b/packages/daemon/src/job-host/simulation.fixture.test.ts
@@ -302,7 +302,7 @@
   async cancel(id: string): Promise<void> {
     const asked = this.history.jobs.get(id);
     if (asked !== undefined) {
-      asked.cancelAskedAt ??= this.time.clock();
+      asked.cancelRequestedAt ??= this.time.clock();
     }
     await this.untilRecorded(host =>
       host.service.cancel(id, this.time.clock() + 3_000),
--- a/packages/daemon/src/job-host/skipped-epochs.test.ts
+++ b/packages/daemon/src/job-host/skipped-epochs.test.ts
@@ -39,12 +39,12 @@
     const leader = site.leader();
     const other = leader === 'h1' ? 'h2' : 'h1';
     // The log drops what the other host, cut off, has not read, and with it who reached the workers.
-    site.log.modes.set(other, 'silent');
+    site.log.hostModes.set(other, 'silent');
     await site.time.advance(5_000);
     const cutAt = site.log.recordsOf('journal').length;
     await site.time.until(() => offsetOfRestate(site) > cutAt, RESTATED_MS);
     site.log.trimTo(offsetOfRestate(site));
-    site.log.modes.delete(other);
+    site.log.hostModes.delete(other);
     await site.time.advance(5_000);
     site.kill(leader);
     await site.time.advance(CALM_MS);
--- a/packages/daemon/src/job-host/start-job-host.ts
+++ b/packages/daemon/src/job-host/start-job-host.ts
@@ -1,6 +1,6 @@
 /** Assembles the parts of a job host. */
 import type { Millis } from '@paddlewind/domain';
-import { forgetOver, openRunsOf } from '@paddlewind/domain/jobs';
+import { forgetFinishedJobs, countOpenRuns } from '@paddlewind/domain/jobs';
 import type {
   AdvicePort,
   ConfigFeed,
@@ -18,7 +18,7 @@
 import type { CallerView } from './caller-view.js';
 import { ConfigFollower } from './config-follower.js';
 import { pause, type HostContext } from './context.js';
-import { Duty } from './duty.js';
+import { HostRole } from './host-role.js';
 import { AppendBatcher } from './group-append.js';
 import { InboxSender, type Appender } from './inbox-sender.js';
 import { JobService } from './job-service.js';
@@ -35,10 +35,10 @@
 import { SummaryFollower } from './summary-follower.js';
 import { SummaryView } from './summary-view.js';
 import {
-  CONTACT_LOST_MS,
-  FOLLOW_EVERY_MS,
-  FORGET_EVERY_MS,
-  LEADER_SILENCE_MS,
+  LOG_CONTACT_TIMEOUT_MS,
+  JOURNAL_READ_INTERVAL_MS,
+  FINISHED_JOB_CLEANUP_INTERVAL_MS,
+  LEADER_SILENCE_TIMEOUT_MS,
 } from './timing.js';
 
 /** Dependencies and settings of a job host. */
@@ -102,7 +102,7 @@
   private readonly jobLog: JobLog;
   private readonly replica: Replica;
   private readonly summary: SummaryFollower;
-  private readonly role: Duty;
+  private readonly role: HostRole;
   private readonly batcher: AppendBatcher;
   private readonly relay: StartRelay;
   private readonly configFollower: ConfigFollower;
@@ -127,7 +127,7 @@
     this.jobLog = jobLog;
     this.replica = replica;
     this.summary = summary;
-    this.role = new Duty({
+    this.role = new HostRole({
       ctx,
       replica,
       summary,
@@ -151,7 +151,7 @@
       ready: this.ready,
       configVersion: () => this.configFollower.config?.version ?? 0,
       openJobs: () => this.view().openJobs,
-      openRuns: () => openRunsOf(replica.state),
+      openRuns: () => countOpenRuns(replica.state),
     };
   }
 
@@ -171,7 +171,7 @@
       !this.stopping &&
       this.configFollower.config !== undefined &&
       isComplete &&
-      this.options.ctx.clock() - contactAt < CONTACT_LOST_MS
+      this.options.ctx.clock() - contactAt < LOG_CONTACT_TIMEOUT_MS
     );
   };
 
@@ -214,11 +214,12 @@
    */
   private inboxAppender(): Appender | undefined {
     const { ctx, peers } = this.options;
-    const { state, journalHeardAt } = this.replica;
+    const { state, journalReceivedAt: journalHeardAt } = this.replica;
     if (this.leader !== undefined) {
       return records => this.batcher.append(records);
     }
-    const isLeaderActive = ctx.clock() - journalHeardAt < LEADER_SILENCE_MS;
+    const isLeaderActive =
+      ctx.clock() - journalHeardAt < LEADER_SILENCE_TIMEOUT_MS;
     const journalLeader = isLeaderActive ? state.leaderAddress : undefined;
     const address = this.role.isFollowingSummary
       ? this.summary.leaderInfo?.address
@@ -243,10 +244,10 @@
   private async forgetFinished(): Promise<void> {
     const { ctx, statusMs } = this.options;
     for (;;) {
-      await pause(ctx, FORGET_EVERY_MS);
+      await pause(ctx, FINISHED_JOB_CLEANUP_INTERVAL_MS);
       const now = ctx.clock();
-      forgetOver(this.replica.state, now, now - statusMs);
-      this.summary.summary.forgetOver(now - statusMs);
+      forgetFinishedJobs(this.replica.state, now, now - statusMs);
+      this.summary.summary.forgetFinishedJobs(now - statusMs);
       this.relay.closeIdleConnections();
     }
   }
@@ -283,7 +284,7 @@
   private async keepReading(): Promise<never> {
     for (;;) {
       await this.view().readInbox();
-      await pause(this.options.ctx, FOLLOW_EVERY_MS);
+      await pause(this.options.ctx, JOURNAL_READ_INTERVAL_MS);
     }
   }
 }
--- a/packages/daemon/src/job-host/summary-follower.ts
+++ b/packages/daemon/src/job-host/summary-follower.ts
@@ -11,7 +11,7 @@
 
 import { coalesce } from './coalesce.js';
 import type { HostContext } from './context.js';
-import { Portion } from './portion.js';
+import { AdaptiveReadSize } from './adaptive-read-size.js';
 
 /** Size of a read that only locates the first record that the log still keeps. */
 const PROBE_BYTES = 1_024;
@@ -59,7 +59,7 @@
   /** Reads the submissions that the summary does not include yet; false if that failed. */
   readonly refreshInbox = coalesce(() => this.readInbox());
 
-  private readonly readSize = new Portion();
+  private readonly readSize = new AdaptiveReadSize();
   /** Offset of the next summary record to read; undefined until a snapshot was read. */
   private next: number | undefined;
   private nextInbox = 0;
--- a/packages/daemon/src/job-host/summary-writer.ts
+++ b/packages/daemon/src/job-host/summary-writer.ts
@@ -2,8 +2,8 @@
 import type { Instant, Millis } from '@paddlewind/domain';
 import {
   encodeSummary,
-  isCrowded,
-  rowOf,
+  hasMoreHostsThanStandbys,
+  summaryRowOf,
   Summary,
   type JobsState,
   type SummaryRecord,
@@ -11,15 +11,15 @@
 } from '@paddlewind/domain/jobs';
 import type { AppendResult, JobLog, WriterStamp } from '@paddlewind/ports/jobs';
 
-import { Alarm } from './alarm.js';
+import { WakeSignal } from './wake-signal.js';
 import { pause, type HostContext } from './context.js';
 import type { WonClaim } from './leadership.js';
 import {
-  APPEND_RETRY_MS,
-  CLAIM_REPEAT_MS,
-  RESTATE_SHARE,
-  SNAPSHOT_EVERY_MS,
-  SUMMARY_EVERY_MS,
+  APPEND_RETRY_DELAY_MS,
+  CLAIM_INTERVAL_MS,
+  RESTATE_RETENTION_FRACTION,
+  SNAPSHOT_INTERVAL_MS,
+  SUMMARY_WRITE_INTERVAL_MS,
 } from './timing.js';
 
 /** Rows per snapshot record, which then has about 100 KB. */
@@ -51,7 +51,7 @@
 
 /** Writes the summary once there are hosts that read it. */
 export class SummaryWriter {
-  private readonly wakeSignal: Alarm;
+  private readonly wakeSignal: WakeSignal;
   private readonly written = new Summary();
   private readonly stamps: Record<SummaryStream, WriterStamp>;
   private rows: SummaryRow[] = [];
@@ -66,7 +66,7 @@
   /** Creates a writer for the leader that won a claim. */
   constructor(private readonly options: SummaryWriterOptions) {
     const { ctx, claim } = options;
-    this.wakeSignal = new Alarm(ctx.schedule);
+    this.wakeSignal = new WakeSignal(ctx.schedule);
     this.stamps = { summary: claim.nextStamp, snapshot: claim.nextStamp };
   }
 
@@ -77,36 +77,36 @@
   cut(): SummaryChanges | undefined {
     const { state, inboxUpTo } = this.options;
     if (state.changed === undefined) {
-      if (!isCrowded(state)) {
+      if (!hasMoreHostsThanStandbys(state)) {
         return undefined;
       }
       // Start with all jobs, since earlier leaders may not have published their last records.
       state.changed = new Set(state.jobs.values());
     }
-    const rows = [...state.changed].map(rowOf);
+    const rows = [...state.changed].map(summaryRowOf);
     state.changed.clear();
     return { rows, inboxUpTo: inboxUpTo() };
   }
 
   /** Queues a cut whose decisions are recorded. */
-  tell(changes: SummaryChanges | undefined): void {
+  publish(changes: SummaryChanges | undefined): void {
     if (changes === undefined) {
       return;
     }
     this.rows.push(...changes.rows);
     this.inboxUpTo = changes.inboxUpTo;
-    this.wakeSignal.ring();
+    this.wakeSignal.notify();
   }
 
   /** Writes queued rows until the writer is closed. */
   async run(): Promise<void> {
     const { ctx, state } = this.options;
     while (!this.closed) {
-      await this.wakeSignal.wait(CLAIM_REPEAT_MS);
+      await this.wakeSignal.wait(CLAIM_INTERVAL_MS);
       if (state.changed !== undefined) {
         await this.write();
         await this.writeSnapshot();
-        await pause(ctx, SUMMARY_EVERY_MS);
+        await pause(ctx, SUMMARY_WRITE_INTERVAL_MS);
       }
     }
   }
@@ -114,7 +114,7 @@
   /** Stops writing. */
   close(): void {
     this.closed = true;
-    this.wakeSignal.ring();
+    this.wakeSignal.notify();
   }
 
   private async write(): Promise<void> {
@@ -125,7 +125,7 @@
     if (rows.length > 0) {
       records.push({ kind: 'rows', inboxUpTo, rows });
     }
-    if (ctx.clock() - this.leaderRecordAt >= CLAIM_REPEAT_MS) {
+    if (ctx.clock() - this.leaderRecordAt >= CLAIM_INTERVAL_MS) {
       this.leaderRecordAt = ctx.clock();
       records.push(this.leaderRecord());
     }
@@ -151,12 +151,15 @@
   private async writeSnapshot(): Promise<void> {
     const { ctx, retentionMs, statusMs } = this.options;
     const now = ctx.clock();
-    const intervalMs = Math.min(SNAPSHOT_EVERY_MS, retentionMs * RESTATE_SHARE);
+    const intervalMs = Math.min(
+      SNAPSHOT_INTERVAL_MS,
+      retentionMs * RESTATE_RETENTION_FRACTION,
+    );
     if (!this.hasAllRows || now - this.snapshotAt < intervalMs) {
       return;
     }
     this.snapshotAt = now;
-    this.written.forgetOver(now - statusMs);
+    this.written.forgetFinishedJobs(now - statusMs);
     const rows = this.written.rows();
     const parts = Math.max(
       1,
@@ -200,7 +203,7 @@
           return undefined;
         case 'refused':
         case 'unknown':
-          await pause(ctx, APPEND_RETRY_MS);
+          await pause(ctx, APPEND_RETRY_DELAY_MS);
       }
     }
     return undefined;
--- a/packages/daemon/src/job-host/suspended-hosts.test.ts
+++ b/packages/daemon/src/job-host/suspended-hosts.test.ts
@@ -2,16 +2,16 @@
 import { test } from 'node:test';
 
 import {
-  NEIGHBOUR,
+  NEIGHBOUR_JOB,
   NEIGHBOUR_TASKS,
-  siteWithNeighbours,
+  deploymentWithNeighbours,
   WORKERS,
-} from './crashing-site.fixture.test.js';
+} from './crashing-deployment.fixture.test.js';
 import {
-  LASTING_JOB,
-  LASTING_TASKS,
-  siteWithLastingJob,
-} from './lasting-site.fixture.test.js';
+  LONG_RUNNING_JOB,
+  LONG_RUNNING_TASKS,
+  deploymentWithLongRunningJob,
+} from './long-running-deployment.fixture.test.js';
 
 const SEEDS = [1, 2, 3, 4, 5, 6];
 /** Range of the time for which a machine is suspended, and maximum time between suspensions. */
@@ -26,7 +26,7 @@
 
 test('guarantees hold on hosts whose monotonic clock stops during suspension', async () => {
   for (const seed of SEEDS) {
-    const site = await siteWithNeighbours(seed);
+    const site = await deploymentWithNeighbours(seed);
     const { history, time, random, fleet } = site;
     const endsAt = time.clock() + OBSERVATION_MS;
     const ids: string[] = [];
@@ -54,7 +54,7 @@
     }
     await time.advance(RECOVERY_MS);
     assert.deepEqual(history.check(), []);
-    assert.equal(history.runningOf(NEIGHBOUR), NEIGHBOUR_TASKS);
+    assert.equal(history.runningOf(NEIGHBOUR_JOB), NEIGHBOUR_TASKS);
     for (const id of ids) {
       assert.ok(history.isDone(id), `seed ${seed}: ${id} is not done`);
     }
@@ -65,7 +65,7 @@
   for (const seed of [1, 2, 3]) {
     // From just over the time in which another host takes over up to the lease of the worker.
     for (const span of [3_000, 3_500, 4_000, 4_500, 4_900]) {
-      const site = await siteWithLastingJob(seed, ['h1', 'h2', 'h3']);
+      const site = await deploymentWithLongRunningJob(seed, ['h1', 'h2', 'h3']);
       const leader = site.leader();
       for (const name of site.hosts.keys()) {
         if (name !== leader) {
@@ -75,7 +75,10 @@
       site.suspend(leader, span);
       await site.time.advance(RECOVERY_MS);
       assert.deepEqual(site.history.check(), []);
-      assert.equal(site.history.runningOf(LASTING_JOB), LASTING_TASKS);
+      assert.equal(
+        site.history.runningOf(LONG_RUNNING_JOB),
+        LONG_RUNNING_TASKS,
+      );
     }
   }
 });
--- a/packages/daemon/src/job-host/waiting-orders.test.ts
+++ b/packages/daemon/src/job-host/waiting-orders.test.ts
@@ -26,7 +26,7 @@
   site.startHost('h1');
   site.startHost('h2');
   await site.time.advance(2_500);
-  site.fleet.slowness.set(slow, SLOW_MS);
+  site.fleet.orderDelays.set(slow, SLOW_MS);
   return site;
 }
 
@@ -46,11 +46,11 @@
   const site = await siteWithSlowWorker(4, 'w1');
   const other = '00000000000000d2';
   const few = { ...MANY, tasks: 5 };
-  site.fleet.slowness.clear();
+  site.fleet.orderDelays.clear();
   void site.submit(other, [few], { runMs: 60_000, failures: 0 });
   await site.time.advance(1_000);
   assert.equal(site.history.runningOf(other), 5);
-  site.fleet.slowness.set('w1', SLOW_MS);
+  site.fleet.orderDelays.set('w1', SLOW_MS);
   void site.submit(ID, [MANY], { runMs: 60_000, failures: 0 });
   await site.time.advance(300);
   void site.cancel(other);
@@ -81,7 +81,7 @@
   site.addWorker('w1');
   site.startHost('h1');
   await site.time.advance(2_500);
-  site.fleet.registryAway = true;
+  site.fleet.registryUnavailable = true;
   site.fleet.announceLeave('w1');
   await site.time.advance(5_000);
   void site.submit(ID, [{ ...MANY, tasks: 1 }], { runMs: 100, failures: 0 });
@@ -101,13 +101,13 @@
   test(`starts behind ${stops} stops to a worker that is out of reach go elsewhere`, async () => {
     const site = await siteWithSlowWorker(8, 'w1');
     const other = '00000000000000d3';
-    site.fleet.slowness.clear();
+    site.fleet.orderDelays.clear();
     const first = Math.max(1, stops);
     const long = { runMs: 60_000, failures: 0 };
     void site.submit(other, [{ ...MANY, tasks: first }], long);
     await site.time.advance(1_000);
     assert.equal(site.history.runningOf(other), first);
-    site.fleet.slowness.set('w1', SLOW_MS);
+    site.fleet.orderDelays.set('w1', SLOW_MS);
     void site.submit(ID, [{ ...MANY, tasks: 10 }], long);
     await site.time.advance(600);
     if (stops > 0) {
--- a/packages/daemon/src/job-host/alarm.ts
+++ b/packages/daemon/src/job-host/wake-signal.ts
@@ -2,7 +2,7 @@
 import type { Millis, Schedule } from '@paddlewind/domain';
 
 /** Wakes its one waiter; a ring without a waiter is kept for the next one. */
-export class Alarm {
+export class WakeSignal {
   private rung = false;
   private wake: (() => void) | undefined;
 
@@ -10,7 +10,7 @@
   constructor(private readonly schedule: Schedule) {}
 
   /** Ends the present wait, or the next one at once. */
-  readonly ring = (): void => {
+  readonly notify = (): void => {
     this.rung = true;
     this.wake?.();
   };
--- a/packages/daemon/src/job-host/worker-link.ts
+++ b/packages/daemon/src/job-host/worker-link.ts
@@ -2,15 +2,19 @@
 import type { Instant, Millis } from '@paddlewind/domain';
 import {
   incarnationOf,
-  workerOf,
+  workerIdOf,
   type Run,
   type Task,
   type WorkerInfo,
 } from '@paddlewind/domain/jobs';
-import type { LookOrder, LookResult, WorkerPort } from '@paddlewind/ports/jobs';
-
-import { Alarm } from './alarm.js';
-import { AnswerSlack } from './answer-slack.js';
+import type {
+  PollRequest,
+  PollResult,
+  WorkerPort,
+} from '@paddlewind/ports/jobs';
+
+import { WakeSignal } from './wake-signal.js';
+import { AdaptiveTimeout } from './adaptive-timeout.js';
 import { pause } from './context.js';
 import { Lease } from './lease.js';
 import {
@@ -72,19 +76,19 @@
   readonly events: LinkEvents;
 }
 
-type Report = Extract<LookResult, { kind: 'seen' }>;
+type Report = Extract<PollResult, { kind: 'seen' }>;
 
 /** A look that was sent. */
 interface SentLook {
   readonly at: Instant;
-  readonly order: LookOrder;
+  readonly order: PollRequest;
 }
 
 /** The leader's link to one incarnation of a worker. */
 export class WorkerLink {
   private readonly lease: Lease;
-  private readonly alarm: Alarm;
-  private readonly slack = new AnswerSlack();
+  private readonly alarm: WakeSignal;
+  private readonly slack = new AdaptiveTimeout();
   private readonly runs: LinkedRuns;
   private readonly orders: WorkerOrders;
   /** Whether the worker has reported to this leader, so that its open runs are known. */
@@ -124,7 +128,7 @@
     public info: WorkerInfo,
     private readonly options: LinkOptions,
   ) {
-    this.alarm = new Alarm(options.ctx.schedule);
+    this.alarm = new WakeSignal(options.ctx.schedule);
     this.runs = new LinkedRuns({
       ...options,
       info: () => this.info,
@@ -169,7 +173,7 @@
         replaced: () => {
           this.takeReplaced();
         },
-        stopConfirmed: this.alarm.ring,
+        stopConfirmed: this.alarm.notify,
       },
     });
   }
@@ -227,14 +231,14 @@
   /** Ends all calls; the worker is told nothing. */
   close(): void {
     this.closed = true;
-    this.alarm.ring();
+    this.alarm.notify();
     this.orders.close();
     this.options.port.forget(this.info);
   }
 
   /** Orders a run that was decided on at `decidedAt` and is recorded to begin. */
   start(run: Run, decidedAt: Instant): void {
-    this.alarm.ring();
+    this.alarm.notify();
     this.orders.start(run, decidedAt);
   }
 
@@ -265,7 +269,7 @@
     // A worker that does not answer may be out of reach: its lease has to end.
     const left = this.leaseLeftMs();
     const extend = isSure && this.reached && this.answering && left > 0;
-    const order: LookOrder = {
+    const order: PollRequest = {
       fence,
       acknowledged: isSure ? this.recordedUpTo : 0,
       leaseUntil: extend
@@ -276,7 +280,7 @@
     };
     const sent = { at: sentAt, order };
     // An answer that comes late tells of ends all the same, and that the worker is there.
-    const res = await port.look(this.info, order, late => {
+    const res = await port.poll(this.info, order, late => {
       this.takeLook(late, sent).catch((err: unknown) => {
         ctx.log.error({ err }, 'worker: a late answer was not taken in');
       });
@@ -300,7 +304,7 @@
       : waitMs;
   }
 
-  private async takeLook(res: LookResult, sent: SentLook): Promise<void> {
+  private async takeLook(res: PollResult, sent: SentLook): Promise<void> {
     const { ctx, events } = this.options;
     if (this.closed) {
       return;
@@ -342,7 +346,7 @@
       return !this.tellsStart;
     }
     const { id } = this.info;
-    const isFromHere = incarnationOf(workerOf(id), startedAt) === id;
+    const isFromHere = incarnationOf(workerIdOf(id), startedAt) === id;
     this.tellsStart ||= isFromHere;
     return isFromHere;
   }
@@ -356,14 +360,14 @@
       await this.takeFailure('the answer does not say when the worker started');
       return;
     }
-    const by = incarnationOf(workerOf(this.info.id), startedAt);
+    const by = incarnationOf(workerIdOf(this.info.id), startedAt);
     this.options.events.replaced(by);
   }
 
   private noteAnswer({ at, order }: SentLook): void {
     const { ctx, fence } = this.options;
     this.answeredAt = ctx.clock();
-    this.slack.note(Math.max(0, this.answeredAt - at - order.waitMs));
+    this.slack.record(Math.max(0, this.answeredAt - at - order.waitMs));
     this.acknowledgedUpTo = Math.max(this.acknowledgedUpTo, order.acknowledged);
     if (this.reachedAt === Infinity) {
       this.reachedAt = this.answeredAt;
--- a/packages/daemon/src/job-host/worker-orders.test.ts
+++ b/packages/daemon/src/job-host/worker-orders.test.ts
@@ -3,7 +3,7 @@
 
 import { ORDERED_WORKER, OrderedRuns } from './orders.fixture.test.js';
 import type { StartResult } from './relay/start-sender.js';
-import { START_WAIT_MS } from './timing.js';
+import { MAX_START_WAIT_MS } from './timing.js';
 import { WorkerOrders } from './worker-orders.js';
 
 /** Below the timeout of an order. */
@@ -145,7 +145,7 @@
 test('a start that was late before its order was given tells nothing of the worker', async () => {
   const site = new OrderedRuns(1);
   const { orders, told } = ordersTo(site);
-  orders.start(site.open(0), site.time.clock() - START_WAIT_MS - 1);
+  orders.start(site.open(0), site.time.clock() - MAX_START_WAIT_MS - 1);
   await site.time.advance(5_000);
   assert.deepEqual(site.sent, []);
   assert.deepEqual(site.ended, ['0#1 void']);
@@ -166,7 +166,7 @@
   }
   await site.time.advance(5_000);
   assert.deepEqual(site.sent, ['start 0#1', 'start 1#1', 'throttle 0#1 30']);
-  assert.equal(run.progress?.allowed, 30);
+  assert.equal(run.progress?.allowedPercent, 30);
 });
 
 test('a limit that was not answered is not taken to be in force', async () => {
@@ -179,7 +179,7 @@
   orders.throttle(run, 0);
   await site.time.advance(100);
   assert.ok(run.progress);
-  assert.equal(run.progress.allowed, undefined);
+  assert.equal(run.progress.allowedPercent, undefined);
 });
 
 test('a newer limit is sent though the one before was not answered', async () => {
@@ -197,7 +197,7 @@
   await site.time.advance(5_000);
   const sent = ['start 0#1', 'throttle 0#1 0', 'throttle 0#1 20'];
   assert.deepEqual(site.sent, sent);
-  assert.equal(run.progress?.allowed, 20);
+  assert.equal(run.progress?.allowedPercent, 20);
 });
 
 test('limits that change all the time leave starts a turn', async () => {
--- a/packages/daemon/src/job-host/worker-orders.ts
+++ b/packages/daemon/src/job-host/worker-orders.ts
@@ -4,7 +4,7 @@
   newProgress,
   refOf,
   taskName,
-  whyNeedless,
+  obsoleteReasonOf,
   type Run,
   type RunEnd,
   type Task,
@@ -13,13 +13,13 @@
 import type { OrderResult, RunOrder, WorkerPort } from '@paddlewind/ports/jobs';
 
 import type { HostContext } from './context.js';
-import type { StartGivenUp } from './meters.js';
+import type { DroppedStartReason } from './meters.js';
 import { OrderQueue } from './order-queue.js';
 import type { StartResult, StartSender } from './relay/start-sender.js';
 import {
   INBOX_STALE_MS,
   REGISTRY_STALE_MS,
-  START_WAIT_MS,
+  MAX_START_WAIT_MS,
   STOP_RETRY_MS,
 } from './timing.js';
 
@@ -112,7 +112,7 @@
       checkpoint: task.checkpoint,
       ticket: this.options.ticketFor(task),
     };
-    const whyNot = (): StartGivenUp | undefined =>
+    const whyNot = (): DroppedStartReason | undefined =>
       this.whyNotStart(run, decidedAt);
     const isWanted = (): boolean => whyNot() === undefined;
     const sendBy = this.sendBy(decidedAt);
@@ -130,8 +130,11 @@
    * a task that begins after its job's cancellation or its own end, or at a worker whose runs are being
    * given up, can't be taken back.
    */
-  private whyNotStart(run: Run, decidedAt: Instant): StartGivenUp | undefined {
-    const needless = whyNeedless(run);
+  private whyNotStart(
+    run: Run,
+    decidedAt: Instant,
+  ): DroppedStartReason | undefined {
+    const needless = obsoleteReasonOf(run);
     if (needless !== undefined) {
       return needless === 'over' ? 'over' : 'needless';
     }
@@ -139,7 +142,7 @@
     if (inboxAgeMs() > INBOX_STALE_MS || registryAgeMs() > REGISTRY_STALE_MS) {
       return 'stale';
     }
-    if (ctx.clock() - decidedAt > START_WAIT_MS) {
+    if (ctx.clock() - decidedAt > MAX_START_WAIT_MS) {
       return 'late';
     }
     return mayStart() ? undefined : 'worker';
@@ -152,22 +155,22 @@
     return Math.min(
       now - inboxAgeMs() + INBOX_STALE_MS,
       now - registryAgeMs() + REGISTRY_STALE_MS,
-      decidedAt + START_WAIT_MS,
+      decidedAt + MAX_START_WAIT_MS,
     );
   }
 
   /** Gives up a start that waited for its worker. */
-  private giveUpStart(run: Run, reason: StartGivenUp): void {
+  private giveUpStart(run: Run, reason: DroppedStartReason): void {
     const { ctx, events } = this.options;
     const waitedMs = ctx.clock() - (run.progress?.since ?? ctx.clock());
-    if (reason === 'late' && 2 * waitedMs > START_WAIT_MS) {
+    if (reason === 'late' && 2 * waitedMs > MAX_START_WAIT_MS) {
       events.slow();
     }
     this.giveUpUnsent(run, reason);
   }
 
   /** Ends a run whose order was never sent, so that the task may run elsewhere. */
-  private giveUpUnsent(run: Run, reason: StartGivenUp): void {
+  private giveUpUnsent(run: Run, reason: DroppedStartReason): void {
     const { ctx, events } = this.options;
     ctx.meters.startGivenUp(reason);
     ctx.log.info(
@@ -221,7 +224,7 @@
   /** Limits a run to `percent` of its speed; of several limits that wait only the last one is sent. */
   throttle(run: Run, percent: number): void {
     if (run.progress !== undefined) {
-      run.progress.allowed = percent;
+      run.progress.allowedPercent = percent;
       run.progress.allowedSince = this.options.ctx.clock();
     }
     if (!this.queue.has('throttle', run)) {
@@ -236,16 +239,16 @@
   private async sendThrottle(run: Run): Promise<void> {
     const { port, fence, info } = this.options;
     const { task, number, progress } = run;
-    const percent = progress?.allowed;
+    const percent = progress?.allowedPercent;
     if (percent === undefined || !task.runs.includes(run)) {
       return;
     }
     const order = { task: refOf(task), run: number, fence, percent };
     const res = await port.throttle(info(), order);
     this.noteOrder(run, 'throttle', res);
-    if (res.kind !== 'accepted' && progress?.allowed === percent) {
+    if (res.kind !== 'accepted' && progress?.allowedPercent === percent) {
       // Whether it holds is not known, so that it is ordered again with the next report.
-      progress.allowed = undefined;
+      progress.allowedPercent = undefined;
     }
   }
 
--- a/packages/domain/src/jobs/account.test.ts
+++ b/packages/domain/src/jobs/account.test.ts
@@ -48,7 +48,7 @@
   for (const { progress } of runs) {
     assert.ok(progress);
     progress.reading = 700;
-    progress.allowed = 40;
+    progress.allowedPercent = 40;
   }
   assert.deepEqual(account(state, [testWorker('w')]).processors, {
     registered: 4_000,
--- a/packages/domain/src/jobs/account.ts
+++ b/packages/domain/src/jobs/account.ts
@@ -1,7 +1,7 @@
 /** Accounts for a fleet at one moment: who holds its processors, and why tasks wait. */
 import type { Millis } from '../core/time.js';
 import { waitingTasks, type Occurrence, type Run, type Step } from './job.js';
-import { candidates, type Candidate } from './order.js';
+import { orderedCandidates, type Candidate } from './order.js';
 import {
   chooseWorker,
   obstacleAt,
@@ -12,7 +12,7 @@
 } from './placement.js';
 import { placeInputOf, type PlanInput } from './plan.js';
 import { sizeGroupsOf, type SizeGroup } from './size-groups.js';
-import { workOf } from './worth.js';
+import { expectedWorkOf } from './worth.js';
 
 /**
  * Why a task waits: what the worker that came nearest to having it lacks; `disturbance`: it would be
@@ -83,7 +83,7 @@
 /** Accounts for the fleet as it is now. */
 export function accountFleet(input: AccountInput): FleetAccount {
   const { plan, registered } = input;
-  const inTurn = candidates(plan.state.open, plan.times, plan.time);
+  const inTurn = orderedCandidates(plan.state.open, plan.times, plan.time);
   return {
     workers: registered.length,
     usableWorkers: plan.workers.length,
@@ -120,7 +120,8 @@
   if (spec.filler) {
     found.filler += cpuMilli;
     found.fillerInUse += progress?.reading ?? 0;
-    found.throttled += (cpuMilli * (100 - (progress?.allowed ?? 100))) / 100;
+    found.throttled +=
+      (cpuMilli * (100 - (progress?.allowedPercent ?? 100))) / 100;
   } else if (spec.lasting) {
     found.lasting += cpuMilli;
   } else {
@@ -173,7 +174,7 @@
 /** `inTurn` holds the first step of each job. */
 function sizesOf(plan: PlanInput, inTurn: readonly Candidate[]): WaitingSizes {
   const groups = sizeGroupsOf(inTurn, ({ step }) =>
-    workOf(step.occurrence, plan.times),
+    expectedWorkOf(step.occurrence, plan.times),
   );
   return Object.fromEntries(
     groups.map(([group, members]) => {
--- a/packages/domain/src/jobs/advice.ts
+++ b/packages/domain/src/jobs/advice.ts
@@ -12,7 +12,7 @@
 const TICKET_MARGIN_MS: Millis = 300;
 
 /** A question about a step. */
-export interface Question {
+export interface AdviceRequest {
   readonly step: Step;
   readonly workers: readonly string[];
 }
@@ -29,7 +29,7 @@
 }
 
 /** What the advice service has said so far. */
-export class Advice {
+export class AdviceTickets {
   private readonly steps = new WeakMap<Step, Known>();
 
   /** Whether a step may run on a worker now. */
@@ -48,11 +48,11 @@
   }
 
   /** Returns the question that a step needs answered, undefined when it needs none. */
-  questionFor(
+  requestFor(
     step: Step,
     workers: readonly string[],
     now: Instant,
-  ): Question | undefined {
+  ): AdviceRequest | undefined {
     const waiting = waitingTasks(step);
     if (!needsAdvice(step) || waiting.length === 0) {
       return undefined;
@@ -69,8 +69,8 @@
   }
 
   /** Takes in an answer whose tickets are valid until `validUntil`. */
-  take(
-    { step, workers }: Question,
+  recordAnswer(
+    { step, workers }: AdviceRequest,
     approved: ReadonlyMap<string, string>,
     validUntil: Instant,
   ): void {
@@ -89,7 +89,7 @@
   }
 
   /** Forgets a ticket that a worker has refused. */
-  refuse(step: Step, worker: string): void {
+  discardTicket(step: Step, worker: string): void {
     this.steps.get(step)?.tickets.delete(worker);
   }
 }
--- a/packages/domain/src/jobs/disturbance.fuzz.test.ts
+++ b/packages/domain/src/jobs/disturbance.fuzz.test.ts
@@ -172,20 +172,22 @@
         progress.reading = ((this.working[at] ?? 0) / 100) * FILLER_MILLI;
       }
     });
-    model.learn(load, CPU_MILLI, now);
+    model.learnFromReport(load, CPU_MILLI, now);
     for (const [run, share] of model.shares(load, CPU_MILLI, now)) {
-      if (run.progress?.allowed !== share) {
+      if (run.progress?.allowedPercent !== share) {
         this.orders.push({
           at: now + ORDER_MS + ORDER_LATE_MS * this.random(),
           filler: fillers.indexOf(run),
           share,
         });
         if (run.progress !== undefined) {
-          run.progress.allowed = share;
+          run.progress.allowedPercent = share;
         }
       }
     }
-    const waitMs = model.isTight(load, CPU_MILLI) ? TIGHT_LOOK_MS : LOOK_MS;
+    const waitMs = model.hasLowHeadroom(load, CPU_MILLI)
+      ? TIGHT_LOOK_MS
+      : LOOK_MS;
     return waitMs + REPORT_LATE_MS * this.random();
   }
 }
--- a/packages/domain/src/jobs/fold.ts
+++ b/packages/domain/src/jobs/fold.ts
@@ -1,14 +1,14 @@
 /** Folds the records of inbox and journal into the state of jobs. */
 import type { Instant, Millis } from '../core/time.js';
-import { explainLosses, isGivenUp, noteLoss } from './blame.js';
+import { explainLosses, isAbandoned, noteLoss } from './suspect-tasks.js';
 import type {
-  HandedLeases,
+  LeaseHandover,
   InboxRecord,
   JournalRecord,
   RunEnd,
 } from './records.js';
 import {
-  isOver,
+  isFinished,
   newJob,
   occurrenceOf,
   type Job,
@@ -20,7 +20,7 @@
   findTask,
   moveRun,
   openRun,
-  openRunsAt,
+  countOpenRunsAt,
   type JobsState,
 } from './jobs-state.js';
 import { applyImage } from './restate.js';
@@ -42,7 +42,7 @@
     case 'volunteer': {
       const { host, cores, address } = record;
       const heardAt = state.now;
-      state.volunteers.set(host, { cores, address, heardAt });
+      state.volunteers.set(host, { cores, address, lastOfferAt: heardAt });
       return;
     }
   }
@@ -86,7 +86,7 @@
       state.journalTime.noteLed(record.epoch, record.ledForMs, record.silence);
       return true;
     case 'reached':
-      state.reachedIn.set(record.worker, state.claim.epoch);
+      state.reachedInEpoch.set(record.worker, state.claim.epoch);
       state.silentSince.delete(record.worker);
       return true;
     case 'restate':
@@ -119,7 +119,7 @@
 /** A claim that is read once more changes nothing. */
 function noteEpochBefore(state: JobsState, epoch: number): void {
   if (epoch > state.claim.epoch) {
-    state.epochBefore = state.claim.epoch;
+    state.previousEpoch = state.claim.epoch;
   }
 }
 
@@ -127,7 +127,7 @@
  * Keeps since when each worker that does not answer has been told to be so: as of the record before, since
  * a leader may say so late.
  */
-function noteSilent(state: JobsState, handed: HandedLeases | undefined): void {
+function noteSilent(state: JobsState, handed: LeaseHandover | undefined): void {
   if (handed !== undefined) {
     const { silentSince, journalTime } = state;
     state.silentSince = new Map(
@@ -141,9 +141,9 @@
 
 /** Only where something runs does it matter who may have extended the lease. */
 function forgetIdle(state: JobsState): void {
-  for (const worker of state.reachedIn.keys()) {
-    if (openRunsAt(state, worker) === 0) {
-      state.reachedIn.delete(worker);
+  for (const worker of state.reachedInEpoch.keys()) {
+    if (countOpenRunsAt(state, worker) === 0) {
+      state.reachedInEpoch.delete(worker);
     }
   }
 }
@@ -295,14 +295,14 @@
   }
   const { job } = occurrence;
   job.remaining -= 1;
-  if (isOver(job)) {
+  if (isFinished(job)) {
     close(state, job);
   }
 }
 
 function noteBegun(state: JobsState, job: Job): void {
-  if (!job.begun) {
-    job.begun = true;
+  if (!job.hasStarted) {
+    job.hasStarted = true;
     state.changed?.add(job);
   }
 }
@@ -316,7 +316,7 @@
 /** Lasting tasks are given up as well: each start costs a worker and all that runs there. */
 function failWhenGivenUp(state: JobsState, task: Task): void {
   const { job } = task.step.occurrence;
-  if (isGivenUp(task) && !isOver(job)) {
+  if (isAbandoned(task) && !isFinished(job)) {
     job.failure = 'workers_lost';
     explainLosses(state, task);
     close(state, job);
--- a/packages/domain/src/jobs/gang.ts
+++ b/packages/domain/src/jobs/gang.ts
@@ -1,5 +1,5 @@
 /** Gangs: tasks that work only all together, on one rack where they ask for it. */
-import { Booking } from './booking.js';
+import { Booking } from './reservations.js';
 import type { Run, Step } from './job.js';
 import type { PlaceInput, PlanWorker } from './placement.js';
 
--- a/packages/domain/src/jobs/incarnation.ts
+++ b/packages/domain/src/jobs/incarnation.ts
@@ -16,23 +16,23 @@
 }
 
 /** Returns the id of an incarnation's worker. */
-export function workerOf(incarnation: string): string {
-  return startOf(incarnation) === undefined
+export function workerIdOf(incarnation: string): string {
+  return startTimeOf(incarnation) === undefined
     ? incarnation
     : incarnation.slice(0, incarnation.lastIndexOf(SEPARATOR));
 }
 
 /** Returns when an incarnation started, in wall-clock milliseconds; undefined where its name does not say. */
-export function startOf(incarnation: string): Instant | undefined {
+export function startTimeOf(incarnation: string): Instant | undefined {
   const at = incarnation.lastIndexOf(SEPARATOR);
   if (at < 0 || at === incarnation.length - 1) {
     return undefined;
   }
   const startedAt = Number(incarnation.slice(at + 1));
-  return isStart(startedAt) ? startedAt : undefined;
+  return isStartTime(startedAt) ? startedAt : undefined;
 }
 
 /** Whether a value may be the time of a start. */
-export function isStart(value: unknown): value is Instant {
+export function isStartTime(value: unknown): value is Instant {
   return Number.isSafeInteger(value) && (value as number) >= 0;
 }
--- a/packages/domain/src/jobs/interference.test.ts
+++ b/packages/domain/src/jobs/interference.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { Interference, isSlowed } from './interference.js';
+import { Interference, shouldRelocateFiller } from './interference.js';
 import type { Run } from './job.js';
 import { workerRuns, type JobsState } from './jobs-state.js';
 import { startOn, stateOf, taskOf, testJob } from './test-support.js';
@@ -41,27 +41,27 @@
     at.now += REPORT_MS;
     const { progress } = at.filler;
     assert.ok(progress && at.serving.progress);
-    assert.ok(progress.allowed !== undefined);
-    const used = 0.1 * (progress.allowed / 100);
+    assert.ok(progress.allowedPercent !== undefined);
+    const used = 0.1 * (progress.allowedPercent / 100);
     progress.reading = used * CPU_MILLI;
     const total = Math.min(0.98, OWN_LOAD * (1 + pressure * used));
     at.serving.progress.reading = FLOOR_MS / (1 - total);
-    at.model.learn(load, CPU_MILLI, at.now);
+    at.model.learnFromReport(load, CPU_MILLI, at.now);
     const share = at.model.shares(load, CPU_MILLI, at.now).get(at.filler);
-    progress.allowed = share ?? 100;
+    progress.allowedPercent = share ?? 100;
   }
 }
 
 test('a filler that does not disturb keeps its speed', () => {
   const at = site();
   report(at, 0, 20);
-  assert.equal(at.filler.progress?.allowed, 100);
+  assert.equal(at.filler.progress?.allowedPercent, 100);
 });
 
 test('a filler that disturbs is slowed until the tail is below its target', () => {
   const at = site();
   report(at, 12, 20);
-  assert.ok((at.filler.progress?.allowed ?? 100) < 100);
+  assert.ok((at.filler.progress?.allowedPercent ?? 100) < 100);
   assert.ok((at.serving.progress?.reading ?? 99) <= TARGET_MS);
 });
 
@@ -69,7 +69,7 @@
   const at = site();
   report(at, 12, 20);
   report(at, 0, 60);
-  assert.ok((at.filler.progress?.allowed ?? 0) >= 90);
+  assert.ok((at.filler.progress?.allowedPercent ?? 0) >= 90);
 });
 
 test('places a filler beside those that it does not disturb', () => {
@@ -89,8 +89,8 @@
   assert.ok(at.serving.progress && at.filler.progress);
   at.serving.progress.reading = 10 * TARGET_MS;
   at.filler.progress.reading = 0;
-  at.model.learn(load, CPU_MILLI, 1_000);
-  at.model.learn(load, CPU_MILLI, 3_500);
+  at.model.learnFromReport(load, CPU_MILLI, 1_000);
+  at.model.learnFromReport(load, CPU_MILLI, 3_500);
   assert.equal(at.model.shares(load, CPU_MILLI, 3_500).get(at.filler), 0);
 });
 
@@ -108,7 +108,7 @@
     at.filler.progress.reading = 0;
     at.serving.progress.reading = reading;
     at.now += 350;
-    at.model.learn(load, CPU_MILLI, at.now);
+    at.model.learnFromReport(load, CPU_MILLI, at.now);
     return at.model.speedOf(load, CPU_MILLI, spec);
   };
   assert.equal(speedAfter(FLOOR_MS / (1 - OWN_LOAD)), 1);
@@ -124,18 +124,18 @@
 test('a filler that would lose much of its work stays', () => {
   const at = site();
   assert.ok(at.filler.progress);
-  at.filler.progress.allowed = 20;
+  at.filler.progress.allowedPercent = 20;
   at.filler.progress.percent = 10;
-  assert.equal(isSlowed(at.filler, 3_000), true);
+  assert.equal(shouldRelocateFiller(at.filler, 3_000), true);
   at.filler.progress.percent = 60;
-  assert.equal(isSlowed(at.filler, 3_000), false);
+  assert.equal(shouldRelocateFiller(at.filler, 3_000), false);
 });
 
 test('a filler is slowed only after a while', () => {
   const at = site();
   assert.ok(at.filler.progress);
-  at.filler.progress.allowed = 20;
+  at.filler.progress.allowedPercent = 20;
   at.filler.progress.allowedSince = 1_000;
-  assert.equal(isSlowed(at.filler, 1_200), false);
-  assert.equal(isSlowed(at.filler, 3_000), true);
+  assert.equal(shouldRelocateFiller(at.filler, 1_200), false);
+  assert.equal(shouldRelocateFiller(at.filler, 3_000), true);
 });
--- a/packages/domain/src/jobs/interference.ts
+++ b/packages/domain/src/jobs/interference.ts
@@ -13,11 +13,11 @@
 import type { Run, Step } from './job.js';
 import type { WorkerRuns } from './jobs-state.js';
 import {
-  MAX_LEARNT,
-  roundLearnt,
-  type Learnt,
-  type LearntAt,
-} from './learnt.js';
+  MAX_LEARNED_ENTRIES,
+  roundEstimate,
+  type LearnedEstimates,
+  type ReceivedEstimates,
+} from './learned-estimates.js';
 import { OverTarget } from './over-target.js';
 import type { StepSpec } from './spec.js';
 import { Trends, type TrendModel } from './trend.js';
@@ -113,7 +113,7 @@
   private readonly over = new OverTarget();
 
   /** Creates a model that begins with what an earlier one has learnt. */
-  constructor(earlier?: LearntAt) {
+  constructor(earlier?: ReceivedEstimates) {
     if (earlier !== undefined) {
       const { learnt, readAt } = earlier;
       for (const [pair, mean, variance] of learnt.pressures) {
@@ -126,22 +126,27 @@
   }
 
   /** Returns what was learnt, for another model to begin with. */
-  learnt(): Pick<Learnt, 'pressures' | 'lowTails'> {
-    const pressures = [...this.pressures.entries()].slice(-MAX_LEARNT);
+  learnt(): Pick<LearnedEstimates, 'pressures' | 'lowTails'> {
+    const pressures = [...this.pressures.entries()].slice(-MAX_LEARNED_ENTRIES);
     return {
       pressures: pressures.map(([pair, { mean, variance }]) => [
         pair,
-        roundLearnt(mean),
-        roundLearnt(variance),
+        roundEstimate(mean),
+        roundEstimate(variance),
       ]),
       lowTails: [...this.low]
-        .slice(-MAX_LEARNT)
-        .map(([image, low]) => [image, roundLearnt(low)]),
+        .slice(-MAX_LEARNED_ENTRIES)
+        .map(([image, low]) => [image, roundEstimate(low)]),
     };
   }
 
   /** Notes that a filler has ended, whose effect is in the readings for a while. */
-  noteEnd(load: WorkerRuns, run: Run, cpuMilli: number, now: Instant): void {
+  recordFillerEnd(
+    load: WorkerRuns,
+    run: Run,
+    cpuMilli: number,
+    now: Instant,
+  ): void {
     const { spec } = run.task.step;
     if (spec.filler) {
       const used = (run.progress?.reading ?? 0) / cpuMilli;
@@ -154,7 +159,7 @@
    * Takes in a report of a worker with `cpuMilli`, whose runs' readings are up to date; returns the tasks
    * that were over their targets and are no more.
    */
-  learn(load: WorkerRuns, cpuMilli: number, now: Instant): OverRun[] {
+  learnFromReport(load: WorkerRuns, cpuMilli: number, now: Instant): OverRun[] {
     this.reportedAt = now;
     const parts = this.partsOf(load, cpuMilli, now);
     const ended: OverRun[] = [];
@@ -192,7 +197,7 @@
   }
 
   /** Tells whether fillers leave a serving task so little room that its next swing may use it up. */
-  isTight(load: WorkerRuns, cpuMilli: number): boolean {
+  hasLowHeadroom(load: WorkerRuns, cpuMilli: number): boolean {
     const fillers = fillersOf(load);
     return (
       fillers.length > 0 &&
@@ -348,14 +353,17 @@
 const CHEAP_LOSS_PERCENT = 15;
 
 /** Tells whether a filler has been slowed for so long that it should run elsewhere. */
-export function isSlowed({ task, progress }: Run, now: Instant): boolean {
+export function shouldRelocateFiller(
+  { task, progress }: Run,
+  now: Instant,
+): boolean {
   const { spec } = task.step;
   return (
     spec.filler &&
     progress !== undefined &&
     !progress.stopping &&
     (spec.checkpoints || progress.percent <= CHEAP_LOSS_PERCENT) &&
-    (progress.allowed ?? 100) <= SLOWED_SHARE &&
+    (progress.allowedPercent ?? 100) <= SLOWED_SHARE &&
     now - progress.allowedSince > SLOWED_MS
   );
 }
--- a/packages/domain/src/jobs/job.ts
+++ b/packages/domain/src/jobs/job.ts
@@ -40,7 +40,7 @@
   /** Tail latency in milliseconds of a serving task, processor use in thousandths of a core of another. */
   reading: number;
   /** Share of its speed that it is allowed, 0 to 100; undefined while that is not known. */
-  allowed: number | undefined;
+  allowedPercent: number | undefined;
   /** Monotonic time at which that share was ordered. */
   allowedSince: Instant;
 }
@@ -58,7 +58,7 @@
     seenAt: now,
     checkpoint: '',
     reading: 0,
-    allowed: 100,
+    allowedPercent: 100,
     allowedSince: now,
   };
 }
@@ -106,7 +106,7 @@
   /** Tasks that are not done. */
   remaining: number;
   /** Open runs by worker. */
-  readonly spread: Map<string, number>;
+  readonly openRunsByWorker: Map<string, number>;
   /** Numbers of a gang's runs in which a member failed. */
   readonly failedGangRuns: Set<number>;
 }
@@ -125,7 +125,7 @@
   readonly spec: JobSpec;
   readonly acceptedAtWall: Instant;
   /** Monotonic time at which this host learnt of it. */
-  readonly learntAt: Instant;
+  readonly receivedAt: Instant;
   /** Order of arrival in the inbox. */
   readonly arrival: number;
   /** Monotonic time at which the leader first saw it. */
@@ -141,7 +141,7 @@
   /** Monotonic time at which this leader last restated it. */
   restatedAt: Instant | undefined;
   /** Whether a worker is known to have begun a run; a recorded start may wait or never be carried out. */
-  begun: boolean;
+  hasStarted: boolean;
 }
 
 /** Creates a job without occurrences. */
@@ -154,7 +154,7 @@
   return {
     spec,
     acceptedAtWall,
-    learntAt,
+    receivedAt: learntAt,
     arrival,
     seenAt: undefined,
     occurrences: new Map(),
@@ -163,7 +163,7 @@
     failure: undefined,
     overAt: undefined,
     restatedAt: undefined,
-    begun: false,
+    hasStarted: false,
   };
 }
 
@@ -193,7 +193,7 @@
     spec,
     tasks: [],
     remaining: spec.tasks,
-    spread: new Map(),
+    openRunsByWorker: new Map(),
     failedGangRuns: new Set(),
   };
   for (let index = 0; index < spec.tasks; index += 1) {
@@ -220,7 +220,7 @@
 }
 
 /** Tells whether nothing of the job is to be started any more. */
-export function isOver(job: Job): boolean {
+export function isFinished(job: Job): boolean {
   return job.cancelled || job.failure !== undefined || job.remaining === 0;
 }
 
@@ -235,12 +235,12 @@
 }
 
 /** Tells whether a task is known whose being done is still waited for. */
-export function isWanted(task: Task | undefined): task is Task {
+export function isAwaitingCompletion(task: Task | undefined): task is Task {
   return (
     task !== undefined &&
     task.status !== 'done' &&
     !task.step.spec.lasting &&
-    !isOver(task.step.occurrence.job)
+    !isFinished(task.step.occurrence.job)
   );
 }
 
@@ -255,11 +255,11 @@
   if (job.failure !== undefined) {
     return 'failed';
   }
-  return job.begun ? 'running' : 'queued';
+  return job.hasStarted ? 'running' : 'queued';
 }
 
 /** Returns what callers are told. */
-export function toldStateOf(job: Job): JobState {
+export function reportedStateOf(job: Job): JobState {
   const status = statusOf(job);
   const { failure } = job;
   return status === 'failed' && failure !== undefined
--- a/packages/domain/src/jobs/jobs-state.ts
+++ b/packages/domain/src/jobs/jobs-state.ts
@@ -1,16 +1,16 @@
 /** The state of jobs: all jobs, and what runs on each worker. */
 import type { Instant, Millis } from '../core/time.js';
 import {
-  isOver,
+  isFinished,
   occurrenceOf,
   type Job,
   type Run,
   type Step,
   type Task,
 } from './job.js';
-import { workerOf } from './incarnation.js';
+import { workerIdOf } from './incarnation.js';
 import { JournalTime } from './journal-time.js';
-import type { LearntAt } from './learnt.js';
+import type { ReceivedEstimates } from './learned-estimates.js';
 import type { Volunteer } from './standbys.js';
 import { taskName, type TaskRef } from './task-ref.js';
 
@@ -44,9 +44,9 @@
   readonly incarnations: Map<string, string[]>;
   claim: Claim;
   /** Epoch of the claim before the newest one; 0 where there is none, or it is not known. */
-  epochBefore: number;
+  previousEpoch: number;
   /** Epoch of the last leader that reached a worker, by id: no later one has extended the lease there. */
-  readonly reachedIn: Map<string, number>;
+  readonly reachedInEpoch: Map<string, number>;
   /** Hosts that have offered to stand by, by name. */
   readonly volunteers: Map<string, Volunteer>;
   /** Hosts that the leader has chosen to stand by; undefined while all may. */
@@ -58,7 +58,7 @@
   /** Monotonic time at which records are taken in, set by whoever does so. */
   now: Instant;
   /** What the newest leader to say so has learnt. */
-  learnt: LearntAt | undefined;
+  learnt: ReceivedEstimates | undefined;
   /** Whether the leader has asked to be replaced. */
   released: boolean;
   /** Time in the journal. */
@@ -79,8 +79,8 @@
     workers: new Map(),
     incarnations: new Map(),
     claim: { epoch: 0, host: '', nonce: 0 },
-    epochBefore: 0,
-    reachedIn: new Map(),
+    previousEpoch: 0,
+    reachedInEpoch: new Map(),
     volunteers: new Map(),
     standbys: undefined,
     leaderAddress: undefined,
@@ -128,7 +128,7 @@
   }
   const created = emptyRuns();
   state.workers.set(worker, created);
-  state.incarnations.set(workerOf(worker), [
+  state.incarnations.set(workerIdOf(worker), [
     ...dropIdle(state, incarnationsBeside(state, worker)),
     worker,
   ]);
@@ -144,19 +144,22 @@
 }
 
 /** Returns the open runs of all incarnations of a worker but this one. */
-export function runsOfOthers(state: JobsState, incarnation: string): Run[] {
+export function runsOfOtherIncarnations(
+  state: JobsState,
+  incarnation: string,
+): Run[] {
   return incarnationsBeside(state, incarnation).flatMap(other => [
     ...(state.workers.get(other)?.runs.values() ?? []),
   ]);
 }
 
 function incarnationsBeside(state: JobsState, incarnation: string): string[] {
-  const known = state.incarnations.get(workerOf(incarnation)) ?? [];
+  const known = state.incarnations.get(workerIdOf(incarnation)) ?? [];
   return known.filter(other => other !== incarnation);
 }
 
 /** Returns the number of open runs of all incarnations of a worker. */
-export function openRunsAt(state: JobsState, worker: string): number {
+export function countOpenRunsAt(state: JobsState, worker: string): number {
   const known = state.incarnations.get(worker) ?? [];
   return known.reduce(
     (count, name) => count + (state.workers.get(name)?.runs.size ?? 0),
@@ -177,7 +180,7 @@
 }
 
 /** Returns the number of runs that have not ended. */
-export function openRunsOf({ workers }: JobsState): number {
+export function countOpenRuns({ workers }: JobsState): number {
   let count = 0;
   for (const { runs } of workers.values()) {
     count += runs.size;
@@ -218,7 +221,7 @@
 
 function addToWorker(state: JobsState, run: Run): void {
   const { task, number, worker } = run;
-  const { spread } = task.step;
+  const { openRunsByWorker: spread } = task.step;
   spread.set(worker, (spread.get(worker) ?? 0) + 1);
   const load = workerRuns(state, worker);
   load.runs.set(runKey(taskName(refOf(task)), number), run);
@@ -226,13 +229,13 @@
 }
 
 /** Forgets jobs that have been over since before `since` and have nothing running. */
-export function forgetOver(
+export function forgetFinishedJobs(
   state: JobsState,
   now: Instant,
   since: Instant,
 ): void {
   for (const job of state.jobs.values()) {
-    if (!isOver(job)) {
+    if (!isFinished(job)) {
       continue;
     }
     job.overAt ??= now;
@@ -241,7 +244,7 @@
     }
   }
   for (const task of state.suspects) {
-    if (isOver(task.step.occurrence.job)) {
+    if (isFinished(task.step.occurrence.job)) {
       state.suspects.delete(task);
     }
   }
@@ -250,7 +253,7 @@
 /** Tells whether a run of the job has not ended. */
 export function hasOpenRuns(job: Job): boolean {
   return [...job.occurrences.values()].some(({ steps }) =>
-    steps.some(({ spread }) => spread.size > 0),
+    steps.some(({ openRunsByWorker: spread }) => spread.size > 0),
   );
 }
 
@@ -277,11 +280,11 @@
 
 function removeFromWorker(state: JobsState, run: Run): void {
   const { step } = run.task;
-  const left = (step.spread.get(run.worker) ?? 1) - 1;
+  const left = (step.openRunsByWorker.get(run.worker) ?? 1) - 1;
   if (left === 0) {
-    step.spread.delete(run.worker);
+    step.openRunsByWorker.delete(run.worker);
   } else {
-    step.spread.set(run.worker, left);
+    step.openRunsByWorker.set(run.worker, left);
   }
   const load = workerRuns(state, run.worker);
   load.runs.delete(runKey(taskName(refOf(run.task)), run.number));
--- a/packages/domain/src/jobs/learnt.test.ts
+++ b/packages/domain/src/jobs/learned-estimates.test.ts
@@ -8,7 +8,7 @@
 
 import { Interference } from './interference.js';
 import { workerRuns, type JobsState } from './jobs-state.js';
-import { MAX_LEARNT } from './learnt.js';
+import { MAX_LEARNED_ENTRIES } from './learned-estimates.js';
 import { decodeJournal } from './record-rows.js';
 import { createRunTimes } from './run-times.js';
 import { apply, startOn, stateOf, taskOf, testJob } from './test-support.js';
@@ -37,7 +37,7 @@
       const tail = used ? 40 : 15;
       progress.reading = filler ? Number(used) * SIZE.cpuMilli : tail;
     }
-    model.learn(load, CPU_MILLI, report * 500);
+    model.learnFromReport(load, CPU_MILLI, report * 500);
   }
 }
 
@@ -60,17 +60,17 @@
   assert.equal(pressureOf(next), pressureOf(model));
   const nextTimes = createRunTimes(state.learnt?.learnt.runTimes);
   const { step } = taskOf(state, 'f', 0, 1);
-  assert.equal(nextTimes.expect(step), times.expect(step));
+  assert.equal(nextTimes.expectedMs(step), times.expectedMs(step));
 });
 
 test('what was learnt is recorded within a bound', () => {
   const pressures = Array.from(
-    { length: 3 * MAX_LEARNT },
+    { length: 3 * MAX_LEARNED_ENTRIES },
     (_, at) => [`s/${at}`, 1, 1] as const,
   );
   const learnt = { runTimes: [], pressures, lowTails: [] };
   const model = new Interference({ learnt, readAt: 0 });
-  assert.equal(model.learnt().pressures.length, MAX_LEARNT);
+  assert.equal(model.learnt().pressures.length, MAX_LEARNED_ENTRIES);
 });
 
 // Figures that are no numbers stood in the record as null, and each leader that read them failed when it recorded them.
--- a/packages/domain/src/jobs/learnt.ts
+++ b/packages/domain/src/jobs/learned-estimates.ts
@@ -14,7 +14,7 @@
 ];
 
 /** What a leader has learnt. */
-export interface Learnt {
+export interface LearnedEstimates {
   /** Average run time in milliseconds by queue and image. */
   readonly runTimes: readonly (readonly [key: string, average: number])[];
   /** Pressure by pair of images. */
@@ -24,25 +24,25 @@
 }
 
 /** What was learnt, and when this host read of it. */
-export interface LearntAt {
-  readonly learnt: Learnt;
+export interface ReceivedEstimates {
+  readonly learnt: LearnedEstimates;
   /** Monotonic. */
   readonly readAt: Instant;
 }
 
 /** Most entries of each kind that are recorded: some 60 KB, a quarter of what a record may hold. */
-export const MAX_LEARNT = 1_000;
+export const MAX_LEARNED_ENTRIES = 1_000;
 
 /** Digits kept after the point: far below what the estimates are worth. */
 const DIGITS = 3;
 
 /** Rounds a figure for its record. */
-export function roundLearnt(value: number): number {
+export function roundEstimate(value: number): number {
   return Number(value.toFixed(DIGITS));
 }
 
 /** Returns what of a record can be used: an earlier version may have recorded figures that are no numbers. */
-export function readLearnt(found: Partial<Learnt> | null | undefined): Learnt {
+export function readLearnt(found: Partial<LearnedEstimates> | null | undefined): LearnedEstimates {
   const { runTimes, pressures, lowTails } = found ?? {};
   return {
     runTimes: soundRows(runTimes),
--- a/packages/domain/src/jobs/suspicion.ts
+++ b/packages/domain/src/jobs/loss-attribution.ts
@@ -1,7 +1,7 @@
 /** Judges how far each run that is lost with a worker may be the reason for the loss. */
 import type { Instant, Millis, SpanBounds } from '../core/time.js';
-import { LOSS_MEMORY_MS, lostUnder } from './blame.js';
-import { workerOf } from './incarnation.js';
+import { LOSS_MEMORY_MS, workersLostUnder } from './suspect-tasks.js';
+import { workerIdOf } from './incarnation.js';
 import type { Job, Run } from './job.js';
 import type { JobsState } from './jobs-state.js';
 import type { Suspicion } from './loss.js';
@@ -22,11 +22,11 @@
  * What became of a worker: it has crashed; it is gone, and may have announced that; or it may be out of
  * reach, or has left as announced.
  */
-export type WorkerFate = 'crashed' | 'gone' | 'unknown';
+export type WorkerLossKind = 'crashed' | 'gone' | 'unknown';
 
 /** How a loss is known. */
 export interface LossEvidence {
-  readonly fate: WorkerFate;
+  readonly lossKind: WorkerLossKind;
   /** Number of workers that are registered. */
   readonly fleetSize: number;
   /** Monotonic time at which this leader took over. */
@@ -37,18 +37,18 @@
 }
 
 /** How far a run that is lost may be the reason, and at which age it was lost. */
-export interface JudgedLoss {
+export interface LossAttribution {
   readonly suspicion: Suspicion;
   readonly age: SpanBounds;
 }
 
 /** Returns how far each of the runs that are lost with one worker may be the reason. */
-export function suspicionsOf(
+export function attributeLoss(
   state: JobsState,
   runs: readonly Run[],
   evidence: LossEvidence,
-): Map<Run, JudgedLoss> {
-  const { fate, leadsSince } = evidence;
+): Map<Run, LossAttribution> {
+  const { lossKind: fate, leadsSince } = evidence;
   const settled = new Set(
     runs.filter(run => isSettled(state, run, leadsSince)),
   );
@@ -128,7 +128,7 @@
 ): Millis {
   const seen = Math.min(
     journalTime.ledUntil,
-    silentSince.get(workerOf(worker)) ?? Infinity,
+    silentSince.get(workerIdOf(worker)) ?? Infinity,
   );
   return Math.max(0, seen - opened.at - TOLD_LATE_MS);
 }
@@ -139,7 +139,7 @@
   { task, worker }: Run,
   { fleetSize, now }: LossEvidence,
 ): boolean {
-  const own = new Set([worker, ...lostUnder(task)]);
+  const own = new Set([worker, ...workersLostUnder(task)]);
   const losses = [...workerLosses].filter(
     ([lost, at]) => now - at < LOSS_MEMORY_MS && !own.has(lost),
   );
--- a/packages/domain/src/jobs/objective.ts
+++ b/packages/domain/src/jobs/objective.ts
@@ -75,7 +75,7 @@
   const ends: Millis[] = [];
   for (const step of steps) {
     const before = step.spec.after.map(at => ends[at] ?? 0);
-    const own = counts(step) ? times.expect(step) : 0;
+    const own = counts(step) ? times.expectedMs(step) : 0;
     ends.push(Math.max(0, ...before) + own);
   }
   return Math.max(0, ...ends);
--- a/packages/domain/src/jobs/order.ts
+++ b/packages/domain/src/jobs/order.ts
@@ -10,7 +10,7 @@
 } from './job.js';
 import { standingOf, type Outlook, type PlanTime } from './objective.js';
 import type { RunTimes } from './run-times.js';
-import { MeanWork, workOf, yieldOf } from './worth.js';
+import { MeanWork, expectedWorkOf, yieldOf } from './worth.js';
 
 const OUTLOOK_ORDER: Readonly<Record<Outlook, number>> = {
   in_time: 0,
@@ -44,7 +44,7 @@
  *
  * Of occurrences that last the oldest go first: time takes nothing from their worth.
  */
-export function candidates(
+export function orderedCandidates(
   jobs: Iterable<Job>,
   times: RunTimes,
   time: PlanTime,
@@ -52,7 +52,7 @@
   const open = [...openOccurrences(jobs, time)];
   const meanWork = new MeanWork();
   for (const occurrence of open) {
-    meanWork.add(queueOf(occurrence), workOf(occurrence, times));
+    meanWork.add(queueOf(occurrence), expectedWorkOf(occurrence, times));
   }
   return open
     .flatMap(occurrence => readySteps(occurrence, times, time, meanWork))
--- a/packages/domain/src/jobs/overloaded-site.fixture.test.ts
+++ b/packages/domain/src/jobs/overloaded-deployment.fixture.test.ts
@@ -2,7 +2,7 @@
 import type { Instant, Millis } from '../core/time.js';
 import { seededRandom, type Random } from '../index.js';
 import { applyInbox } from './fold.js';
-import { isOver, type Run } from './job.js';
+import { isFinished, type Run } from './job.js';
 import { emptyJobsState } from './jobs-state.js';
 import { objectiveOf } from './objective.js';
 import { planStarts } from './plan.js';
@@ -15,7 +15,7 @@
   testJob,
   testWorker,
 } from './test-support.js';
-import { workOf } from './worth.js';
+import { expectedWorkOf } from './worth.js';
 
 const MILLI = 1_000;
 const ROUND_MS: Millis = 100;
@@ -109,7 +109,7 @@
     const { state, times } = this.input;
     planStarts({ ...this.input, time }, decision => {
       const run = applyDecision(state, decision);
-      const tookMs = times.expect(decision.task.step) * this.spread(0.3);
+      const tookMs = times.expectedMs(decision.task.step) * this.spread(0.3);
       const fails = this.random() < FAILURES;
       this.open.add({ run, endsAt: now + tookMs, fails });
     });
@@ -132,7 +132,7 @@
       const kind =
         share <= 1 ? 'in_time' : share <= LATE_FACTOR ? 'late' : 'unserved';
       const taskCores = coresOf(job.spec);
-      return [{ work: workOf(occurrence, times), taskCores, kind } as const];
+      return [{ work: expectedWorkOf(occurrence, times), taskCores, kind } as const];
     });
   }
 
@@ -147,7 +147,7 @@
         const { run, fails } = each;
         const { job } = run.task.step.occurrence;
         endRun(this.input.state, run, fails ? 'failed' : 'done');
-        if (isOver(job)) {
+        if (isFinished(job)) {
           this.overAt.set(job.spec.id, now);
         }
       }
--- a/packages/domain/src/jobs/placement.ts
+++ b/packages/domain/src/jobs/placement.ts
@@ -1,11 +1,11 @@
 /** Chooses the worker for a task: which may have it, where it has room, and which suits it best. */
-import type { Advice } from './advice.js';
-import { blameOf } from './blame.js';
+import type { AdviceTickets } from './advice.js';
+import { suspicionPercent } from './suspect-tasks.js';
 import type { FillerSpeeds } from './filler-speeds.js';
 import type { Step, Task } from './job.js';
 import type { WorkerRuns } from './jobs-state.js';
 import type { Quarantine } from './quarantine.js';
-import type { RoomShares } from './room-shares.js';
+import type { RoomShares } from './size-class-shares.js';
 import type { StepSpec, TaskSize } from './spec.js';
 import type { Instant } from '../core/time.js';
 
@@ -33,7 +33,7 @@
 export interface PlaceInput {
   readonly workers: readonly PlanWorker[];
   readonly speeds: FillerSpeeds;
-  readonly advice: Advice;
+  readonly advice: AdviceTickets;
   readonly quarantine: Quarantine;
   readonly shares: RoomShares;
   readonly now: Instant;
@@ -135,7 +135,7 @@
 const SERVING_USE = 0.5;
 
 /** Tells whether a task of the step fits on a worker. */
-export function hasRoom(
+export function hasCapacity(
   info: WorkerInfo,
   load: WorkerRuns,
   spec: StepSpec,
@@ -228,7 +228,7 @@
 function baseRank(capacity: TaskSize, load: WorkerRuns, task: Task): number {
   const { step } = task;
   const { size, filler, tailTargetMs } = step.spec;
-  if (blameOf(task) > 0) {
+  if (suspicionPercent(task) > 0) {
     // The next loss takes few others along, and tells apart those that were lost together.
     return -load.runs.size;
   }
@@ -256,7 +256,7 @@
   if (
     !trusted ||
     refusalAt(input, worker, task) !== undefined ||
-    !hasRoom(info, load, spec)
+    !hasCapacity(info, load, spec)
   ) {
     return false;
   }
--- a/packages/domain/src/jobs/plan-choice.test.ts
+++ b/packages/domain/src/jobs/plan-choice.test.ts
@@ -3,10 +3,10 @@
 
 import { seededRandom } from '../core/random.js';
 import type { Random } from '../core/time.js';
-import { isOver } from './job.js';
+import { isFinished } from './job.js';
 import { workerRuns, type JobsState, type WorkerRuns } from './jobs-state.js';
-import { candidates } from './order.js';
-import { findPlace, planStarts, type PlanInput } from './plan.js';
+import { orderedCandidates } from './order.js';
+import { findWorker, planStarts, type PlanInput } from './plan.js';
 import type { StepSpec } from './spec.js';
 import {
   applyDecision,
@@ -86,17 +86,21 @@
     for (const { info } of workers) {
       const load = workerRuns(state, info.id);
       read(load, random);
-      input.interference.learn(load, info.capacity.cpuMilli, 500 * report);
+      input.interference.learnFromReport(
+        load,
+        info.capacity.cpuMilli,
+        500 * report,
+      );
     }
   }
   return input;
 }
 
 function waitingOf(state: JobsState, input: PlanInput): string[] {
-  return candidates(state.open, input.times, input.time)
-    .filter(({ step }) => !isOver(step.occurrence.job))
+  return orderedCandidates(state.open, input.times, input.time)
+    .filter(({ step }) => !isFinished(step.occurrence.job))
     .flatMap(({ step }) => step.tasks.filter(task => task.status === 'waiting'))
-    .filter(task => findPlace(input, task) !== undefined)
+    .filter(task => findWorker(input, task) !== undefined)
     .map(task => `${task.step.occurrence.job.spec.id}.${task.index}`);
 }
 
@@ -114,7 +118,7 @@
   for (let seed = 1; seed <= SEEDS; seed += 1) {
     const input = busyInput(seededRandom(seed));
     planStarts(input, decision => {
-      const alone = findPlace(input, decision.task);
+      const alone = findWorker(input, decision.task);
       assert.equal(decision.worker, alone?.info.id, `seed ${seed}`);
       applyDecision(input.state, decision);
     });
@@ -124,23 +128,23 @@
 test('a choice is that of the best of single workers, each rated on its own', () => {
   for (let seed = 1; seed <= SEEDS; seed += 1) {
     const input = busyInput(seededRandom(seed));
-    for (const { step } of candidates(
+    for (const { step } of orderedCandidates(
       input.state.open,
       input.times,
       input.time,
     )) {
       const [task] = step.tasks.filter(({ status }) => status === 'waiting');
       if (task !== undefined) {
-        const best = findPlace(input, task);
+        const best = findWorker(input, task);
         const suits = input.workers.filter(
           worker =>
-            findPlace({ ...input, workers: [worker] }, task) !== undefined,
+            findWorker({ ...input, workers: [worker] }, task) !== undefined,
         );
         assert.equal(best === undefined, suits.length === 0, `seed ${seed}`);
         const beaten = suits.every(
           worker =>
             worker === best ||
-            findPlace(
+            findWorker(
               { ...input, workers: pairOf(input, best, worker) },
               task,
             ) === best,
@@ -177,10 +181,10 @@
       assert.ok(progress !== undefined);
       progress.reading = tail;
     }
-    interference.learn(load, 4_000, 0);
+    interference.learnFromReport(load, 4_000, 0);
   }
   const task = taskOf(state, 'f', 0, 0);
-  assert.equal(findPlace(input, task)?.info.id, 'far');
+  assert.equal(findWorker(input, task)?.info.id, 'far');
 });
 
 test('a filler of one image that finds no place keeps none of another from its own', () => {
@@ -204,7 +208,7 @@
       const tail = report < REPORTS ? 12 : PRESSED_TAIL;
       progress.reading = task.step.spec.filler ? 1_000 : tail;
     }
-    interference.learn(load, 4_000, 500 * report);
+    interference.learnFromReport(load, 4_000, 500 * report);
   }
   const started: string[] = [];
   planStarts(input, decision => {
--- a/packages/domain/src/jobs/plan.test.ts
+++ b/packages/domain/src/jobs/plan.test.ts
@@ -228,11 +228,11 @@
   const input = planInput(state, [testWorker('a'), testWorker('b')]);
   assert.deepEqual(round(input), []);
   const { step } = taskOf(state, 'j', 0, 0);
-  const question = input.advice.questionFor(step, ['a', 'b'], 0);
+  const question = input.advice.requestFor(step, ['a', 'b'], 0);
   assert.deepEqual(question?.workers, ['a', 'b']);
-  input.advice.take(question, new Map([['b', 't-1']]), 3_000);
-  assert.equal(input.advice.questionFor(step, ['a', 'b'], 0), undefined);
-  const expired = input.advice.questionFor(step, ['a', 'b'], 4_000);
+  input.advice.recordAnswer(question, new Map([['b', 't-1']]), 3_000);
+  assert.equal(input.advice.requestFor(step, ['a', 'b'], 0), undefined);
+  const expired = input.advice.requestFor(step, ['a', 'b'], 4_000);
   assert.deepEqual(expired?.workers, ['b']);
   assert.deepEqual(round(input), ['j.0.0@b']);
 });
--- a/packages/domain/src/jobs/plan.ts
+++ b/packages/domain/src/jobs/plan.ts
@@ -1,24 +1,24 @@
 /** Decides which waiting tasks start where. */
 import type { Instant, Millis } from '../core/time.js';
-import type { Advice } from './advice.js';
-import { isSuspect } from './blame.js';
-import { Booking } from './booking.js';
+import type { AdviceTickets } from './advice.js';
+import { isSuspect } from './suspect-tasks.js';
+import { Booking } from './reservations.js';
 import { placeGang } from './gang.js';
 import type { Interference } from './interference.js';
 import { isWaiting, type Run, type Step, type Task } from './job.js';
 import { emptyRuns, workerRuns, type JobsState } from './jobs-state.js';
 import type { PlanTime } from './objective.js';
-import { candidates } from './order.js';
+import { orderedCandidates } from './order.js';
 import {
   chooseWorker,
   couldHave,
-  hasRoom,
+  hasCapacity,
   refusalAt,
   type PlaceInput,
   type PlanWorker,
 } from './placement.js';
 import { Quarantine } from './quarantine.js';
-import { RoomShares } from './room-shares.js';
+import { RoomShares } from './size-class-shares.js';
 import type { RunTimes } from './run-times.js';
 
 /** A decision to start a task. */
@@ -34,16 +34,16 @@
   readonly workers: readonly PlanWorker[];
   readonly times: RunTimes;
   readonly interference: Interference;
-  readonly advice: Advice;
+  readonly advice: AdviceTickets;
   readonly time: PlanTime;
   /** Monotonic time at which this leader took over: how long tasks had waited by then it may not know. */
   readonly leadsSince: Instant;
   /** Most starts that are decided in this round, but for those of tasks that move and of suspected ones. */
-  readonly mostStarts: number;
+  readonly maxStarts: number;
   /** Whether starts wait for their turn on the link of this leader, not for room alone. */
   readonly isLinkBusy: boolean;
   /** Tasks that move off workers which leave: they are placed first, and room is kept for them until then. */
-  readonly moving: Iterable<Task>;
+  readonly movingTasks: Iterable<Task>;
 }
 
 /** Applies a decision before the next one is made. */
@@ -76,16 +76,18 @@
     quarantine.noteStart(decision.task, decision.worker);
   };
   const full = new Set<string>();
-  let started = startFirst(place, input.moving, start);
+  let started = startFirst(place, input.movingTasks, start);
   started += startSuspects(place, start);
-  const left = (): number => Math.max(0, input.mostStarts - started);
+  const left = (): number => Math.max(0, input.maxStarts - started);
   started += startFirst(place, overdueLasting(input), start, left());
   keepForSuspects(place);
   keepRoom('urgent');
   const keepOnce = once(() => {
     keepRoom('patient');
   });
-  const steps = candidates(state.open, times, time).map(({ step }) => step);
+  const steps = orderedCandidates(state.open, times, time).map(
+    ({ step }) => step,
+  );
   keepShares(place, state, steps);
   for (const step of steps) {
     if (step.spec.lasting) {
@@ -116,7 +118,7 @@
   let started = 0;
   for (const task of quarantine.waiting) {
     const { spec } = task.step;
-    const key = `${shapeOf(task.step)}/${quarantine.isPatienceOver(task)}`;
+    const key = `${shapeOf(task.step)}/${quarantine.hasIsolationWaitExpired(task)}`;
     if (spec.gang || full.has(key)) {
       continue;
     }
@@ -133,12 +135,12 @@
 function keepForSuspects(place: PlaceInput): void {
   const { quarantine, workers } = place;
   if (quarantine.waiting.length > 0) {
-    quarantine.keep(workers.length, task =>
+    quarantine.reserveWorkers(workers.length, task =>
       workers
         .filter(
           worker =>
             refusalAt(place, worker, task) === undefined &&
-            hasRoom(worker.info, emptyRuns(), task.step.spec),
+            hasCapacity(worker.info, emptyRuns(), task.step.spec),
         )
         .map(({ info }) => info.id),
     );
@@ -232,7 +234,7 @@
 }
 
 /** Returns the worker on which a task would start now. */
-export function findPlace(
+export function findWorker(
   input: PlanInput,
   task: Task,
 ): PlanWorker | undefined {
@@ -278,9 +280,9 @@
     shares: new RoomShares(),
     now: time.now,
     loadOf: worker => workerRuns(state, worker),
-    spreadOf: ({ step }, worker) => step.spread.get(worker) ?? 0,
+    spreadOf: ({ step }, worker) => step.openRunsByWorker.get(worker) ?? 0,
   });
-  for (const task of input.moving) {
+  for (const task of input.movingTasks) {
     if (!isWaiting(task)) {
       booking.place(task);
     }
--- a/packages/domain/src/jobs/quarantine.test.ts
+++ b/packages/domain/src/jobs/quarantine.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 
 import { UNKNOWN_SPAN } from '../core/time.js';
-import { planCopies } from './copies.js';
+import { planSpeculativeCopies } from './speculative-copies.js';
 import { refOf, type JobsState } from './jobs-state.js';
 import type { Run, Task } from './job.js';
 import { planStarts, type PlanInput } from './plan.js';
@@ -175,9 +175,9 @@
     time: { now: 60_000, nowWall: 0 },
   };
   const copies: string[] = [];
-  planCopies(input, ({ worker }) => copies.push(worker));
+  planSpeculativeCopies(input, ({ worker }) => copies.push(worker));
   assert.equal(copies.length, 0);
   task.blame.losses = [];
-  planCopies(input, ({ worker }) => copies.push(worker));
+  planSpeculativeCopies(input, ({ worker }) => copies.push(worker));
   assert.equal(copies.length, 1);
 });
--- a/packages/domain/src/jobs/quarantine.ts
+++ b/packages/domain/src/jobs/quarantine.ts
@@ -4,10 +4,10 @@
  * and tells which task it was. Where no worker is free of others, one is kept for it until it is.
  */
 import type { Instant, Millis } from '../core/time.js';
-import { blameOf, isSuspect } from './blame.js';
-import { isOver, type Step, type Task } from './job.js';
+import { suspicionPercent, isSuspect } from './suspect-tasks.js';
+import { isFinished, type Step, type Task } from './job.js';
 import type { JobsState } from './jobs-state.js';
-import { isSettled } from './suspicion.js';
+import { isSettled } from './loss-attribution.js';
 
 /** What a quarantine goes by. */
 export interface QuarantineInput {
@@ -44,7 +44,10 @@
     const { suspects } = input.state;
     const waiting: Task[] = [];
     for (const task of suspects) {
-      if (blameOf(task) === 0 || isOver(task.step.occurrence.job)) {
+      if (
+        suspicionPercent(task) === 0 ||
+        isFinished(task.step.occurrence.job)
+      ) {
         suspects.delete(task);
       } else if (isSuspect(task)) {
         waiting.push(...(task.status === 'waiting' ? [task] : []));
@@ -64,7 +67,7 @@
       return occupant.spec.gang && occupant === task.step;
     }
     return isSuspect(task)
-      ? this.isPatienceOver(task) || this.unsettledAt(worker) === 0
+      ? this.hasIsolationWaitExpired(task) || this.unsettledAt(worker) === 0
       : !this.kept.has(worker);
   }
 
@@ -80,7 +83,10 @@
    * Keeps a worker free for each suspected task that waits, of the `suited` ones that on which the fewest
    * runs have not settled; no more than a share of `fleetSize`.
    */
-  keep(fleetSize: number, suited: (task: Task) => Iterable<string>): void {
+  reserveWorkers(
+    fleetSize: number,
+    suited: (task: Task) => Iterable<string>,
+  ): void {
     const share = Math.max(1, Math.floor(fleetSize * KEPT_SHARE));
     const most = Math.min(MOST_KEPT, share);
     const left = this.waiting.filter(({ status }) => status === 'waiting');
@@ -107,7 +113,7 @@
   }
 
   /** Whether a task no longer waits for a worker of its own. */
-  isPatienceOver({ blame }: Task): boolean {
+  hasIsolationWaitExpired({ blame }: Task): boolean {
     return this.input.now - blame.since >= PATIENCE_MS;
   }
 
