--- a/packages/domain/src/jobs/record-rows.ts
+++ b/packages/domain/src/jobs/record-rows.ts
@@ -1,10 +1,15 @@
 /** Rows in which the records of the streams stand in the log, and what other versions of them mean. */
 import type { Instant, Millis } from '../core/time.js';
-import { incarnationOf, isStart, startOf, workerOf } from './incarnation.js';
-import { readLearnt, type Learnt } from './learnt.js';
+import {
+  incarnationOf,
+  isStartTime,
+  startTimeOf,
+  workerIdOf,
+} from './incarnation.js';
+import { readLearnt, type LearnedEstimates } from './learned-estimates.js';
 import { SUSPICIONS, type Suspicion } from './loss.js';
 import type {
-  HandedLeases,
+  LeaseHandover,
   InboxRecord,
   JournalRecord,
   RunEnd,
@@ -84,13 +89,13 @@
       unknown,
       (readonly string[] | null)?,
       string?,
-      (HandedLeases | null)?,
+      (LeaseHandover | null)?,
       Millis?,
       Partial<SpanRow>?,
     ]
   | ['restate', JobImage]
   | ['release', unknown]
-  | ['learnt', Learnt]
+  | ['learnt', LearnedEstimates]
   | ['reached', string]
   | ['b', string]
   | ['s' | 'm', unknown, number, unknown, unknown?]
@@ -151,7 +156,7 @@
       // Where an earlier version led, it is not told which incarnation was meant.
       const worker = incarnationOf(
         id,
-        isStart(startedAt) ? startedAt : undefined,
+        isStartTime(startedAt) ? startedAt : undefined,
       );
       return { kind: tag === 's' ? 'start' : 'moved', task, run, worker };
     }
@@ -178,8 +183,8 @@
 
 /** Returns what a leader handed on; undefined for one that said nothing that can be read. */
 function handedOf(
-  handed: Partial<HandedLeases> | null | undefined,
-): HandedLeases | undefined {
+  handed: Partial<LeaseHandover> | null | undefined,
+): LeaseHandover | undefined {
   const { epochs, workers } = handed ?? {};
   return isRows(epochs) && isRows(workers) ? { epochs, workers } : undefined;
 }
@@ -264,7 +269,7 @@
   run,
   worker,
 }: Extract<JournalRecord, { kind: 'start' | 'moved' }>): unknown[] {
-  const row = [taskName(task), run, workerOf(worker)];
-  const startedAt = startOf(worker);
+  const row = [taskName(task), run, workerIdOf(worker)];
+  const startedAt = startTimeOf(worker);
   return startedAt === undefined ? row : [...row, startedAt];
 }
--- a/packages/domain/src/jobs/records.ts
+++ b/packages/domain/src/jobs/records.ts
@@ -5,7 +5,7 @@
  * leader's decisions; the log refuses it to any other host.
  */
 import type { Instant, Millis, SpanBounds } from '../core/time.js';
-import type { Learnt } from './learnt.js';
+import type { LearnedEstimates } from './learned-estimates.js';
 import type { Suspicion } from './loss.js';
 import type { JobImage } from './restate.js';
 import type { JobSpec } from './spec.js';
@@ -37,7 +37,7 @@
  * What a leader tells of the ends of leases, as time that is left when the record is written,
  * never less than there is. Leaders that are not named, but for later ones, have none that holds.
  */
-export interface HandedLeases {
+export interface LeaseHandover {
   /** Leaders by epoch; the writer's own are those that it may give until its next record. */
   readonly epochs: readonly (readonly [epoch: number, leftMs: number])[];
   /** Ids of workers with open runs that do not answer the writer, which no longer extends their leases. */
@@ -60,7 +60,7 @@
       readonly host: string;
       readonly nonce: number;
       /** Undefined where the leader may not know of all earlier ones. */
-      readonly handed: HandedLeases | undefined;
+      readonly handed: LeaseHandover | undefined;
       /** Hosts that are to read the journal and to stand by; undefined while all may. */
       readonly standbys: readonly string[] | undefined;
       /** Where the leader takes records for the inbox. */
@@ -78,7 +78,7 @@
       readonly heldMs: number | undefined;
     }
   /** What the leader has learnt so far; the newest one counts. */
-  | { readonly kind: 'learnt'; readonly learnt: Learnt }
+  | { readonly kind: 'learnt'; readonly learnt: LearnedEstimates }
   /** The leader has reached the worker with this id and may extend its lease from now on. */
   | { readonly kind: 'reached'; readonly worker: string }
   /** A worker is known to have begun a run of the job, the first one that is. */
--- a/packages/domain/src/jobs/restate.ts
+++ b/packages/domain/src/jobs/restate.ts
@@ -6,7 +6,7 @@
  */
 import type { Instant, Millis } from '../core/time.js';
 import {
-  isOver,
+  isFinished,
   newJob,
   occurrenceOf,
   type FailureReason,
@@ -15,8 +15,13 @@
   type Step,
   type Task,
 } from './job.js';
-import { addLosses } from './blame.js';
-import { incarnationOf, isStart, startOf, workerOf } from './incarnation.js';
+import { addLosses } from './suspect-tasks.js';
+import {
+  incarnationOf,
+  isStartTime,
+  startTimeOf,
+  workerIdOf,
+} from './incarnation.js';
 import type { JournalTime } from './journal-time.js';
 import { lossFrom, lossRow, type LossRow } from './span-rows.js';
 import { hasOpenRuns, openRun, type JobsState } from './jobs-state.js';
@@ -67,9 +72,15 @@
 
 /** Returns the image of a job. */
 export function imageOf(job: Job, { journalTime }: JobsState): JobImage {
-  const { acceptedAtWall, remaining, cancelled, failure, begun } = job;
+  const {
+    acceptedAtWall,
+    remaining,
+    cancelled,
+    failure,
+    hasStarted: begun,
+  } = job;
   const failed = failure !== undefined;
-  if (isOver(job) && !hasOpenRuns(job)) {
+  if (isFinished(job) && !hasOpenRuns(job)) {
     const brief = briefOf(job);
     return { ...brief, remaining, cancelled, failed, failure, begun };
   }
@@ -122,8 +133,8 @@
   journalTime: JournalTime,
 ): RunRow {
   const ageMs = Math.max(0, journalTime.now - opened.at);
-  const startedAt = startOf(worker);
-  const row = [number, workerOf(worker), ageMs] as const;
+  const startedAt = startTimeOf(worker);
+  const row = [number, workerIdOf(worker), ageMs] as const;
   return startedAt === undefined ? row : [...row, startedAt];
 }
 
@@ -147,7 +158,7 @@
   );
   job.cancelled = image.cancelled;
   job.failure = image.failed ? (image.failure ?? 'attempts_spent') : undefined;
-  job.begun = image.begun;
+  job.hasStarted = image.begun;
   job.remaining = image.remaining;
   state.jobs.set(id, job);
   state.changed?.add(job);
@@ -163,7 +174,7 @@
       ({ remaining }) => remaining > 0,
     ).length;
   }
-  if (!isOver(job)) {
+  if (!isFinished(job)) {
     state.open.add(job);
   }
 }
@@ -180,7 +191,7 @@
     runs.forEach(([number, id, ageMs = 0, startedAt]) => {
       const worker = incarnationOf(
         id,
-        isStart(startedAt) ? startedAt : undefined,
+        isStartTime(startedAt) ? startedAt : undefined,
       );
       const run = openRun(state, task, number, worker);
       const at = state.journalTime.now - ageMs;
--- a/packages/domain/src/jobs/round-cost.test.ts
+++ b/packages/domain/src/jobs/round-cost.test.ts
@@ -12,7 +12,7 @@
 import type { Run, Task } from './job.js';
 import { refOf } from './jobs-state.js';
 import type { PlanWorker } from './placement.js';
-import { findPlace, planStarts, type PlanInput } from './plan.js';
+import { findWorker, planStarts, type PlanInput } from './plan.js';
 import {
   apply,
   planInput,
@@ -70,7 +70,7 @@
   const round = { ...input, moving };
   planStarts(round, () => undefined);
   planEvacuation(round, leaving);
-  slowed.forEach(({ task }) => findPlace(round, task));
+  slowed.forEach(({ task }) => findWorker(round, task));
   assert.ok(passes() <= 2 * MOVING + SLOWED + 10, `${passes()} passes`);
 });
 
--- a/packages/domain/src/jobs/run-times.ts
+++ b/packages/domain/src/jobs/run-times.ts
@@ -1,7 +1,10 @@
 /** Run times learnt by queue and image; callers' own guesses are rough. */
 import type { Millis } from '../core/time.js';
 import type { Step } from './job.js';
-import { MAX_LEARNT, type Learnt } from './learnt.js';
+import {
+  MAX_LEARNED_ENTRIES,
+  type LearnedEstimates,
+} from './learned-estimates.js';
 
 /** Weight of a new run time in the average; about ten runs replace what was learnt. */
 const NEW_WEIGHT = 0.1;
@@ -12,19 +15,21 @@
 /** Learns how long tasks run. */
 export interface RunTimes {
   /** Expected run time of a task of the step on a sound worker. */
-  expect(step: Step): Millis;
+  expectedMs(step: Step): Millis;
   /** Takes in a run that was done after `took` without having resumed from a checkpoint. */
   learn(step: Step, took: Millis): void;
   /** Returns what was learnt, for another one to begin with. */
-  learnt(): Learnt['runTimes'];
+  learnt(): LearnedEstimates['runTimes'];
 }
 
 /** Creates a learner that knows what an earlier one has learnt. */
-export function createRunTimes(learnt: Learnt['runTimes'] = []): RunTimes {
+export function createRunTimes(
+  learnt: LearnedEstimates['runTimes'] = [],
+): RunTimes {
   const averages = new Map<string, Millis>(learnt);
 
   return {
-    expect: step => {
+    expectedMs: step => {
       const average = averages.get(keyOf(step));
       const guess = step.spec.estimateMs;
       return average === undefined
@@ -43,7 +48,7 @@
     },
     learnt: () =>
       [...averages]
-        .slice(-MAX_LEARNT)
+        .slice(-MAX_LEARNED_ENTRIES)
         .map(([key, average]) => [key, Math.round(average)]),
   };
 }
--- a/packages/domain/src/jobs/copies.test.ts
+++ b/packages/domain/src/jobs/speculative-copies.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { isBehind, planCopies } from './copies.js';
+import { isBehind, planSpeculativeCopies } from './speculative-copies.js';
 import type { Run } from './job.js';
 import type { JobsState } from './jobs-state.js';
 import {
@@ -39,7 +39,7 @@
     workers.map(id => testWorker(id)),
   );
   const found: string[] = [];
-  planCopies({ ...input, time: { now, nowWall: now } }, decision => {
+  planSpeculativeCopies({ ...input, time: { now, nowWall: now } }, decision => {
     applyDecision(state, decision);
     found.push(decision.worker);
   });
--- a/packages/domain/src/jobs/copies.ts
+++ b/packages/domain/src/jobs/speculative-copies.ts
@@ -3,7 +3,7 @@
  * the first one to be done counts, and the other is stopped.
  */
 import type { Instant, Millis } from '../core/time.js';
-import { blameOf } from './blame.js';
+import { suspicionPercent } from './suspect-tasks.js';
 import type { Run, Step } from './job.js';
 import { placeInputOf, type ApplyStart, type PlanInput } from './plan.js';
 import { chooseWorker, type PlaceInput } from './placement.js';
@@ -20,14 +20,14 @@
 const MAX_COPIES = 8;
 
 /** Starts copies of runs that are far behind, in room that nothing waits for. */
-export function planCopies(input: PlanInput, start: ApplyStart): void {
+export function planSpeculativeCopies(input: PlanInput, start: ApplyStart): void {
   const place = placeInputOf(input);
   let left = MAX_COPIES;
   for (const run of singleRuns(input)) {
     if (left === 0) {
       return;
     }
-    const expected = input.times.expect(run.task.step);
+    const expected = input.times.expectedMs(run.task.step);
     if (
       isBehind(run, expected, input.time.now) &&
       startCopy(place, run, start)
@@ -43,7 +43,7 @@
     for (const { steps } of job.occurrences.values()) {
       for (const step of steps.filter(mayHaveCopies)) {
         // A copy of what may bring its worker down would cost another one.
-        const sound = step.tasks.filter(task => blameOf(task) === 0);
+        const sound = step.tasks.filter(task => suspicionPercent(task) === 0);
         for (const { status, runs } of sound) {
           const [only] = runs;
           if (status === 'running' && only !== undefined && runs.length === 1) {
--- a/packages/domain/src/jobs/standbys.ts
+++ b/packages/domain/src/jobs/standbys.ts
@@ -10,14 +10,14 @@
   /** Where other hosts reach it; undefined for one of an earlier version. */
   readonly address: string | undefined;
   /** Monotonic time at which its newest offer was read. */
-  readonly heardAt: Instant;
+  readonly lastOfferAt: Instant;
 }
 
 /**
  * Hosts that stand by beside the leader. With a third of all hosts out of reach, of nine none is left once
  * in 20,000 times; and a fleet of up to nine hosts works as if all stood by.
  */
-export const STANDBYS = 8;
+export const MAX_STANDBYS = 8;
 /** A host that has not offered itself for this long is gone: three offers may be lost. */
 export const VOLUNTEER_LIFE_MS: Millis = 12_000;
 
@@ -35,7 +35,7 @@
   now: Instant,
 ): Map<string, string> {
   const found = new Map<string, string>();
-  for (const [host, { address, heardAt }] of volunteers) {
+  for (const [host, { address, lastOfferAt: heardAt }] of volunteers) {
     const follows = standbys?.includes(host) ?? true;
     const isThere = now - heardAt < VOLUNTEER_LIFE_MS;
     if (address !== undefined && host !== leader && follows && isThere) {
@@ -46,8 +46,11 @@
 }
 
 /** Whether there are, or have been, more hosts than the leader and those that stand by. */
-export function isCrowded({ volunteers, standbys }: Candidates): boolean {
-  return standbys !== undefined || volunteers.size > STANDBYS;
+export function hasMoreHostsThanStandbys({
+  volunteers,
+  standbys,
+}: Candidates): boolean {
+  return standbys !== undefined || volunteers.size > MAX_STANDBYS;
 }
 
 /**
@@ -59,18 +62,18 @@
   leader: string,
   now: Instant,
 ): string[] | undefined {
-  if (!isCrowded(candidates)) {
+  if (!hasMoreHostsThanStandbys(candidates)) {
     return undefined;
   }
   const { volunteers, standbys = [] } = candidates;
   const wasChosen = (host: string): number => Number(standbys.includes(host));
   return [...volunteers]
     .filter(([host]) => host !== leader)
-    .filter(([, { heardAt }]) => now - heardAt < VOLUNTEER_LIFE_MS)
+    .filter(([, { lastOfferAt: heardAt }]) => now - heardAt < VOLUNTEER_LIFE_MS)
     .sort(
       ([a, one], [b, other]) =>
         other.cores - one.cores || wasChosen(b) - wasChosen(a),
     )
-    .slice(0, STANDBYS)
+    .slice(0, MAX_STANDBYS)
     .map(([host]) => host);
 }
--- a/packages/domain/src/jobs/starved-jobs.test.ts
+++ b/packages/domain/src/jobs/starved-jobs.test.ts
@@ -11,7 +11,7 @@
   playLoad,
   servedOf,
   type Load,
-} from './overloaded-site.fixture.test.js';
+} from './overloaded-deployment.fixture.test.js';
 
 /** Least that a group of sizes is served, beside all jobs of its queue. */
 const LEAST_SHARE = 0.5;
--- a/packages/domain/src/jobs/summary.test.ts
+++ b/packages/domain/src/jobs/summary.test.ts
@@ -2,7 +2,12 @@
 import { test } from 'node:test';
 
 import type { FailureReason, JobState } from './job.js';
-import { decodeSummary, encodeSummary, rowOf, Summary } from './summary.js';
+import {
+  decodeSummary,
+  encodeSummary,
+  summaryRowOf,
+  Summary,
+} from './summary.js';
 import { stateOf, testJob } from './test-support.js';
 
 /** Returns what a reader is told of a job that has failed for a reason, or has not. */
@@ -10,7 +15,7 @@
   const job = stateOf(testJob('a', [{ tasks: 1 }])).jobs.get('a');
   assert.ok(job);
   job.failure = failure;
-  const rows = [rowOf(job)];
+  const rows = [summaryRowOf(job)];
   const bytes = encodeSummary({ kind: 'rows', inboxUpTo: 1, rows });
   const record = decodeSummary(bytes);
   assert.ok(record?.kind === 'rows');
--- a/packages/domain/src/jobs/summary.ts
+++ b/packages/domain/src/jobs/summary.ts
@@ -6,7 +6,7 @@
  */
 import type { Instant } from '../core/time.js';
 import {
-  toldStateOf,
+  reportedStateOf,
   type FailureReason,
   type Job,
   type JobState,
@@ -84,8 +84,8 @@
 const encoder = new TextEncoder();
 
 /** Returns the row of a job as its state is now. */
-export function rowOf(job: Job): SummaryRow {
-  const { status, failure } = toldStateOf(job);
+export function summaryRowOf(job: Job): SummaryRow {
+  const { status, failure } = reportedStateOf(job);
   const { id, terms } = job.spec;
   if (status === 'failed' && failure !== undefined) {
     return [id, status, undefined, failure];
@@ -207,7 +207,7 @@
   }
 
   /** Forgets jobs that were over before `since`. */
-  forgetOver(since: Instant): void {
+  forgetFinishedJobs(since: Instant): void {
     for (const [job, { overAt }] of this.jobs) {
       if (overAt < since) {
         this.jobs.delete(job);
--- a/packages/domain/src/jobs/blame.test.ts
+++ b/packages/domain/src/jobs/suspect-tasks.test.ts
@@ -1,21 +1,21 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { blameOf, isGivenUp, lostUnder } from './blame.js';
+import { suspicionPercent, isAbandoned, workersLostUnder } from './suspect-tasks.js';
 import type { Run, Task } from './job.js';
 import { statusOf } from './job.js';
 import { applyInbox } from './fold.js';
-import { forgetOver, refOf, type JobsState } from './jobs-state.js';
+import { forgetFinishedJobs, refOf, type JobsState } from './jobs-state.js';
 import { UNKNOWN_SPAN } from '../core/time.js';
 import type { Suspicion } from './loss.js';
 import { decodeJournal, encodeRecord } from './record-rows.js';
 import { imageOf } from './restate.js';
 import {
   SETTLED_MS,
-  suspicionsOf,
-  type JudgedLoss,
+  attributeLoss,
+  type LossAttribution,
   type LossEvidence,
-} from './suspicion.js';
+} from './loss-attribution.js';
 import {
   apply,
   stateOf,
@@ -26,7 +26,7 @@
 } from './test-support.js';
 
 const CALM: LossEvidence = {
-  fate: 'crashed',
+  lossKind: 'crashed',
   fleetSize: 40,
   lostBy: 0,
   now: 0,
@@ -71,7 +71,7 @@
   lose(state, startOn(state, task, `w${task.lastRun + 1}`), suspicion, age);
 }
 
-function told(judged: ReadonlyMap<Run, JudgedLoss>): Suspicion[] {
+function told(judged: ReadonlyMap<Run, LossAttribution>): Suspicion[] {
   return [...judged.values()].map(({ suspicion }) => suspicion);
 }
 
@@ -79,7 +79,7 @@
   const state = siteOf('a');
   const task = taskOf(state, 'a', 0, 0);
   let losses = 0;
-  while (!isGivenUp(task)) {
+  while (!isAbandoned(task)) {
     loseNext(state, task, suspicions[losses] ?? suspicions.at(-1) ?? 'sole');
     losses += 1;
   }
@@ -92,25 +92,25 @@
   assert.ok(recent && settled);
   workFor(recent, SETTLED_MS - 1);
   workFor(settled, SETTLED_MS);
-  const found = suspicionsOf(state, [recent, settled], CALM);
+  const found = attributeLoss(state, [recent, settled], CALM);
   assert.deepEqual(told(found), ['sole', 'cleared']);
 });
 
 test('tasks of several jobs share the suspicion, those of one job have it alone', () => {
   const state = siteOf('a', 'b');
   const runs = together(state, 'a', 'b');
-  const shared = suspicionsOf(state, runs, CALM);
+  const shared = attributeLoss(state, runs, CALM);
   assert.deepEqual(told(shared), ['shared', 'shared']);
   const second = startOn(state, taskOf(state, 'a', 0, 1), 'w');
   const own = runs.slice(0, 1).concat(second);
-  const sole = suspicionsOf(state, own, CALM);
+  const sole = attributeLoss(state, own, CALM);
   assert.deepEqual(told(sole), ['sole', 'sole']);
 });
 
 test('a worker that may only be out of reach raises doubts', () => {
   const state = siteOf('a');
   const runs = together(state, 'a');
-  const found = suspicionsOf(state, runs, { ...CALM, fate: 'unknown' });
+  const found = attributeLoss(state, runs, { ...CALM, lossKind: 'unknown' });
   assert.deepEqual(told(found), ['doubtful']);
 });
 
@@ -121,7 +121,7 @@
   const other = taskOf(state, 'b', 0, 0);
   const small = { ...CALM, fleetSize: 6 };
   const judge = (evidence: LossEvidence): Suspicion | undefined =>
-    suspicionsOf(state, [run], evidence).get(run)?.suspicion;
+    attributeLoss(state, [run], evidence).get(run)?.suspicion;
   assert.equal(judge(small), 'sole');
   // One in a minute, of six: a sound worker is lost within 5 s with a chance above a hundredth.
   loseNext(state, other, 'unexplained');
@@ -154,7 +154,7 @@
   assert.equal(statusOf(job), 'queued');
   loseNext(state, task, 'sole');
   assert.equal(statusOf(job), 'failed');
-  assert.deepEqual(lostUnder(task), ['w1', 'w2', 'w3']);
+  assert.deepEqual(workersLostUnder(task), ['w1', 'w2', 'w3']);
   assert.equal(state.open.has(job), false);
 });
 
@@ -165,8 +165,8 @@
   loseNext(state, task, 'sole');
   loseNext(state, task, 'cleared');
   loseNext(state, task, 'sole');
-  assert.equal(isGivenUp(task), false);
-  assert.deepEqual(lostUnder(task), ['w4']);
+  assert.equal(isAbandoned(task), false);
+  assert.deepEqual(workersLostUnder(task), ['w4']);
 });
 
 test('ends that are no losses add no blame', () => {
@@ -175,7 +175,7 @@
   for (const how of ['lapsed', 'void', 'stopped', 'broken'] as const) {
     endRun(state, startOn(state, task, 'w'), how);
   }
-  assert.equal(blameOf(task), 0);
+  assert.equal(suspicionPercent(task), 0);
 });
 
 test('blame outlives the records of the losses', () => {
@@ -187,9 +187,9 @@
   const image = imageOf(task.step.occurrence.job, state);
   apply(reader, { kind: 'restate', image });
   const restored = taskOf(reader, 'a', 0, 0);
-  assert.deepEqual(lostUnder(restored), ['w1', 'w2']);
+  assert.deepEqual(workersLostUnder(restored), ['w1', 'w2']);
   loseNext(reader, restored, 'sole');
-  assert.ok(isGivenUp(restored));
+  assert.ok(isAbandoned(restored));
 });
 
 test('an earlier version reads a loss as a lapse, and its lapses may be losses', () => {
@@ -230,7 +230,7 @@
     });
   }
   loseNext(state, beside, 'sole');
-  assert.equal(isGivenUp(beside), true);
+  assert.equal(isAbandoned(beside), true);
   const again = siteOf('a', 'b');
   const [first, second] = ['a', 'b'].map(job => taskOf(again, job, 0, 0));
   assert.ok(first && second);
@@ -242,9 +242,9 @@
   }
   loseNext(again, first, 'sole');
   loseNext(again, second, 'sole');
-  assert.equal(isGivenUp(second), false);
+  assert.equal(isAbandoned(second), false);
   loseNext(again, second, 'sole');
-  assert.equal(isGivenUp(second), true);
+  assert.equal(isAbandoned(second), true);
 });
 
 test('losses that an earlier version recorded as lapses count once a later one leads', () => {
@@ -257,9 +257,9 @@
     assert.ok(earlier);
     apply(state, earlier);
   }
-  assert.equal(isGivenUp(task), false);
+  assert.equal(isAbandoned(task), false);
   loseNext(state, task, 'sole');
-  assert.equal(isGivenUp(task), true);
+  assert.equal(isAbandoned(task), true);
 });
 
 test('tasks of jobs that are over are suspected no more', () => {
@@ -268,7 +268,7 @@
     loseNext(state, taskOf(state, job, 0, 0), 'shared');
   }
   applyInbox(state, { kind: 'cancel', job: 'a' });
-  forgetOver(state, 0, 0);
+  forgetFinishedJobs(state, 0, 0);
   assert.deepEqual([...state.suspects], [taskOf(state, 'b', 0, 0)]);
 });
 
@@ -277,7 +277,7 @@
   const state = siteOf('a');
   const task = taskOf(state, 'a', 0, 0);
   let losses = 0;
-  while (!isGivenUp(task) && losses < 10) {
+  while (!isAbandoned(task) && losses < 10) {
     const from = ages[losses % ages.length] ?? 0;
     loseNext(state, task, suspicion, { from, to: from + 400 });
     losses += 1;
@@ -304,9 +304,9 @@
   for (const from of [0, 2_000, 0, 4_000]) {
     loseNext(state, task, 'doubtful', { from, to: Infinity });
   }
-  assert.ok(!isGivenUp(task));
+  assert.ok(!isAbandoned(task));
   loseNext(state, task, 'doubtful', { from: 100, to: Infinity });
-  assert.ok(isGivenUp(task));
+  assert.ok(isAbandoned(task));
 });
 
 // It crashes at the same work: at another age for each checkpoint from which it resumes.
@@ -317,7 +317,7 @@
     task.checkpoint = at === 0 ? '' : `c${at}`;
     loseNext(state, task, 'sole', { from, to: from + 100 });
   }
-  assert.ok(isGivenUp(task));
+  assert.ok(isAbandoned(task));
 });
 
 test('a loss at an age that is hardly known is doubtful', () => {
@@ -325,7 +325,7 @@
   const [run] = together(state, 'a');
   assert.ok(run);
   const judge = (lostBy: number): Suspicion | undefined =>
-    suspicionsOf(state, [run], { ...CALM, lostBy }).get(run)?.suspicion;
+    attributeLoss(state, [run], { ...CALM, lostBy }).get(run)?.suspicion;
   assert.equal(judge(1_900), 'sole');
   assert.equal(judge(2_500), 'doubtful');
 });
@@ -366,7 +366,7 @@
   const judge = (job: string): Suspicion | undefined => {
     const task = taskOf(state, job, 0, 0);
     const run = startOn(state, task, `${job}${task.lastRun + 1}`);
-    const judged = suspicionsOf(state, [run], small).get(run);
+    const judged = attributeLoss(state, [run], small).get(run);
     lose(state, run, judged?.suspicion ?? 'cleared', { from: 0, to: 0 });
     return judged?.suspicion;
   };
--- a/packages/domain/src/jobs/blame.ts
+++ b/packages/domain/src/jobs/suspect-tasks.ts
@@ -38,7 +38,7 @@
 const AGE_SLACK_MS: Millis = 250;
 
 /** Returns a task's blame in percent; 0 for one that is not under suspicion. */
-export function blameOf({ blame }: Task): number {
+export function suspicionPercent({ blame }: Task): number {
   const points = new Set(blame.losses.map(({ resumedFrom }) => resumedFrom));
   const counted = new Set<Loss>();
   for (const point of points) {
@@ -85,17 +85,17 @@
 }
 
 /** Whether a task has cost so many workers that it is given up. */
-export function isGivenUp(task: Task): boolean {
-  return blameOf(task) >= GIVE_UP_AT;
+export function isAbandoned(task: Task): boolean {
+  return suspicionPercent(task) >= GIVE_UP_AT;
 }
 
 /** Whether a task is kept apart from others until it is known whether it brings workers down. */
 export function isSuspect(task: Task): boolean {
-  return blameOf(task) >= SUSPECT_AT;
+  return suspicionPercent(task) >= SUSPECT_AT;
 }
 
 /** Returns the workers that were lost under a task since it came under suspicion. */
-export function lostUnder({ blame }: Task): string[] {
+export function workersLostUnder({ blame }: Task): string[] {
   return blame.losses.map(({ worker }) => worker);
 }
 
@@ -139,7 +139,7 @@
 
 /** Once a task is given up, losses of the same workers say little of others: it was the reason for most. */
 export function explainLosses({ suspects }: JobsState, givenUp: Task): void {
-  const explained = new Set(lostUnder(givenUp));
+  const explained = new Set(workersLostUnder(givenUp));
   for (const task of suspects) {
     const losses = task === givenUp ? [] : task.blame.losses;
     for (const loss of losses.filter(({ worker }) => explained.has(worker))) {
--- a/packages/domain/src/jobs/test-support.ts
+++ b/packages/domain/src/jobs/test-support.ts
@@ -11,7 +11,7 @@
   type JobsState,
 } from './jobs-state.js';
 import { Interference } from './interference.js';
-import { Advice } from './advice.js';
+import { AdviceTickets } from './advice.js';
 import type { PlanWorker } from './placement.js';
 import type { PlanInput, StartDecision } from './plan.js';
 import { createRunTimes } from './run-times.js';
@@ -83,11 +83,11 @@
     workers,
     times: createRunTimes(),
     interference: new Interference(),
-    moving: [],
-    advice: new Advice(),
+    movingTasks: [],
+    advice: new AdviceTickets(),
     time: { now: 0, nowWall: 0 },
     leadsSince: -Infinity,
-    mostStarts: 200,
+    maxStarts: 200,
     isLinkBusy: false,
   };
 }
--- a/packages/domain/src/jobs/worker-health.test.ts
+++ b/packages/domain/src/jobs/worker-health.test.ts
@@ -42,7 +42,7 @@
   run.progress.confirmed = true;
   run.progress.seenAt = 3_000;
   assert.equal(isStalled(run, 3_000), true);
-  run.progress.allowed = 20;
+  run.progress.allowedPercent = 20;
   assert.equal(isStalled(run, 3_000), false);
 });
 
--- a/packages/domain/src/jobs/worker-health.ts
+++ b/packages/domain/src/jobs/worker-health.ts
@@ -75,7 +75,7 @@
   return (
     progress.confirmed &&
     !progress.stopping &&
-    (progress.allowed ?? 0) >= JUDGED_ABOVE_PERCENT &&
+    (progress.allowedPercent ?? 0) >= JUDGED_ABOVE_PERCENT &&
     progress.percent < 100 &&
     progress.seenAt - progress.percentSince > STALL_MS &&
     now - progress.allowedSince > STALL_MS
--- a/packages/domain/src/jobs/worth.ts
+++ b/packages/domain/src/jobs/worth.ts
@@ -28,14 +28,14 @@
 }
 
 /** Expected work of an occurrence in core-milliseconds, of as many tasks of each step as `tasksOf` says. */
-export function workOf(
+export function expectedWorkOf(
   { steps }: Occurrence,
   times: RunTimes,
   tasksOf: (step: Step) => number = ({ spec }) => spec.tasks,
 ): number {
   return steps.reduce((sum, step) => {
     const cores = step.spec.size.cpuMilli / MILLI;
-    return sum + cores * times.expect(step) * tasksOf(step);
+    return sum + cores * times.expectedMs(step) * tasksOf(step);
   }, 0);
 }
 
@@ -48,9 +48,9 @@
   meanWork: number,
   times: RunTimes,
 ): number {
-  const work = workOf(occurrence, times);
+  const work = expectedWorkOf(occurrence, times);
   const worth = FIXED_WORTH * meanWork + (1 - FIXED_WORTH) * work;
-  const wanted = workOf(occurrence, times, waitingTasks);
+  const wanted = expectedWorkOf(occurrence, times, waitingTasks);
   return Math.min(MAX_WORTH * meanWork, worth) / Math.max(1, wanted);
 }
 
--- a/packages/ports/src/jobs/peer-port.ts
+++ b/packages/ports/src/jobs/peer-port.ts
@@ -49,16 +49,16 @@
 }
 
 /** How such a call ended; of a start of which nothing was told it is not known what became. */
-export type RelayEnd = { readonly kind: 'ended' } | RelayFailure;
+export type RelayCallResult = { readonly kind: 'ended' } | RelayFailure;
 
 /** What a leader is told while a batch is under way. */
-export interface RelayWatch {
+export interface RelayObserver {
   /** Time within which the host has to take the batch; else the call has failed. */
   readonly takenWithinMs: Millis;
   /** The host has taken the batch: in time, or late, once the call has failed. */
-  readonly taken: (by: PeerProcess) => void;
+  readonly onAccepted: (by: PeerProcess) => void;
   /** What became of the start at this index of the batch. */
-  readonly told: (at: number, outcome: RelayOutcome) => void;
+  readonly onOutcome: (at: number, outcome: RelayOutcome) => void;
 }
 
 /** Reaches other hosts. */
@@ -77,6 +77,6 @@
   relay(
     address: string,
     batch: RelayBatch,
-    watch: RelayWatch,
-  ): Promise<RelayEnd>;
+    watch: RelayObserver,
+  ): Promise<RelayCallResult>;
 }
--- a/packages/ports/src/jobs/worker-port.ts
+++ b/packages/ports/src/jobs/worker-port.ts
@@ -70,7 +70,7 @@
 }
 
 /** Extends the lease of everything at a worker, acknowledges ends and reports. */
-export interface LookOrder {
+export interface PollRequest {
   readonly fence: number;
   /** Ends up to this position are recorded. */
   readonly acknowledged: number;
@@ -83,7 +83,7 @@
 }
 
 /** What a look found. */
-export type LookResult =
+export type PollResult =
   | {
       readonly kind: 'seen';
       /** When the worker that answered has started, by its time of day; undefined where it does not say. */
@@ -106,11 +106,11 @@
     order: RunOrder & { readonly percent: number },
   ): Promise<OrderResult>;
   /** Looks at a worker; `takeLate` is given an answer that comes after the look's time. */
-  look(
+  poll(
     worker: WorkerAddress,
-    order: LookOrder,
-    takeLate: (res: LookResult) => void,
-  ): Promise<LookResult>;
+    order: PollRequest,
+    takeLate: (res: PollResult) => void,
+  ): Promise<PollResult>;
   /**
    * Whether the connection is still there over which the last look was answered: a connection ends with its
    * worker, so that only then the next look is sure to reach the same incarnation.
--- a/packages/stand-ins/src/jobs/calm-promises.test.ts
+++ b/packages/stand-ins/src/jobs/fault-free-guarantees.test.ts
@@ -75,7 +75,7 @@
   story.begin(100, task(0), 1);
   story.end(3_100, task(0), 1, 'alone');
   assert.deepEqual(story.broken(), []);
-  const cancelled = new Story([PAIR], { cancelAskedAt: 2_000 });
+  const cancelled = new Story([PAIR], { cancelRequestedAt: 2_000 });
   cancelled.begin(100, task(0), 1);
   cancelled.end(3_100, task(0), 1, 'alone');
   assert.deepEqual(cancelled.broken(), []);
--- a/packages/stand-ins/src/jobs/calm-promises.ts
+++ b/packages/stand-ins/src/jobs/fault-free-guarantees.ts
@@ -9,7 +9,7 @@
   type RunTrace,
   type Violation,
 } from './history-facts.js';
-import { CANCEL_MS } from './task-promises.js';
+import { CANCEL_MS } from './run-guarantees.js';
 
 /** Longest time that a stop takes, as the users' rules say. */
 const STOP_MS: Millis = 900;
@@ -37,7 +37,7 @@
           at =>
             at >= from &&
             at + CANCEL_MS + STOP_MS < end &&
-            faults.isCalm(at - CONTACT_MS, at + CANCEL_MS + STOP_MS),
+            faults.isFaultFree(at - CONTACT_MS, at + CANCEL_MS + STOP_MS),
         )
       );
     })
@@ -53,10 +53,10 @@
       return [];
     }
     const aloneAt = aloneFrom(run, step.tasks, runs) + GANG_MS;
-    const cancelAt = Math.min(job.cancelledAt, job.cancelAskedAt ?? Infinity);
+    const cancelAt = Math.min(job.cancelledAt, job.cancelRequestedAt ?? Infinity);
     return aloneAt <= Math.min(run.endedAt, now) &&
       aloneAt < cancelAt &&
-      faults.isCalm(aloneAt - GANG_MS - CONTACT_MS, aloneAt)
+      faults.isFaultFree(aloneAt - GANG_MS - CONTACT_MS, aloneAt)
       ? [violation('gang_together', taskName(run.task), [run])]
       : [];
   });
--- a/packages/stand-ins/src/jobs/fault-times.ts
+++ b/packages/stand-ins/src/jobs/fault-times.ts
@@ -23,7 +23,7 @@
   }
 
   /** Tells whether nothing was disturbed from `from` to `until`. */
-  isCalm(from: Instant, until: Instant): boolean {
+  isFaultFree(from: Instant, until: Instant): boolean {
     return !this.faults.some(fault => overlaps(fault, from, until));
   }
 
--- a/packages/stand-ins/src/jobs/history-facts.ts
+++ b/packages/stand-ins/src/jobs/history-facts.ts
@@ -11,7 +11,7 @@
 import type { FaultTimes } from './fault-times.js';
 
 /** The promises, by name. */
-export type PromiseName =
+export type GuaranteeName =
   | 'one_place_at_a_time'
   | 'finish_once'
   | 'steps_in_order'
@@ -32,7 +32,7 @@
 
 /** A broken promise. */
 export interface Violation {
-  readonly promise: PromiseName;
+  readonly guarantee: GuaranteeName;
   /** Name of the task, job, worker or queue. */
   readonly task: string;
   readonly detail: string;
@@ -61,7 +61,7 @@
   /** When its acceptance was confirmed; without it, nothing is promised on what is told of the job. */
   acceptedAt?: Instant;
   /** When its cancellation was first asked for. */
-  cancelAskedAt?: Instant;
+  cancelRequestedAt?: Instant;
   /** When the cancellation was confirmed; infinite when there was none. */
   cancelledAt: Instant;
 }
@@ -189,7 +189,7 @@
 
 /** Describes a broken promise by runs. */
 export function violation(
-  promise: PromiseName,
+  promise: GuaranteeName,
   task: string,
   runs: readonly RunTrace[],
   note = '',
@@ -200,5 +200,9 @@
         `run ${run} on ${worker} ${beganAt} to ${endedAt} ${how ?? 'open'}`,
     )
     .join('; ');
-  return { promise, task, detail: note === '' ? detail : `${note}: ${detail}` };
+  return {
+    guarantee: promise,
+    task,
+    detail: note === '' ? detail : `${note}: ${detail}`,
+  };
 }
--- a/packages/stand-ins/src/jobs/history.fixture.test.ts
+++ b/packages/stand-ins/src/jobs/history.fixture.test.ts
@@ -6,7 +6,7 @@
 import type {
   PromisedJob,
   PromisedStep,
-  PromiseName,
+  GuaranteeName,
 } from './history-facts.js';
 import { JobHistory } from './job-history.js';
 
@@ -86,9 +86,9 @@
   }
 
   /** The names of the promises that are broken at `at`, each once. */
-  broken(at: Instant = this.now): PromiseName[] {
+  broken(at: Instant = this.now): GuaranteeName[] {
     this.now = at;
-    const found = this.history.check().map(({ promise }) => promise);
+    const found = this.history.check().map(({ guarantee: promise }) => promise);
     return [...new Set(found)];
   }
 }
--- a/packages/stand-ins/src/jobs/job-history.ts
+++ b/packages/stand-ins/src/jobs/job-history.ts
@@ -8,8 +8,8 @@
   type TaskSize,
 } from '@paddlewind/domain/jobs';
 
-import { checkAnswers } from './answer-promises.js';
-import { checkCalm } from './calm-promises.js';
+import { checkAnswers } from './response-guarantees.js';
+import { checkCalm } from './fault-free-guarantees.js';
 import type { FaultTimes } from './fault-times.js';
 import {
   jobDoneAt,
@@ -21,9 +21,9 @@
   type Violation,
   type WorkerTrace,
 } from './history-facts.js';
-import { checkLasting } from './lasting-promise.js';
-import { checkPlaces } from './place-promises.js';
-import { checkTasks } from './task-promises.js';
+import { checkLasting } from './long-running-guarantee.js';
+import { checkPlaces } from './placement-guarantees.js';
+import { checkTasks } from './run-guarantees.js';
 
 interface RunRef {
   readonly task: TaskRef;
@@ -116,7 +116,7 @@
   }
 
   /** Number of workers that tasks of a job have brought down. */
-  broughtDownBy(id: string): number {
+  workersCrashedBy(id: string): number {
     return [...this.runs.values()].filter(
       ({ task, crashed }) => task.job === id && crashed,
     ).length;
@@ -155,7 +155,7 @@
   }
 
   /** Number of runs of other jobs that were lost with workers which tasks of a job brought down. */
-  lostBeside(id: string): number {
+  otherRunsLostWith(id: string): number {
     const crashed = new Set(
       [...this.runs.values()]
         .filter(({ task, crashed: down }) => task.job === id && down)
@@ -168,7 +168,7 @@
   }
 
   /** The states that callers were told of a job in turn, each change once. */
-  statesTold(id: string): ShownState['state'][] {
+  reportedStates(id: string): ShownState['state'][] {
     return this.shown
       .filter(({ job }) => job === id)
       .map(({ state }) => state)
@@ -176,7 +176,7 @@
   }
 
   /** When a caller was first told this state of a job; infinite before. */
-  firstTold(id: string, state: ShownState['state']): Instant {
+  firstReportedAt(id: string, state: ShownState['state']): Instant {
     const found = this.shown.find(
       told => told.job === id && told.state === state,
     );
@@ -184,7 +184,7 @@
   }
 
   /** A caller that asked a host at `askedAt` was told the length of the only queue. */
-  toldLength(host: string, askedAt: Instant, length: number): void {
+  recordQueueLength(host: string, askedAt: Instant, length: number): void {
     this.lengths.push({ host, askedAt, at: this.clock(), length });
   }
 
@@ -214,7 +214,7 @@
   }
 
   /** When the first run of each job began that has one. */
-  firstBegins(): Map<string, Instant> {
+  firstStarts(): Map<string, Instant> {
     const found = new Map<string, Instant>();
     for (const { task, beganAt } of this.runs.values()) {
       const first = found.get(task.job) ?? Infinity;
--- a/packages/stand-ins/src/jobs/lasting-promise.test.ts
+++ b/packages/stand-ins/src/jobs/long-running-guarantee.test.ts
@@ -61,7 +61,7 @@
 });
 
 test('a lasting task that was cancelled, or follows a step that is not done, is not reported', () => {
-  const story = new Story([LASTING], { cancelAskedAt: 2_000 });
+  const story = new Story([LASTING], { cancelRequestedAt: 2_000 });
   assert.deepEqual(story.broken(60_000), []);
   const second = new Story([
     { tasks: 1, after: [] },
--- a/packages/stand-ins/src/jobs/lasting-promise.ts
+++ b/packages/stand-ins/src/jobs/long-running-guarantee.ts
@@ -15,7 +15,7 @@
   type Violation,
   type WorkerTrace,
 } from './history-facts.js';
-import { roomBeside } from './place-promises.js';
+import { roomBeside } from './placement-guarantees.js';
 
 /** Time after a run in which a lasting task may be away. */
 const AWAY_MS: Millis = 6_000;
@@ -80,7 +80,7 @@
   const end = Math.min(
     facts.now,
     job.cancelledAt,
-    job.cancelAskedAt ?? Infinity,
+    job.cancelRequestedAt ?? Infinity,
     blamedAt(facts, id),
   );
   return Array.from({ length: tasks }, (_, index) => {
@@ -115,7 +115,7 @@
   const calmFrom = faults.ends().map(end => end + CALM_BEFORE_MS + 1);
   return [from + AWAY_MS, ...calmFrom, ...changes]
     .filter(at => at >= from + AWAY_MS && at + ROOM_MS < until)
-    .filter(at => faults.isCalm(at - CALM_BEFORE_MS, at + ROOM_MS))
+    .filter(at => faults.isFaultFree(at - CALM_BEFORE_MS, at + ROOM_MS))
     .some(at =>
       [at, ...changes.filter(x => x > at && x <= at + ROOM_MS)].every(
         moment => placesAt(facts, moment, task) >= 2,
--- a/packages/stand-ins/src/jobs/memory-fleet.ts
+++ b/packages/stand-ins/src/jobs/memory-fleet.ts
@@ -1,11 +1,11 @@
 /** Workers in memory behind a network that loses and delays orders. */
 import {
-  workerOf,
+  workerIdOf,
   type TaskSize,
   type WorkerInfo,
 } from '@paddlewind/domain/jobs';
 import type {
-  LookResult,
+  PollResult,
   OrderResult,
   WorkerAddress,
   WorkerFeed,
@@ -28,19 +28,19 @@
 /** All workers of a test. */
 export class MemoryFleet {
   /** Share of the orders that are not answered and arrive late, at whatever life has the id by then. */
-  lateShare = 0;
+  delayedOrderShare = 0;
   /** The same for looks. */
-  lateLookShare = 0;
+  delayedPollShare = 0;
   /** Whether the registry can't be read. */
-  registryAway = false;
+  registryUnavailable = false;
   /** Whether every start is rejected for want of room. */
   refusesStarts = false;
   /** Pairs `host>worker` that cannot reach each other. */
   readonly cuts = new Set<string>();
   /** Time by machine that answers to looks take on their way, in milliseconds; also beyond a timeout. */
-  readonly lookDelays = new Map<string, number>();
+  readonly pollDelays = new Map<string, number>();
   /** Time by machine that an order takes beyond the network, in milliseconds; below a timeout. */
-  readonly slowness = new Map<string, number>();
+  readonly orderDelays = new Map<string, number>();
 
   /** Told of each worker that a task has brought down. */
   onCrash: (machine: string, labels?: readonly string[]) => void = () =>
@@ -111,7 +111,7 @@
   feed(): WorkerFeed {
     return {
       refresh: () => {
-        if (this.registryAway) {
+        if (this.registryUnavailable) {
           return Promise.resolve({ kind: 'unavailable', reason: 'away' });
         }
         const workers = this.entries();
@@ -122,7 +122,7 @@
   }
 
   /** Makes the registry tell the present life at an address for `span`, whatever lives there. */
-  holdEntry(machine: string, span: number): void {
+  freezeEntry(machine: string, span: number): void {
     const held = this.entries().find(({ address }) => address === machine);
     if (held !== undefined) {
       this.heldEntries.set(machine, held);
@@ -161,10 +161,10 @@
           kind: order.fence >= 0 ? 'accepted' : 'replaced',
           clock: worker.clock,
         })),
-      look: (to, order, takeLate) => {
+      poll: (to, order, takeLate) => {
         answered.delete(to.id);
         const found = this.look(host, to, async worker => {
-          const res = await worker.look(order);
+          const res = await worker.poll(order);
           answered.set(to.id, worker);
           return res;
         });
@@ -183,7 +183,7 @@
     to: WorkerAddress,
     carryOut: (worker: MemoryWorker) => OrderResult,
   ): Promise<OrderResult> {
-    if (this.time.random() < this.lateShare) {
+    if (this.time.random() < this.delayedOrderShare) {
       const after = LATE_FROM_MS + this.time.random() * LATE_SPAN_MS;
       this.time.schedule(after, () => {
         const worker = this.at(to.address);
@@ -206,7 +206,7 @@
       return { kind: 'replaced' };
     }
     const result = carryOut(worker);
-    await this.pause(WAY_MS + (this.slowness.get(to.address) ?? 0));
+    await this.pause(WAY_MS + (this.orderDelays.get(to.address) ?? 0));
     if (this.reach(host, to) === undefined) {
       await this.pause(TIMEOUT_MS);
       return { kind: 'unknown', reason: 'timeout' };
@@ -217,9 +217,12 @@
   private async look(
     host: string,
     to: WorkerAddress,
-    carryOut: (worker: MemoryWorker) => Promise<LookResult>,
-  ): Promise<LookResult> {
-    if (this.lateLookShare > 0 && this.time.random() < this.lateLookShare) {
+    carryOut: (worker: MemoryWorker) => Promise<PollResult>,
+  ): Promise<PollResult> {
+    if (
+      this.delayedPollShare > 0 &&
+      this.time.random() < this.delayedPollShare
+    ) {
       this.lookLater(to, carryOut);
       await this.pause(TIMEOUT_MS);
       return { kind: 'failed', reason: 'timeout' };
@@ -234,7 +237,7 @@
       return { kind: 'replaced' };
     }
     const result = await carryOut(worker);
-    await this.pause(WAY_MS + (this.lookDelays.get(to.address) ?? 0));
+    await this.pause(WAY_MS + (this.pollDelays.get(to.address) ?? 0));
     if (this.reach(host, to) !== worker) {
       return { kind: 'failed', reason: 'connection lost' };
     }
@@ -243,7 +246,7 @@
 
   private lookLater(
     to: WorkerAddress,
-    carryOut: (worker: MemoryWorker) => Promise<LookResult>,
+    carryOut: (worker: MemoryWorker) => Promise<PollResult>,
   ): void {
     const after = LATE_FROM_MS + this.time.random() * LATE_SPAN_MS;
     this.time.schedule(after, () => {
@@ -258,10 +261,10 @@
 
   /** Gives a look up after its time; what is answered later goes to `takeLate`. */
   private async inTime(
-    found: Promise<LookResult>,
+    found: Promise<PollResult>,
     timeoutMs: number,
-    takeLate: (res: LookResult) => void,
-  ): Promise<LookResult> {
+    takeLate: (res: PollResult) => void,
+  ): Promise<PollResult> {
     const gaveUp = this.pause(timeoutMs);
     const first = await Promise.race([found, gaveUp]);
     if (first !== undefined) {
@@ -291,7 +294,7 @@
 
 /** Whether a worker takes a call for its own: a later life with the same id does, too. */
 function isMeant({ traits }: MemoryWorker, { id }: WorkerAddress): boolean {
-  return traits.id === workerOf(id);
+  return traits.id === workerIdOf(id);
 }
 
 function infoOf(
--- a/packages/stand-ins/src/jobs/memory-job-log.ts
+++ b/packages/stand-ins/src/jobs/memory-job-log.ts
@@ -52,14 +52,14 @@
 /** One log for all hosts of a test. */
 export class MemoryJobLog {
   /** Modes of hosts; all others are served. */
-  readonly modes = new Map<string, LogMode>();
+  readonly hostModes = new Map<string, LogMode>();
   /** Modes of streams for one host, by `host stream`. */
   readonly hostStreamModes = new Map<string, LogMode>();
   /** Modes of streams, for all hosts. */
   readonly streamModes = new Map<JobStream, LogMode>();
 
   /** Bytes in a millisecond by host that its link carries; other links take no time. */
-  readonly links = new Map<string, number>();
+  readonly linkRates = new Map<string, number>();
 
   /** Time that a stream takes for each append, one after the other; a queue of 2 s is refused. */
   appendMs: Millis = 0;
@@ -68,7 +68,7 @@
   rewriteJournal: (record: Uint8Array) => Uint8Array = record => record;
 
   /** How many of the next appends to the inbox are carried out and not answered. */
-  loseNext = 0;
+  unansweredAppends = 0;
 
   private readonly streams: Record<JobStream, LogPartition> = {
     inbox: new LogPartition(),
@@ -147,8 +147,8 @@
       return { kind: 'unknown', reason: 'timeout' };
     }
     await this.pause(ANSWER_MS);
-    if (this.loseNext > 0 && stream === 'inbox') {
-      this.loseNext -= 1;
+    if (this.unansweredAppends > 0 && stream === 'inbox') {
+      this.unansweredAppends -= 1;
       this.streams[stream].append(records, stamp);
       await this.pause(TIMEOUT_MS);
       return { kind: 'unknown', reason: 'timeout' };
@@ -179,7 +179,7 @@
   private modeOf(host: string, stream: JobStream): LogMode {
     return (
       this.hostStreamModes.get(`${host} ${stream}`) ??
-      this.modes.get(host) ??
+      this.hostModes.get(host) ??
       this.streamModes.get(stream) ??
       'up'
     );
@@ -224,7 +224,7 @@
     host: string,
     records: readonly Uint8Array[],
   ): Promise<boolean> {
-    const rate = this.links.get(host);
+    const rate = this.linkRates.get(host);
     if (rate === undefined) {
       return true;
     }
--- a/packages/stand-ins/src/jobs/memory-worker.ts
+++ b/packages/stand-ins/src/jobs/memory-worker.ts
@@ -9,8 +9,8 @@
 } from '@paddlewind/domain/jobs';
 import type {
   EndedRun,
-  LookOrder,
-  LookResult,
+  PollRequest,
+  PollResult,
   OrderResult,
   RunOrder,
   StartOrder,
@@ -150,7 +150,7 @@
   }
 
   /** Extends the lease, forgets acknowledged ends and reports, at the latest after the wait. */
-  async look(order: LookOrder): Promise<LookResult> {
+  async poll(order: PollRequest): Promise<PollResult> {
     if (order.fence < this.fence) {
       return { kind: 'fenced' };
     }
@@ -280,7 +280,7 @@
     this.ended = this.ended.filter(ended => ended.position > position);
   }
 
-  private report(): LookResult {
+  private report(): PollResult {
     const now = this.time.clock();
     const active = [...this.active.values()].map(
       ({ order, since, script, hangs }) => ({
--- a/packages/stand-ins/src/jobs/answer-promises.test.ts
+++ b/packages/stand-ins/src/jobs/response-guarantees.test.ts
@@ -66,7 +66,7 @@
 });
 
 test('a job shown as cancelled before anybody asked for it is reported, later it is not', () => {
-  const story = new Story([PAIR], { cancelAskedAt: 1_000, cancelledAt: 2_000 });
+  const story = new Story([PAIR], { cancelRequestedAt: 1_000, cancelledAt: 2_000 });
   story.now = 1_000;
   story.history.told(JOB, 900, 'cancelled');
   assert.deepEqual(story.broken(), []);
@@ -87,7 +87,7 @@
   early.now = 3_100;
   early.history.told(JOB, 3_000, 'no_such_job');
   assert.deepEqual(early.broken(), []);
-  const cancelled = new Story([PAIR], { cancelAskedAt: 2_000 });
+  const cancelled = new Story([PAIR], { cancelRequestedAt: 2_000 });
   cancelled.now = 4_000;
   cancelled.history.told(JOB, 3_500, 'no_such_job');
   assert.deepEqual(cancelled.broken(), []);
@@ -119,16 +119,16 @@
 test('a length under half of the jobs that wait is reported', () => {
   const story = storyOfThree();
   story.now = 5_010;
-  story.history.toldLength('h1', 5_001, 1);
+  story.history.recordQueueLength('h1', 5_001, 1);
   assert.deepEqual(story.broken(), ['length_counts']);
 });
 
 test('a length of half of the jobs that wait, or soon after their acceptance, is not reported', () => {
   const story = storyOfThree();
   story.now = 5_000;
-  story.history.toldLength('h1', 5_000, 0);
+  story.history.recordQueueLength('h1', 5_000, 0);
   story.now = 5_010;
-  story.history.toldLength('h1', 5_001, 2);
+  story.history.recordQueueLength('h1', 5_001, 2);
   assert.deepEqual(story.broken(), []);
 });
 
@@ -137,9 +137,9 @@
   story.begin(5_005, task(0), 1);
   const cancelled = story.history.jobs.get('b');
   assert.ok(cancelled);
-  cancelled.cancelAskedAt = 4_000;
+  cancelled.cancelRequestedAt = 4_000;
   story.now = 5_010;
-  story.history.toldLength('h1', 5_001, 1);
+  story.history.recordQueueLength('h1', 5_001, 1);
   assert.deepEqual(story.broken(), []);
 });
 
@@ -148,14 +148,14 @@
     const story = storyOfThree();
     story.faults.add({ from: 1_000, until: 2_500, of });
     story.now = 5_010;
-    story.history.toldLength('h1', 5_001, 0);
+    story.history.recordQueueLength('h1', 5_001, 0);
     assert.deepEqual(story.broken(), []);
   }
   for (const of of [{ host: 'h2' }, 'workers'] as const) {
     const story = storyOfThree();
     story.faults.add({ from: 1_000, until: 2_500, of });
     story.now = 5_010;
-    story.history.toldLength('h1', 5_001, 0);
+    story.history.recordQueueLength('h1', 5_001, 0);
     assert.deepEqual(story.broken(), ['length_counts']);
   }
 });
--- a/packages/stand-ins/src/jobs/answer-promises.ts
+++ b/packages/stand-ins/src/jobs/response-guarantees.ts
@@ -8,7 +8,7 @@
   jobDoneAt,
   type Facts,
   type PromisedJob,
-  type PromiseName,
+  type GuaranteeName,
   type ShownState,
   type ToldLength,
   type Violation,
@@ -36,7 +36,7 @@
     ? []
     : [
         {
-          promise: broken,
+          guarantee: broken,
           task: shown.job,
           detail: `shown as ${shown.state} at ${shown.at}`,
         },
@@ -47,7 +47,7 @@
   facts: Facts,
   shown: ShownState,
   job: PromisedJob,
-): PromiseName | undefined {
+): GuaranteeName | undefined {
   switch (shown.state) {
     case 'completed':
       return jobDoneAt(facts, shown.job) > shown.at
@@ -61,7 +61,7 @@
         ? 'failed_when_spent'
         : undefined;
     case 'cancelled':
-      return (job.cancelAskedAt ?? job.cancelledAt) > shown.at
+      return (job.cancelRequestedAt ?? job.cancelledAt) > shown.at
         ? 'cancelled_when_asked'
         : undefined;
     case 'no_such_job':
@@ -119,7 +119,7 @@
     spentAt(facts, id, job),
     givenUpAt(facts, id),
   );
-  const cancelAt = Math.min(job.cancelledAt, job.cancelAskedAt ?? Infinity);
+  const cancelAt = Math.min(job.cancelledAt, job.cancelRequestedAt ?? Infinity);
   return (
     askedAt > (job.acceptedAt ?? Infinity) + VISIBLE_MS &&
     at < overAt + facts.statusMs &&
@@ -138,7 +138,7 @@
   return length < waiting.length * COUNTED_SHARE
     ? [
         {
-          promise: 'length_counts',
+          guarantee: 'length_counts',
           task: 'queue',
           detail: `${host} told ${length} at ${at}, waiting: ${waiting.join(', ')}`,
         },
@@ -152,7 +152,7 @@
   job: PromisedJob,
   { askedAt, at }: ToldLength,
 ): boolean {
-  const cancelAt = Math.min(job.cancelledAt, job.cancelAskedAt ?? Infinity);
+  const cancelAt = Math.min(job.cancelledAt, job.cancelRequestedAt ?? Infinity);
   return (
     (job.acceptedAt ?? Infinity) + VISIBLE_MS + LENGTH_AGE_MS < askedAt &&
     cancelAt > at &&
--- a/packages/stand-ins/src/users-platform/worker-server.ts
+++ b/packages/stand-ins/src/users-platform/worker-server.ts
@@ -1,6 +1,6 @@
 /** Stand-in of a worker of the users' platform: orders over HTTP, carried out in memory. */
 import { parseTaskName, taskName } from '@paddlewind/domain/jobs';
-import type { LookResult, OrderResult } from '@paddlewind/ports/jobs';
+import type { PollResult, OrderResult } from '@paddlewind/ports/jobs';
 
 import type { Listener } from '../http/json-server.js';
 import type { MemoryWorker } from '../jobs/memory-worker.js';
@@ -106,8 +106,8 @@
     });
   }
 
-  private look(body: OrderBody): Promise<LookResult> {
-    return this.worker.look({
+  private look(body: OrderBody): Promise<PollResult> {
+    return this.worker.poll({
       fence: body.fencingToken ?? 0,
       acknowledged: body.ackIndex ?? 0,
       leaseUntil: body.untilMs,
@@ -146,7 +146,7 @@
   }
 }
 
-function lookReply(result: LookResult): RawReply {
+function lookReply(result: PollResult): RawReply {
   switch (result.kind) {
     case 'seen':
       return jsonReply(200, {
