--- a/packages/daemon/src/job-host/group-append.ts
+++ b/packages/daemon/src/job-host/group-append.ts
@@ -70,12 +70,12 @@
     const { ctx, jobLog } = this;
     const sentAt = ctx.clock();
     // On a slow log, sending each append twice would need twice the time that the log has.
-    const secondTryMs = Math.max(
+    const hedgeDelayMs = Math.max(
       HEDGE_DELAY_MS,
       SLOW_APPEND_FACTOR * this.lastAppendMs,
     );
     const result = await appendHedgedOnce(ctx, jobLog, records, {
-      hedgeDelayMs: secondTryMs,
+      hedgeDelayMs,
     });
     if (result.kind === 'appended') {
       this.lastAppendMs = ctx.clock() - sentAt;
--- a/packages/daemon/src/job-host/loop-delay.ts
+++ b/packages/daemon/src/job-host/loop-delay.ts
@@ -35,7 +35,7 @@
 
 /**
  * Samples until the returned function is called. The delay that a sample shows may be shorter than
- * the time for which the loop was blocked, by at most `LOOP_SAMPLE_EVERY_MS`.
+ * the time for which the loop was blocked, by at most `LOOP_SAMPLE_INTERVAL_MS`.
  */
 export function monitorEventLoop(options: LoopMonitorOptions): () => void {
   const { clock, schedule, log, delayed } = options;
--- a/packages/daemon/src/job-host/relay/relayed-starts.test.ts
+++ b/packages/daemon/src/job-host/relay/relayed-starts.test.ts
@@ -94,7 +94,7 @@
       const found = { process: `of ${address}`, clock: this.remoteClock() };
       return Promise.resolve(gone ? undefined : found);
     },
-    relay: (address, batch, { onAccepted: taken, onOutcome: told }) => {
+    relay: (address, batch, { onAccepted, onOutcome }) => {
       this.sentBy.push(address);
       this.relayed.push(batch);
       const answer = this.answers.get(address) ?? {
@@ -104,9 +104,9 @@
       if (answer.kind === 'failed') {
         return Promise.resolve(answer);
       }
-      taken({ process: `of ${address}`, clock: this.remoteClock() });
+      onAccepted({ process: `of ${address}`, clock: this.remoteClock() });
       batch.starts.forEach((_start, at) => {
-        told(at, answer);
+        onOutcome(at, answer);
       });
       return Promise.resolve({ kind: 'ended' });
     },
--- a/packages/daemon/src/job-host/replica-view.ts
+++ b/packages/daemon/src/job-host/replica-view.ts
@@ -79,7 +79,7 @@
     });
   }
 
-  /** Counts the waiting jobs of a queue in a copy that is at most `LENGTH_AGE_MS` old. */
+  /** Counts the waiting jobs of a queue in a copy that is at most `MAX_QUEUE_LENGTH_AGE_MS` old. */
   async queueLength(queue: string): Promise<number | undefined> {
     if (!(await this.isRecent())) {
       this.ctx.meters.refused('queue_length', 'stale');
--- a/packages/daemon/src/job-host/simulated-network.fixture.test.ts
+++ b/packages/daemon/src/job-host/simulated-network.fixture.test.ts
@@ -140,7 +140,7 @@
           void gaveUp.then(() => {
             resolve(UNANSWERED);
           });
-          const taken: RelayObserver['onAccepted'] = by => {
+          const onAccepted: RelayObserver['onAccepted'] = by => {
             notTaken();
             watch.onAccepted(by);
           };
@@ -148,7 +148,7 @@
           void link
             .carry(CALL_BYTES + more * START_ROW_BYTES)
             .then(() =>
-              this.relay(name, address, batch, { ...watch, onAccepted: taken }),
+              this.relay(name, address, batch, { ...watch, onAccepted }),
             )
             .then(resolve);
         });
@@ -190,12 +190,12 @@
         answers(() => {
           watch.onAccepted(by);
         });
-        const told: RelayObserver['onOutcome'] = (at, outcome) => {
+        const onOutcome: RelayObserver['onOutcome'] = (at, outcome) => {
           answers(() => {
             watch.onOutcome(at, outcome);
           });
         };
-        void found.host.relayForPeer(batch, told).then(() => {
+        void found.host.relayForPeer(batch, onOutcome).then(() => {
           answers(() => {
             resolve({ kind: 'ended' });
           });
--- a/packages/daemon/src/job-host/simulation.fixture.test.ts
+++ b/packages/daemon/src/job-host/simulation.fixture.test.ts
@@ -121,7 +121,7 @@
   private readonly maxLeaseMs: Millis;
   private readonly keepsIds: boolean;
   private readonly linkBytesPerS: number;
-  private readonly relaysAll: boolean;
+  private readonly relayAllStarts: boolean;
   private readonly wire: WireOptions | undefined;
   private incarnations = 0;
 
@@ -133,14 +133,14 @@
       revivalMs = WORKER_RESTART_MS,
       keepsIds = false,
       linkBytesPerS = Infinity,
-      relayAllStarts: relaysAll = process.env.TEST_RELAYS !== undefined,
+      relayAllStarts = process.env.TEST_RELAYS !== undefined,
       wire,
     }: SimulationOptions = {},
   ) {
     this.maxLeaseMs = maxLeaseMs;
     this.keepsIds = keepsIds;
     this.linkBytesPerS = linkBytesPerS;
-    this.relaysAll = relaysAll;
+    this.relayAllStarts = relayAllStarts;
     this.wire = wire;
     this.time = createVirtualTime();
     this.peers = new SimulatedPeers(this.time, this.hosts);
@@ -227,7 +227,7 @@
       peerAddress: name,
       maxLeaseMs: this.maxLeaseMs,
       cores,
-      linkShares: this.relaysAll
+      linkShares: this.relayAllStarts
         ? { payloads: 1, retries: Infinity, withoutRelays: Infinity }
         : linkSharesOf(this.linkBytesPerS),
       retentionMs: RETENTION_MS,
--- a/packages/daemon/src/job-host/start-job-host.ts
+++ b/packages/daemon/src/job-host/start-job-host.ts
@@ -214,12 +214,12 @@
    */
   private inboxAppender(): Appender | undefined {
     const { ctx, peers } = this.options;
-    const { state, journalReceivedAt: journalHeardAt } = this.replica;
+    const { state, journalReceivedAt } = this.replica;
     if (this.leader !== undefined) {
       return records => this.batcher.append(records);
     }
     const isLeaderActive =
-      ctx.clock() - journalHeardAt < LEADER_SILENCE_TIMEOUT_MS;
+      ctx.clock() - journalReceivedAt < LEADER_SILENCE_TIMEOUT_MS;
     const journalLeader = isLeaderActive ? state.leaderAddress : undefined;
     const address = this.role.isFollowingSummary
       ? this.summary.leaderInfo?.address
--- a/packages/daemon/src/job-host/summary-view.ts
+++ b/packages/daemon/src/job-host/summary-view.ts
@@ -72,7 +72,7 @@
     });
   }
 
-  /** Counts the waiting jobs of a queue in a copy that is at most `LENGTH_AGE_MS` old. */
+  /** Counts the waiting jobs of a queue in a copy that is at most `MAX_QUEUE_LENGTH_AGE_MS` old. */
   async queueLength(queue: string): Promise<number | undefined> {
     const { follower } = this;
     if (this.age(follower.knownAsOf) > QUEUE_LENGTH_REFRESH_AGE_MS) {
