--- a/packages/daemon/src/job-host/answers-from-replica.test.ts
+++ b/packages/daemon/src/job-host/answers-from-replica.test.ts
@@ -16,7 +16,7 @@
 
 import { jobOf, Simulation } from './simulation.fixture.test.js';
 
-const QUICK = { runMs: 400, failures: 0 };
+const SHORT_RUN = { runMs: 400, failures: 0 };
 const JOBS = ['00000000000000e1', '00000000000000e2', '00000000000000e3'];
 
 /** Starts three hosts without workers, so that every job waits. */
@@ -27,7 +27,7 @@
   }
   await site.time.advance(2_500);
   for (const id of JOBS) {
-    void site.submit(id, [{ tasks: 2, after: [] }], QUICK);
+    void site.submit(id, [{ tasks: 2, after: [] }], SHORT_RUN);
   }
   await site.time.advance(1_000);
   return site;
@@ -44,18 +44,21 @@
   site: Simulation,
   name: string,
 ): Promise<void> {
-  const asked = site.hosts.get(name)?.host.service.queueLength('checks');
+  const pending = site.hosts.get(name)?.host.service.queueLength('checks');
   await site.time.advance(2_000);
-  const told: number | undefined = await asked;
-  assert.ok(told === undefined || told === JOBS.length, `reported ${told}`);
+  const length: number | undefined = await pending;
+  assert.ok(
+    length === undefined || length === JOBS.length,
+    `reported ${length}`,
+  );
 }
 
 test('every host reports how many jobs wait', async () => {
   const site = await deploymentWithWaitingJobs(1);
   for (const { host } of site.hosts.values()) {
-    const asked = host.service.queueLength('checks');
+    const pending = host.service.queueLength('checks');
     await site.time.advance(100);
-    assert.equal(await asked, JOBS.length);
+    assert.equal(await pending, JOBS.length);
   }
 });
 
@@ -66,7 +69,7 @@
   const name = follower(site);
   site.log.hostModes.set(name, 'unreadable');
   for (const id of JOBS) {
-    void site.submit(id, [{ tasks: 2, after: [] }], QUICK);
+    void site.submit(id, [{ tasks: 2, after: [] }], SHORT_RUN);
   }
   await site.time.advance(6_000);
   await assertUnknownOrCorrect(site, name);
@@ -79,7 +82,7 @@
   const name = follower(site);
   site.log.hostModes.set(name, 'silent');
   for (const id of JOBS) {
-    void site.submit(id, [{ tasks: 2, after: [] }], QUICK);
+    void site.submit(id, [{ tasks: 2, after: [] }], SHORT_RUN);
   }
   await site.time.advance(6_000);
   void site.hosts.get(name)?.host.service.queueLength('checks');
@@ -101,14 +104,17 @@
   while (site.leader() === name) {
     await site.time.advance(10);
   }
-  const asked: Promise<number | undefined>[] = [];
+  const pendingLengths: Promise<number | undefined>[] = [];
   for (let at = 0; at < 60; at += 1) {
-    asked.push(service.queueLength('checks'));
+    pendingLengths.push(service.queueLength('checks'));
     await site.time.advance(11);
   }
   await site.time.advance(2_000);
-  for (const told of await Promise.all(asked)) {
-    assert.ok(told === undefined || told === JOBS.length, `reported ${told}`);
+  for (const length of await Promise.all(pendingLengths)) {
+    assert.ok(
+      length === undefined || length === JOBS.length,
+      `reported ${length}`,
+    );
   }
 });
 
@@ -139,10 +145,13 @@
   await site.time.advance(5_000);
   for (const { host } of site.hosts.values()) {
     const waiting = ids.filter(id => site.history.runningOf(id) === 0).length;
-    const asked = host.service.queueLength('checks');
+    const pending = host.service.queueLength('checks');
     await site.time.advance(200);
-    const told: number | undefined = await asked;
-    assert.ok(told !== undefined && told >= waiting / 2, `${told}, ${waiting}`);
+    const length: number | undefined = await pending;
+    assert.ok(
+      length !== undefined && length >= waiting / 2,
+      `${length}, ${waiting}`,
+    );
   }
 });
 
@@ -173,9 +182,9 @@
   site.log.streamModes.set('journal', 'refusing');
   site.startHost(name);
   await site.time.advance(300);
-  const asked = site.hosts.get(name)?.host.service.status(JOBS[0] ?? '');
+  const pending = site.hosts.get(name)?.host.service.status(JOBS[0] ?? '');
   await site.time.advance(1_000);
-  assert.notEqual((await asked)?.kind, 'no_such_job');
+  assert.notEqual((await pending)?.kind, 'no_such_job');
 });
 
 test('a host on a slow link reads everything that the log keeps', async () => {
@@ -187,7 +196,7 @@
     (at + 1).toString(16).padStart(16, '0'),
   );
   for (const id of ids) {
-    void site.submit(id, [{ tasks: 1, after: [] }], { ...QUICK, payload });
+    void site.submit(id, [{ tasks: 1, after: [] }], { ...SHORT_RUN, payload });
   }
   await site.time.advance(12_000);
   const name = follower(site);
@@ -196,9 +205,9 @@
   site.log.linkRates.set(name, 600);
   site.startHost(name);
   await site.time.advance(12_000);
-  const asked = site.hosts.get(name)?.host.service.queueLength('checks');
+  const pending = site.hosts.get(name)?.host.service.queueLength('checks');
   await site.time.advance(1_000);
-  assert.equal(await asked, ids.length);
+  assert.equal(await pending, ids.length);
 });
 
 test('a host that missed dropped records rebuilds its copy', async () => {
@@ -206,7 +215,7 @@
   ['h1', 'h2', 'h3'].forEach(name => site.startHost(name));
   await site.time.advance(2_500);
   const id = JOBS[0] ?? '';
-  void site.submit(id, [{ tasks: 2, after: [] }], QUICK);
+  void site.submit(id, [{ tasks: 2, after: [] }], SHORT_RUN);
   await site.time.advance(2_000);
   const name = follower(site);
   const service = site.hosts.get(name)?.host.service;
@@ -220,9 +229,9 @@
   await site.time.advance(12_000);
   site.log.hostModes.delete(name);
   await site.time.advance(6_000);
-  const asked = service?.status(id);
+  const pending = service?.status(id);
   await site.time.advance(1_500);
-  assert.deepEqual(await asked, { kind: 'known', status: 'completed' });
+  assert.deepEqual(await pending, { kind: 'known', status: 'completed' });
 });
 
 test('a host that reads the journal late does not repeat completed tasks', async () => {
@@ -238,7 +247,7 @@
     // Keeps the job unfinished.
     { tasks: 1, after: [0], label: 'none' },
   ];
-  void site.submit(id, steps, QUICK);
+  void site.submit(id, steps, SHORT_RUN);
   await site.time.advance(300);
   site.log.hostStreamModes.set(`${name} journal`, 'refusing');
   site.startHost(name);
@@ -271,7 +280,7 @@
   await site.time.advance(500);
   const id = JOBS[0] ?? '';
   const service = site.hosts.get(name)?.host.service;
-  const job = jobOf(id, [{ tasks: 2, after: [] }], QUICK);
+  const job = jobOf(id, [{ tasks: 2, after: [] }], SHORT_RUN);
   const submitted = service?.submit(job, site.time.clock() + 3_000);
   await site.time.advance(100);
   assert.deepEqual(await submitted, { kind: 'recorded' });
@@ -283,7 +292,7 @@
   site.log.trimTo(0);
   site.log.hostStreamModes.clear();
   await site.time.advance(3_000);
-  const asked = service?.status(id);
+  const pending = service?.status(id);
   await site.time.advance(1_500);
-  assert.deepEqual(await asked, { kind: 'known', status: 'cancelled' });
+  assert.deepEqual(await pending, { kind: 'known', status: 'cancelled' });
 });
--- a/packages/daemon/src/job-host/append-again.test.ts
+++ b/packages/daemon/src/job-host/append-again.test.ts
@@ -13,11 +13,11 @@
 const REFUSED: AppendResult = { kind: 'refused', reason: 'busy' };
 
 /**
- * Starts an append whose attempts end as `tries` says, each after the given time; later attempts
+ * Starts an append whose attempts end as `attempts` says, each after the given time; later attempts
  * never end.
  */
-function start(
-  tries: readonly (readonly [number, AppendResult])[],
+function startAppend(
+  attempts: readonly (readonly [number, AppendResult])[],
   stoppedAt = Infinity,
 ): {
   time: ReturnType<typeof createVirtualTime>;
@@ -29,11 +29,11 @@
   let outcome: AppendResult | undefined;
   const append = (): Promise<AppendResult> =>
     new Promise(resolve => {
-      const found = tries[sent];
+      const attempt = attempts[sent];
       sent += 1;
-      if (found !== undefined) {
-        time.schedule(found[0], () => {
-          resolve(found[1]);
+      if (attempt !== undefined) {
+        time.schedule(attempt[0], () => {
+          resolve(attempt[1]);
         });
       }
     });
@@ -46,14 +46,14 @@
 }
 
 test('an append that is answered in time is sent once', async () => {
-  const { time, sent, outcome } = start([[10, APPENDED]]);
+  const { time, sent, outcome } = startAppend([[10, APPENDED]]);
   await time.advance(1_000);
   assert.deepEqual(outcome(), APPENDED);
   assert.equal(sent(), 1);
 });
 
 test('one answered attempt settles an append whose other attempts are silent', async () => {
-  const { time, outcome } = start([
+  const { time, outcome } = startAppend([
     [5_000, UNKNOWN],
     [10, APPENDED],
   ]);
@@ -62,7 +62,7 @@
 });
 
 test('an append that was fenced by another leader reports that', async () => {
-  const { time, outcome } = start([
+  const { time, outcome } = startAppend([
     [5_000, UNKNOWN],
     [10, { kind: 'fenced' }],
   ]);
@@ -71,14 +71,14 @@
 });
 
 test('a refused append reports that at once', async () => {
-  const { time, sent, outcome } = start([[10, REFUSED]]);
+  const { time, sent, outcome } = startAppend([[10, REFUSED]]);
   await time.advance(100);
   assert.deepEqual(outcome(), REFUSED);
   assert.equal(sent(), 1);
 });
 
 test('an append is not reported as refused if one attempt may have succeeded', async () => {
-  const { time, outcome } = start([
+  const { time, outcome } = startAppend([
     [500, UNKNOWN],
     [100, REFUSED],
   ]);
@@ -87,13 +87,13 @@
 });
 
 test('the number of attempts in flight is limited', async () => {
-  const { time, sent } = start([]);
+  const { time, sent } = startAppend([]);
   await time.advance(10_000);
   assert.equal(sent(), 4);
 });
 
 test('a stopped append is not sent again', async () => {
-  const { time, sent, outcome } = start([[1_500, UNKNOWN]], 100);
+  const { time, sent, outcome } = startAppend([[1_500, UNKNOWN]], 100);
   await time.advance(10_000);
   assert.equal(sent(), 1);
   assert.equal(outcome()?.kind, 'unknown');
--- a/packages/daemon/src/job-host/claims-read-late.test.ts
+++ b/packages/daemon/src/job-host/claims-read-late.test.ts
@@ -54,11 +54,11 @@
     ends.applyRecord(claim(1), 1, 100);
     ends.applyRecord(silent, 1, 1_000);
   }
-  const late = claim(2);
+  const delayedClaim = claim(2);
   // Meanwhile the leader records that the worker answers again, and extends its lease.
   for (const ends of [claimer, reader]) {
     ends.applyRecord({ kind: 'reached', worker: 'w' }, 1, 1_450);
-    ends.applyRecord(late, 2, 1_500);
+    ends.applyRecord(delayedClaim, 2, 1_500);
     const end = ends.endFor('w', 1);
     assert.ok(end >= 1_450 + TASK_LEASE_MS, `ended at ${end}`);
   }
@@ -68,13 +68,13 @@
   const reader = endsFromBeginning();
   reader.applyRecord(claim(1), 1, 100);
   // The leader was cut off for 1.3 s: the claim was sent then and is carried out 2 s later.
-  const late = claim(2);
+  const delayedClaim = claim(2);
   reader.applyRecord(
     heartbeat(1, { epochs: [[1, HELD_MS]], workers: [] }),
     1,
     3_300,
   );
-  reader.applyRecord(late, 2, 3_400);
+  reader.applyRecord(delayedClaim, 2, 3_400);
   const end = reader.endFor('w', 1);
   assert.ok(end >= 3_300 + MAX_LEASE_AFTER_LAST_RECORD_MS, `ended at ${end}`);
 });
@@ -83,10 +83,10 @@
   const reader = endsFromBeginning();
   reader.applyRecord(claim(1), 1, 100);
   // A host whose claim was refused skips epochs.
-  const late = claim(5);
+  const delayedClaim = claim(5);
   reader.applyRecord(claim(2), 2, 1_410);
   reader.applyRecord({ kind: 'reached', worker: 'w' }, 2, 1_500);
-  reader.applyRecord(late, 5, 1_600);
+  reader.applyRecord(delayedClaim, 5, 1_600);
   const end = reader.endFor('w', 2);
   assert.ok(end >= 1_500 + TASK_LEASE_MS, `ended at ${end}`);
 });
@@ -150,18 +150,26 @@
 }
 
 test('a worker whose records were dropped has a lease although epochs were skipped', async () => {
-  const beat = heartbeat(5, { epochs: [[5, HELD_MS]], workers: [] });
-  const { replica, now } = await replicaOfTrimmedJournal([beat, claim(13)], 50);
-  const left = replica.earlierLeaseEnd('w') - now();
-  assert.ok(left > TASK_LEASE_MS, `left ${left}`);
+  const heartbeatRecord = heartbeat(5, { epochs: [[5, HELD_MS]], workers: [] });
+  const { replica, now } = await replicaOfTrimmedJournal(
+    [heartbeatRecord, claim(13)],
+    50,
+  );
+  const leftMs = replica.earlierLeaseEnd('w') - now();
+  assert.ok(leftMs > TASK_LEASE_MS, `leftMs ${leftMs}`);
 });
 
 test('a worker that was reached before the first record of its leader has a lease', async () => {
-  const beat = heartbeat(5, { epochs: [[5, HELD_MS]], workers: [] });
+  const heartbeatRecord = heartbeat(5, { epochs: [[5, HELD_MS]], workers: [] });
   const { replica, now } = await replicaOfTrimmedJournal(
-    [{ kind: 'reached', worker: 'w' }, beat, restateOfRun('w'), claim(6)],
+    [
+      { kind: 'reached', worker: 'w' },
+      heartbeatRecord,
+      restateOfRun('w'),
+      claim(6),
+    ],
     50,
   );
-  const left = replica.earlierLeaseEnd('w') - now();
-  assert.ok(left > TASK_LEASE_MS, `left ${left}`);
+  const leftMs = replica.earlierLeaseEnd('w') - now();
+  assert.ok(leftMs > TASK_LEASE_MS, `leftMs ${leftMs}`);
 });
--- a/packages/daemon/src/job-host/duty.test.ts
+++ b/packages/daemon/src/job-host/duty.test.ts
@@ -11,8 +11,8 @@
 
 import { jobOf, Simulation } from './simulation.fixture.test.js';
 
-const QUICK = { runMs: 400, failures: 0 };
-const ENDLESS = { runMs: 10_000_000, failures: 0 };
+const SHORT_RUN = { runMs: 400, failures: 0 };
+const ENDLESS_RUN = { runMs: 10_000_000, failures: 0 };
 const HOSTS = 24;
 /** The leader and its standbys. */
 const READERS = 9;
@@ -33,15 +33,15 @@
 
 /** Returns the hosts that read the journal within the next two seconds, and the leader. */
 async function journalReaders(site: Simulation): Promise<Set<string>> {
-  const found = new Set([site.leader()]);
+  const readers = new Set([site.leader()]);
   const seen = site.log.watchReads((host, stream) => {
     if (stream === 'journal') {
-      found.add(host);
+      readers.add(host);
     }
   });
   await site.time.advance(2_000);
   seen.stop();
-  return found;
+  return readers;
 }
 
 function idOf(at: number): string {
@@ -50,9 +50,9 @@
 
 test('of many hosts the nine largest read the journal', async () => {
   const site = await largeDeployment(1);
-  const found = await journalReaders(site);
-  assert.equal(found.size, READERS);
-  for (const host of found) {
+  const readers = await journalReaders(site);
+  assert.equal(readers.size, READERS);
+  for (const host of readers) {
     assert.ok(Number(host.slice(1)) < 12, host);
   }
 });
@@ -61,9 +61,9 @@
   const site = await largeDeployment(2);
   const done = idOf(1);
   const waiting = [idOf(2), idOf(3)];
-  void site.submit(done, [{ tasks: 2, after: [] }], QUICK);
+  void site.submit(done, [{ tasks: 2, after: [] }], SHORT_RUN);
   for (const id of waiting) {
-    void site.submit(id, [{ tasks: 1, after: [], label: 'none' }], QUICK);
+    void site.submit(id, [{ tasks: 1, after: [], label: 'none' }], SHORT_RUN);
   }
   await site.time.advance(3_000);
   for (const { host } of site.hosts.values()) {
@@ -82,10 +82,10 @@
   const site = await largeDeployment(3);
   site.kill(site.leader());
   const id = idOf(1);
-  void site.submit(id, [{ tasks: 1, after: [] }], QUICK);
+  void site.submit(id, [{ tasks: 1, after: [] }], SHORT_RUN);
   // The asked host notices that the leader is lost and appends by itself.
   await site.time.advance(600);
-  const alive = [...site.hosts.values()].filter(found => found.alive);
+  const alive = [...site.hosts.values()].filter(host => host.alive);
   for (const { host } of alive) {
     const status = host.service.status(id);
     await site.time.advance(20);
@@ -96,8 +96,8 @@
 test('a new standby is chosen after the leader and a standby were lost', async () => {
   const site = await largeDeployment(4);
   const before = await journalReaders(site);
-  const [lost] = [...before].filter(host => host !== site.leader());
-  site.kill(lost ?? '');
+  const [standby] = [...before].filter(host => host !== site.leader());
+  site.kill(standby ?? '');
   site.kill(site.leader());
   await site.time.advance(2_000);
   const { length } = site.log.recordsOf('journal');
@@ -112,11 +112,9 @@
     site.kill(host);
   }
   const id = idOf(1);
-  void site.submit(id, [{ tasks: 1, after: [] }], QUICK);
+  void site.submit(id, [{ tasks: 1, after: [] }], SHORT_RUN);
   await site.time.advance(2_500);
-  for (const { host } of [...site.hosts.values()].filter(
-    found => found.alive,
-  )) {
+  for (const { host } of [...site.hosts.values()].filter(host => host.alive)) {
     const length = host.service.queueLength('checks');
     await site.time.advance(20);
     assert.equal(await length, 1);
@@ -130,28 +128,28 @@
   const site = await largeDeployment(6);
   const ids = Array.from({ length: 5 }, (_, at) => idOf(at));
   for (const id of ids) {
-    void site.submit(id, [{ tasks: 1, after: [] }], ENDLESS);
+    void site.submit(id, [{ tasks: 1, after: [] }], ENDLESS_RUN);
   }
   await site.time.advance(25_000);
   site.configured = true;
-  const late = site.startHost('late', 0.3);
-  const found = await journalReaders(site);
-  assert.ok(!found.has('late'));
-  assert.ok(late.ready());
+  const newHost = site.startHost('late', 0.3);
+  const readers = await journalReaders(site);
+  assert.ok(!readers.has('late'));
+  assert.ok(newHost.ready());
   for (const id of ids) {
-    const asked = late.service.status(id);
+    const pendingStatus = newHost.service.status(id);
     await site.time.advance(20);
-    assert.deepEqual(await asked, { kind: 'known', status: 'running' });
+    assert.deepEqual(await pendingStatus, { kind: 'known', status: 'running' });
   }
 });
 
 test('of many restarted hosts only standbys read the journal', async () => {
   const site = await largeDeployment(10);
   const before = await journalReaders(site);
-  const found = new Set<string>();
+  const readers = new Set<string>();
   site.log.watchReads((host, stream) => {
     if (stream === 'journal') {
-      found.add(host);
+      readers.add(host);
     }
   });
   const others = [...site.hosts.keys()].filter(name => !before.has(name));
@@ -162,7 +160,7 @@
   }
   await site.time.advance(1_000);
   assert.deepEqual(
-    others.filter(name => found.has(name)),
+    others.filter(name => readers.has(name)),
     [],
   );
 });
@@ -172,7 +170,7 @@
   const { host } = site.hosts.get('h20') ?? {};
   void host?.handOver(3_000);
   await site.time.advance(2_200);
-  const job = jobOf(idOf(1), [{ tasks: 1, after: [] }], QUICK);
+  const job = jobOf(idOf(1), [{ tasks: 1, after: [] }], SHORT_RUN);
   const answer = host?.service.submit(job, site.time.clock() + 3_000);
   await site.time.advance(100);
   assert.equal((await answer)?.kind, 'recorded');
@@ -182,35 +180,35 @@
   const site = await largeDeployment(7);
   const id = idOf(1);
   const name = 'h20';
-  void site.submit(id, [{ tasks: 1, after: [] }], QUICK);
+  void site.submit(id, [{ tasks: 1, after: [] }], SHORT_RUN);
   site.log.hostModes.set(name, 'silent');
   await site.time.advance(25_000);
   site.log.trimStream('summary', site.log.recordsOf('summary').length - 20);
   site.log.hostModes.delete(name);
   await site.time.advance(3_000);
-  const asked = site.hosts.get(name)?.host.service.status(id);
+  const pendingStatus = site.hosts.get(name)?.host.service.status(id);
   await site.time.advance(100);
-  assert.deepEqual(await asked, { kind: 'known', status: 'completed' });
+  assert.deepEqual(await pendingStatus, { kind: 'known', status: 'completed' });
 });
 
 test('a host that starts after the log has dropped most records learns of all jobs', async () => {
   const site = await largeDeployment(9);
   const done = idOf(1);
   const open = idOf(2);
-  void site.submit(done, [{ tasks: 2, after: [] }], QUICK);
-  void site.submit(open, [{ tasks: 1, after: [] }], ENDLESS);
+  void site.submit(done, [{ tasks: 2, after: [] }], SHORT_RUN);
+  void site.submit(open, [{ tasks: 1, after: [] }], ENDLESS_RUN);
   await site.time.advance(20_000);
   for (const stream of ['inbox', 'journal', 'summary'] as const) {
     site.log.trimStream(stream, site.log.recordsOf(stream).length - 20);
   }
   site.log.trimStream('snapshot', site.log.recordsOf('snapshot').length - 1);
   site.configured = true;
-  const late = site.startHost('late', 0.3);
+  const newHost = site.startHost('late', 0.3);
   await site.time.advance(1_000);
-  assert.ok(late.ready());
-  const told = [late.service.status(done), late.service.status(open)];
+  assert.ok(newHost.ready());
+  const statuses = [newHost.service.status(done), newHost.service.status(open)];
   await site.time.advance(100);
-  assert.deepEqual(await Promise.all(told), [
+  assert.deepEqual(await Promise.all(statuses), [
     { kind: 'known', status: 'completed' },
     { kind: 'known', status: 'running' },
   ]);
@@ -226,9 +224,9 @@
   await site.time.advance(2_000);
   assert.ok(site.history.isDone(id));
   for (const { host } of site.hosts.values()) {
-    const asked = host.service.status(id);
+    const pendingStatus = host.service.status(id);
     await site.time.advance(1_500);
-    const told = await asked;
-    assert.ok(told.kind !== 'known' || told.status !== 'completed');
+    const status = await pendingStatus;
+    assert.ok(status.kind !== 'known' || status.status !== 'completed');
   }
 });
--- a/packages/daemon/src/job-host/fuzz-plan.fixture.test.ts
+++ b/packages/daemon/src/job-host/fuzz-plan.fixture.test.ts
@@ -117,7 +117,7 @@
 });
 
 /** At most three cores of sixteen each, so that all other jobs find capacity in the end. */
-const lasting = fc.record({
+const longRunning = fc.record({
   at: fc.integer({ min: 0, max: FAULT_PERIOD_MS }),
   tasks: fc.integer({ min: 1, max: 3 }),
   maxPerWorker: fc.constantFrom(undefined, undefined, 1),
@@ -129,7 +129,7 @@
   seed: fc.integer({ min: 1, max: 1_000_000 }),
   jobs: fc.array(job, { minLength: 2, maxLength: 8 }),
   gangs: fc.array(gang, { maxLength: 2 }),
-  lasting: fc.array(lasting, { maxLength: 2 }),
+  lasting: fc.array(longRunning, { maxLength: 2 }),
   faults: fc.array(
     fc.record({ at: fc.integer({ min: 500, max: FAULT_PERIOD_MS }), fault }),
     { minLength: 1, maxLength: 8 },
@@ -197,8 +197,8 @@
         of: { host: found.host },
       };
     case 'log': {
-      const late = found.mode === 'losing' ? MAX_APPEND_DELAY_MS : 0;
-      return { from: at, until: until + late, of: { host: found.host } };
+      const delayMs = found.mode === 'losing' ? MAX_APPEND_DELAY_MS : 0;
+      return { from: at, until: until + delayMs, of: { host: found.host } };
     }
     case 'stream':
       return { from: at, until, of: 'log' };
@@ -229,34 +229,36 @@
 export function jobRequestsOf({
   jobs,
   gangs,
-  lasting: standing,
+  lasting: longRunningJobs,
 }: Scenario): JobRequest[] {
-  const plain = jobs.map(asked => ({
-    ...asked,
-    steps: asked.widths.map((tasks, step) => ({
+  const shortJobs = jobs.map(request => ({
+    ...request,
+    steps: request.widths.map((tasks, step) => ({
       tasks,
       after: step === 0 ? [] : [step - 1],
-      speculative: asked.speculative,
-      label: asked.label,
-      maxPerWorker: asked.maxPerWorker,
+      speculative: request.speculative,
+      label: request.label,
+      maxPerWorker: request.maxPerWorker,
     })),
-    script: { runMs: asked.runMs, failures: asked.failures },
+    script: { runMs: request.runMs, failures: request.failures },
     ends: true,
   }));
-  const together = gangs.map(({ tasks, runMs, failures, ...asked }) => ({
-    ...asked,
+  const gangJobs = gangs.map(({ tasks, runMs, failures, ...request }) => ({
+    ...request,
     steps: [{ tasks, after: [], gang: true }],
     script: { runMs, failures, gang: tasks },
     ends: true,
   }));
-  const endless = standing.map(({ tasks, maxPerWorker, ...asked }) => ({
-    ...asked,
-    steps: [{ tasks, after: [], lasting: true, maxPerWorker }],
-    script: { runMs: 10_000_000, failures: 0 },
-    ends: false,
-  }));
-  return [...plain, ...together, ...endless].map((asked, index) => ({
-    ...asked,
+  const endlessJobs = longRunningJobs.map(
+    ({ tasks, maxPerWorker, ...request }) => ({
+      ...request,
+      steps: [{ tasks, after: [], lasting: true, maxPerWorker }],
+      script: { runMs: 10_000_000, failures: 0 },
+      ends: false,
+    }),
+  );
+  return [...shortJobs, ...gangJobs, ...endlessJobs].map((request, index) => ({
+    ...request,
     id: index.toString(16).padStart(16, '0'),
   }));
 }
--- a/packages/daemon/src/job-host/inbox-sender.test.ts
+++ b/packages/daemon/src/job-host/inbox-sender.test.ts
@@ -80,17 +80,17 @@
   assert.equal(site.peers.appends, before);
 });
 
-/** Returns a sender whose leader answers with `taken`. */
+/** Returns a sender whose leader answers with `leaderResult`. */
 function senderOf(
   time: VirtualTime,
   log: MemoryJobLog,
-  taken: AppendResult,
+  leaderResult: AppendResult,
 ): InboxSender {
   return new InboxSender({
     ctx: testContext(time),
     jobLog: log.connect('h'),
     view: () => ({ contactAt: time.clock() }) as CallerView,
-    leader: () => () => Promise.resolve(taken),
+    leader: () => () => Promise.resolve(leaderResult),
   });
 }
 
@@ -110,8 +110,8 @@
   const time = createVirtualTime();
   const log = new MemoryJobLog({ ...time, random: () => 0.5 });
   log.appendMs = SLOW_APPEND_MS;
-  const group = new AppendBatcher(testContext(time), log.connect('h'));
-  const appends = Array.from({ length: 50 }, () => group.append(RECORD));
+  const batcher = new AppendBatcher(testContext(time), log.connect('h'));
+  const appends = Array.from({ length: 50 }, () => batcher.append(RECORD));
   await time.advance(3 * SLOW_APPEND_MS);
   const offsets = (await Promise.all(appends)).map(found =>
     found.kind === 'appended' ? found.offset : -1,
@@ -126,9 +126,9 @@
   const time = createVirtualTime();
   const log = new MemoryJobLog({ ...time, random: () => 0.5 });
   log.appendMs = 600;
-  const group = new AppendBatcher(testContext(time), log.connect('h'));
+  const batcher = new AppendBatcher(testContext(time), log.connect('h'));
   for (let at = 0; at < 8; at += 1) {
-    void group.append(RECORD);
+    void batcher.append(RECORD);
     await time.advance(700);
   }
   await time.advance(2_000);
--- a/packages/daemon/src/job-host/job-host.fuzz.test.ts
+++ b/packages/daemon/src/job-host/job-host.fuzz.test.ts
@@ -125,9 +125,9 @@
 
 async function submitAndCancel(
   site: Simulation,
-  asked: JobRequest,
+  request: JobRequest,
 ): Promise<void> {
-  const { id, steps, script, cancelAfter } = asked;
+  const { id, steps, script, cancelAfter } = request;
   await site.submit(id, steps, script);
   if (cancelAfter !== null) {
     await site.wait(cancelAfter);
@@ -186,9 +186,9 @@
 
 async function runScenario(
   found: Scenario,
-  crowd = 0,
+  largeHosts = 0,
   late: readonly LateAnswers[] = [],
-  beside?: (site: Simulation) => void,
+  alsoRun?: (site: Simulation) => void,
   keepsIds = false,
 ): Promise<Simulation> {
   const site = new Simulation(found.seed, { keepsIds });
@@ -200,25 +200,25 @@
   });
   // With many larger hosts, the hosts that faults and queries are aimed at follow the summary most
   // of the time.
-  HOSTS.forEach(name => site.startHost(name, crowd > 0 ? 0.6 : 1));
-  for (let at = 0; at < crowd; at += 1) {
+  HOSTS.forEach(name => site.startHost(name, largeHosts > 0 ? 0.6 : 1));
+  for (let at = 0; at < largeHosts; at += 1) {
     site.startHost(`c${at}`, at % 2 === 0 ? 1.3 : 0.5);
   }
-  for (const asked of jobRequestsOf(found)) {
-    site.time.schedule(asked.at, () => {
-      void submitAndCancel(site, asked);
+  for (const request of jobRequestsOf(found)) {
+    site.time.schedule(request.at, () => {
+      void submitAndCancel(site, request);
     });
   }
-  for (const { at, fault: struck } of found.faults) {
-    times.add(faultTimeOf(begin + at, struck));
+  for (const { at, fault: injected } of found.faults) {
+    times.add(faultTimeOf(begin + at, injected));
     site.time.schedule(at, () => {
-      injectFault(site, struck);
+      injectFault(site, injected);
     });
   }
   late.forEach(answers => {
     delayPolls(site, answers);
   });
-  beside?.(site);
+  alsoRun?.(site);
   void queryRepeatedly(site);
   await site.time.advance(FAULT_PERIOD_MS + RECOVERY_MS);
   return site;
@@ -332,30 +332,30 @@
 
 // Delayed orders are left out: an order that arrives before the first answer of a worker has its
 // own test.
-const underRestarts = fc.asyncProperty(
+const restartProperty = fc.asyncProperty(
   scenario,
   quickRestarts,
   async (found, restarts) => {
     const faults = found.faults.filter(({ fault }) => fault.kind !== 'late');
     const drawn = { ...found, faults };
-    const beside = (site: Simulation): void => {
+    const alsoRun = (site: Simulation): void => {
       restarts.forEach(restart => {
         scheduleRestart(site, restart);
       });
     };
-    assertGuarantees(await runScenario(drawn, 0, [], beside, true), drawn);
+    assertGuarantees(await runScenario(drawn, 0, [], alsoRun, true), drawn);
   },
 );
 
 test('guarantees hold under random faults with workers that restart under their ids', async () => {
-  await fc.assert(underRestarts, fuzzOptions(12, 20261207));
+  await fc.assert(restartProperty, fuzzOptions(12, 20261207));
 });
 
 // Guards against a healthy long-running task that is abandoned because its workers happen to
 // restart.
 test('no healthy task is abandoned when workers restart up to six times', async () => {
   for (const found of RESTART_SCENARIOS) {
-    await fc.assert(underRestarts, { ...found, numRuns: 1 });
+    await fc.assert(restartProperty, { ...found, numRuns: 1 });
   }
 });
 
--- a/packages/daemon/src/job-host/job-service.test.ts
+++ b/packages/daemon/src/job-host/job-service.test.ts
@@ -39,11 +39,11 @@
 
   /** Keeps reading the journal, as a follower does. */
   async follow(): Promise<void> {
-    const readOn = (): void => {
+    const keepReading = (): void => {
       void this.replica.refresh('journal');
-      this.time.schedule(300, readOn);
+      this.time.schedule(300, keepReading);
     };
-    readOn();
+    keepReading();
     await this.time.advance(100);
   }
 
@@ -71,9 +71,9 @@
   }
 
   async status(): Promise<StatusResult> {
-    const asked = this.service.status(ID);
+    const pending = this.service.status(ID);
     await this.time.advance(2_000);
-    return asked;
+    return pending;
   }
 }
 
@@ -107,13 +107,13 @@
   id: string,
   afterMs: number,
 ): Promise<string> {
-  let told = 'nothing';
+  let outcome = 'nothing';
   const job = jobOf(id, [{ tasks: 1, after: [] }], { runMs: 1, failures: 0 });
   void service.submit(job, time.clock() + 3_000).then(({ kind }) => {
-    told = kind;
+    outcome = kind;
   });
   await time.advance(afterMs);
-  return told;
+  return outcome;
 }
 
 test('callers are refused at once while the inbox resets connections', async () => {
--- a/packages/daemon/src/job-host/loop-delay.test.ts
+++ b/packages/daemon/src/job-host/loop-delay.test.ts
@@ -46,9 +46,9 @@
     });
   }
 
-  /** Fires the pending timer `late` milliseconds after it was due. */
-  fire(late: Millis): void {
-    this.now = this.dueAt + late;
+  /** Fires the pending timer `delay` milliseconds after it was due. */
+  fire(delay: Millis): void {
+    this.now = this.dueAt + delay;
     this.task?.();
   }
 
@@ -59,8 +59,8 @@
 
 test('each sample is the delay of its timer', () => {
   const loop = new SimulatedLoop();
-  for (const late of [0, 3, 700, 0]) {
-    loop.fire(late);
+  for (const delay of [0, 3, 700, 0]) {
+    loop.fire(delay);
   }
   assert.deepEqual(loop.delays, [0, 3, 700, 0]);
   assert.equal(loop.now, 4 * LOOP_SAMPLE_INTERVAL_MS + 703);
@@ -88,9 +88,9 @@
   for (let sample = 0; sample < 100; sample += 1) {
     loop.fire(501);
   }
-  const untold = loop.lines.reduce((sum, line) => sum + line.untold, 0);
+  const suppressed = loop.lines.reduce((sum, line) => sum + line.untold, 0);
   assert.equal(loop.lines.length, 50);
-  assert.equal(untold, 49);
+  assert.equal(suppressed, 49);
   assert.equal(loop.delays.length, 100);
 });
 
--- a/packages/daemon/src/job-host/meters.test.ts
+++ b/packages/daemon/src/job-host/meters.test.ts
@@ -14,9 +14,12 @@
   return (await registry.metrics()).split('\n');
 }
 
-function assertHas(lines: readonly string[], wanted: readonly string[]): void {
+function assertHas(
+  lines: readonly string[],
+  expected: readonly string[],
+): void {
   assert.deepEqual(
-    wanted.filter(line => !lines.includes(line)),
+    expected.filter(line => !lines.includes(line)),
     [],
   );
 }
--- a/packages/daemon/src/job-host/model/leader-steps.fixture.test.ts
+++ b/packages/daemon/src/job-host/model/leader-steps.fixture.test.ts
@@ -128,9 +128,9 @@
   lead: LeaderState,
 ): JournalRecord {
   const workers = silentWorkers(lead).flatMap(at => {
-    const left = leaseOf(state, host, lead, at).endsBy - state.now;
-    const told = [WORKER_NAMES[at === 0 ? 0 : 1], Math.ceil(left)] as const;
-    return left < Infinity ? [told] : [];
+    const leftMs = leaseOf(state, host, lead, at).endsBy - state.now;
+    const entry = [WORKER_NAMES[at === 0 ? 0 : 1], Math.ceil(leftMs)] as const;
+    return leftMs < Infinity ? [entry] : [];
   });
   const heldMs = horizonOf(lead, state.now) - state.now + HORIZON_SLACK_MS;
   const { epoch } = lead;
--- a/packages/daemon/src/job-host/model/steps.fixture.test.ts
+++ b/packages/daemon/src/job-host/model/steps.fixture.test.ts
@@ -174,7 +174,7 @@
       ),
     ];
   }
-  const late = [...state.messages, message];
+  const messages = [...state.messages, message];
   return [
     regularStep(what, () => {
       const done = carryOut(state, message, fault);
@@ -184,7 +184,7 @@
       answered(carryOut(state, message, fault).state, 'unknown'),
     ),
     disruptionStep('message', `${what}, delayed`, () =>
-      answered({ ...state, messages: late }, 'unknown'),
+      answered({ ...state, messages }, 'unknown'),
     ),
   ];
 }
@@ -264,7 +264,7 @@
   }
   const { journal, kind } = append(state.journal, claim);
   const claimed: State = { ...state, journal };
-  const late = [...state.delayedAppends, claim];
+  const delayedAppends = [...state.delayedAppends, claim];
   return [
     ...(kind === 'appended'
       ? [
@@ -283,7 +283,7 @@
       `${name} claims epoch ${claim.epoch}, delayed`,
       () => ({
         ...state,
-        delayedAppends: late,
+        delayedAppends,
       }),
     ),
   ];
@@ -523,11 +523,13 @@
 }
 
 function delayedAppendSteps(state: State): Step[] {
-  return state.delayedAppends.map(late => {
-    const delayedAppends = state.delayedAppends.filter(other => other !== late);
-    const { journal } = append(state.journal, late);
+  return state.delayedAppends.map(delayed => {
+    const delayedAppends = state.delayedAppends.filter(
+      other => other !== delayed,
+    );
+    const { journal } = append(state.journal, delayed);
     return regularStep(
-      `the delayed append of epoch ${late.epoch} is carried out`,
+      `the delayed append of epoch ${delayed.epoch} is carried out`,
       () => ({
         ...state,
         journal,
--- a/packages/daemon/src/job-host/relay/full-link.test.ts
+++ b/packages/daemon/src/job-host/relay/full-link.test.ts
@@ -35,9 +35,9 @@
     site.startHost(`h${at}`);
   }
   await site.time.advance(5_000);
-  const lasting = [{ tasks: LONG_RUNNING_TASKS, after: [], lasting: true }];
-  const endless = { runMs: 10_000_000, failures: 0, payload: PAYLOAD };
-  void site.submit(LONG_RUNNING_JOB, lasting, endless);
+  const longRunning = [{ tasks: LONG_RUNNING_TASKS, after: [], lasting: true }];
+  const script = { runMs: 10_000_000, failures: 0, payload: PAYLOAD };
+  void site.submit(LONG_RUNNING_JOB, longRunning, script);
   void submitJobs(site);
   await site.time.advance(JOBS * JOB_EVERY_MS + 10_000);
 }
@@ -64,8 +64,8 @@
     await runBusy(site);
     const { history } = site;
     const ids = Array.from({ length: JOBS }, (_, at) => idOf(at));
-    const late = ids.filter(id => !history.isDone(id));
-    assert.deepEqual(late, [], `seed ${seed}`);
+    const unfinished = ids.filter(id => !history.isDone(id));
+    assert.deepEqual(unfinished, [], `seed ${seed}`);
     assert.equal(
       history.runningOf(LONG_RUNNING_JOB),
       LONG_RUNNING_TASKS,
--- a/packages/daemon/src/job-host/relay/link-budget.test.ts
+++ b/packages/daemon/src/job-host/relay/link-budget.test.ts
@@ -10,8 +10,8 @@
 test('a budget admits the bytes saved up in one second', async () => {
   const time = createVirtualTime();
   const budget = new LinkBudget(time.clock, BYTES_PER_S);
-  const taken = Array.from({ length: 12 }, () => budget.tryTake(1_000));
-  assert.equal(taken.filter(Boolean).length, 10);
+  const admitted = Array.from({ length: 12 }, () => budget.tryTake(1_000));
+  assert.equal(admitted.filter(Boolean).length, 10);
   await time.advance(10_000);
   assert.ok(budget.tryTake(10_000));
   assert.ok(!budget.tryTake(1));
@@ -22,13 +22,13 @@
 test('a budget admits nothing during a sustained overload', async () => {
   const time = createVirtualTime();
   const budget = new LinkBudget(time.clock, BYTES_PER_S);
-  let taken = 0;
+  let admitted = 0;
   for (let at = 0; at < 200; at += 1) {
     await time.advance(50);
-    taken += budget.tryTake(1_000) ? 1 : 0;
+    admitted += budget.tryTake(1_000) ? 1 : 0;
   }
   // The second that was saved up, at twenty a second.
-  assert.ok(taken <= 20, `${taken} of 200`);
+  assert.ok(admitted <= 20, `${admitted} of 200`);
 });
 
 test('a budget recovers soon after an overload', async () => {
--- a/packages/daemon/src/job-host/relay/link-pace.test.ts
+++ b/packages/daemon/src/job-host/relay/link-pace.test.ts
@@ -14,34 +14,34 @@
  * are not admitted.
  */
 async function waitsOf(
-  pace: LinkPacer,
+  pacer: LinkPacer,
   time: VirtualTime,
   count: number,
   bytes: number,
 ): Promise<(number | undefined)[]> {
   const cameAt = time.clock();
-  const turns = Array.from({ length: count }, async () => {
-    const hasTurn = await pace.admit(bytes);
+  const waits = Array.from({ length: count }, async () => {
+    const hasTurn = await pacer.admit(bytes);
     return hasTurn ? Math.round(time.clock() - cameAt) : undefined;
   });
   await time.advance(5_000);
-  return Promise.all(turns);
+  return Promise.all(waits);
 }
 
 test('starts are admitted at the pace of the link after an initial burst', async () => {
   const time = createVirtualTime();
-  const pace = new LinkPacer(testContext(time), BYTES_PER_S);
-  const turns = await waitsOf(pace, time, 9, 1_000);
-  assert.deepEqual(turns, [0, 0, 0, 0, 0, 0, 100, 200, 300]);
+  const pacer = new LinkPacer(testContext(time), BYTES_PER_S);
+  const waits = await waitsOf(pacer, time, 9, 1_000);
+  assert.deepEqual(waits, [0, 0, 0, 0, 0, 0, 100, 200, 300]);
 });
 
 // If sent, they would delay polls and appends until workers seem silent.
 test('starts that would wait too long are not admitted', async () => {
   const time = createVirtualTime();
-  const pace = new LinkPacer(testContext(time), BYTES_PER_S);
-  const turns = await waitsOf(pace, time, 20, 1_000);
-  assert.equal(turns.filter(turn => turn !== undefined).length, 16);
-  assert.ok(turns.every(turn => turn === undefined || turn <= 1_000));
+  const pacer = new LinkPacer(testContext(time), BYTES_PER_S);
+  const waits = await waitsOf(pacer, time, 20, 1_000);
+  assert.equal(waits.filter(wait => wait !== undefined).length, 16);
+  assert.ok(waits.every(wait => wait === undefined || wait <= 1_000));
 });
 
 test('few starts are in flight on a slow link, any number on an unlimited one', async () => {
--- a/packages/daemon/src/job-host/relay/overload-site.fixture.test.ts
+++ b/packages/daemon/src/job-host/relay/overload-site.fixture.test.ts
@@ -54,7 +54,7 @@
 /** A deployment and the jobs that its callers submitted. */
 export class OverloadedDeployment {
   readonly site: Simulation;
-  readonly asked: SubmittedJob[] = [];
+  readonly submitted: SubmittedJob[] = [];
 
   /** Creates a deployment whose randomness is derived from `seed`. */
   constructor(seed: number, linkBytesPerS = LINK_BYTES_PER_S) {
@@ -128,11 +128,13 @@
   /** Returns the share of jobs submitted from `from` to `until` that did not start in time. */
   lateShare(from: Instant, until: Instant): number {
     const begins = this.site.history.firstStarts();
-    const asked = this.asked.filter(({ at }) => at >= from && at < until);
-    const late = asked.filter(
+    const submitted = this.submitted.filter(
+      ({ at }) => at >= from && at < until,
+    );
+    const late = submitted.filter(
       ({ id, at }) => (begins.get(id) ?? Infinity) - at > DEADLINE_MS,
     );
-    return late.length / Math.max(1, asked.length);
+    return late.length / Math.max(1, submitted.length);
   }
 
   /** Asserts that jobs of this period start as promptly as callers are promised. */
@@ -147,8 +149,10 @@
   /** Asserts that all jobs are done, long-running tasks run and no guarantee was broken. */
   assertAllDone(note: string): void {
     const { history } = this.site;
-    const left = history.unfinished().filter(id => id !== LONG_RUNNING_JOB);
-    assert.deepEqual(left, [], note);
+    const unfinished = history
+      .unfinished()
+      .filter(id => id !== LONG_RUNNING_JOB);
+    assert.deepEqual(unfinished, [], note);
     assert.equal(history.runningOf(LONG_RUNNING_JOB), LONG_RUNNING_TASKS, note);
     assert.deepEqual(history.check(), [], note);
     assert.ok(this.site.peers.relays > 0, note);
@@ -160,8 +164,8 @@
   }
 
   private submitJob(): void {
-    const id = `b${this.asked.length.toString(16).padStart(15, '0')}`;
-    this.asked.push({ id, at: this.site.time.clock() });
+    const id = `b${this.submitted.length.toString(16).padStart(15, '0')}`;
+    this.submitted.push({ id, at: this.site.time.clock() });
     const steps = [{ tasks: JOB_TASKS, after: [] }];
     const script = { runMs: RUN_MS, failures: 0, payload: PAYLOAD };
     void this.site.submit(id, steps, script);
--- a/packages/daemon/src/job-host/relay/relay-site.fixture.test.ts
+++ b/packages/daemon/src/job-host/relay/relay-site.fixture.test.ts
@@ -94,8 +94,8 @@
   const { history } = site;
   assert.deepEqual(history.check(), [], note);
   const all = Array.from({ length: SHORT_JOBS }, (_, at) => at);
-  const asked = all.filter(at => at % CANCEL_EACH !== 0).map(shortJob);
-  const unfinished = asked.filter(id => !history.isDone(id));
+  const expected = all.filter(at => at % CANCEL_EACH !== 0).map(shortJob);
+  const unfinished = expected.filter(id => !history.isDone(id));
   assert.deepEqual(unfinished, [], note);
   assert.equal(history.runningOf(LONG_RUNNING_JOB), LONG_RUNNING_TASKS, note);
   assert.ok(site.peers.relays > 0, note);
--- a/packages/daemon/src/job-host/relay/relayed-starts.test.ts
+++ b/packages/daemon/src/job-host/relay/relayed-starts.test.ts
@@ -90,9 +90,9 @@
   private readonly peers: PeerPort = {
     append: () => Promise.resolve({ kind: 'unknown', reason: 'none' }),
     identify: address => {
-      const gone = this.answers.get(address)?.kind === 'failed';
+      const isSilent = this.answers.get(address)?.kind === 'failed';
       const found = { process: `of ${address}`, clock: this.remoteClock() };
-      return Promise.resolve(gone ? undefined : found);
+      return Promise.resolve(isSilent ? undefined : found);
     },
     relay: (address, batch, { onAccepted, onOutcome }) => {
       this.sentBy.push(address);
@@ -209,9 +209,9 @@
   site.answerLagMs = 250;
   await site.sendOne('w');
   await site.sendOne('w');
-  const late = site.latestSendTimes();
-  assert.equal(late.length, 2);
-  assert.ok(late.every((at, turn) => at >= 10 + 300 + 100 * turn));
+  const sendTimes = site.latestSendTimes();
+  assert.equal(sendTimes.length, 2);
+  assert.ok(sendTimes.every((at, turn) => at >= 10 + 300 + 100 * turn));
   // The bound is kept only for seconds, since a machine may have been suspended meanwhile.
   await site.time.advance(3_000);
   await site.sendToAll(workersOf(2 * RELAYS.length));
