--- a/packages/daemon/src/job-host/job-host.test.ts
+++ b/packages/daemon/src/job-host/job-host.test.ts
@@ -7,7 +7,7 @@
   { tasks: 3, after: [] },
   { tasks: 2, after: [0] },
 ];
-const QUICK = { runMs: 400, failures: 0 };
+const SHORT_RUN = { runMs: 400, failures: 0 };
 
 function smallSite(seed: number): Simulation {
   const site = new Simulation(seed);
@@ -29,21 +29,21 @@
 
 test('runs the steps of a job in order and reports it as completed', async () => {
   const site = smallSite(1);
-  void site.submit('00000000000000a1', TWO_STEPS, QUICK);
+  void site.submit('00000000000000a1', TWO_STEPS, SHORT_RUN);
   await site.time.advance(6_000);
   assert.ok(site.history.isDone('00000000000000a1'));
   assert.deepEqual(site.history.check(), []);
   for (const { host } of site.hosts.values()) {
-    const asked = host.service.status('00000000000000a1');
+    const pending = host.service.status('00000000000000a1');
     await site.time.advance(100);
-    assert.deepEqual(await asked, { kind: 'known', status: 'completed' });
+    assert.deepEqual(await pending, { kind: 'known', status: 'completed' });
   }
 });
 
 test('a repeated submission creates one job', async () => {
   const site = smallSite(2);
-  void site.submit('00000000000000a2', TWO_STEPS, QUICK);
-  void site.submit('00000000000000a2', TWO_STEPS, QUICK);
+  void site.submit('00000000000000a2', TWO_STEPS, SHORT_RUN);
+  void site.submit('00000000000000a2', TWO_STEPS, SHORT_RUN);
   await site.time.advance(6_000);
   assert.deepEqual(site.history.check(), []);
   assert.ok(site.history.isDone('00000000000000a2'));
@@ -126,9 +126,9 @@
   });
   await site.time.advance(8_000);
   const host = site.hosts.get('h1')?.host;
-  const asked = host?.service.status('00000000000000a8');
+  const pending = host?.service.status('00000000000000a8');
   await site.time.advance(100);
-  assert.deepEqual(await asked, {
+  assert.deepEqual(await pending, {
     kind: 'known',
     status: 'failed',
     failure: 'attempts_spent',
@@ -152,9 +152,9 @@
 test('an unknown job is reported as unknown', async () => {
   const site = smallSite(10);
   await site.time.advance(1_000);
-  const asked = site.hosts.get('h2')?.host.service.status('00000000000000ff');
+  const pending = site.hosts.get('h2')?.host.service.status('00000000000000ff');
   await site.time.advance(100);
-  assert.deepEqual(await asked, { kind: 'no_such_job' });
+  assert.deepEqual(await pending, { kind: 'no_such_job' });
 });
 
 test('a host that is cut off from the log refuses at once', async () => {
@@ -164,9 +164,9 @@
   await site.time.advance(4_000);
   const service = site.hosts.get('h1')?.host.service;
   const before = site.time.clock();
-  const asked = service?.cancel('00000000000000ff', before + 3_000);
+  const pending = service?.cancel('00000000000000ff', before + 3_000);
   await site.time.advance(2_000);
-  assert.equal((await asked)?.kind, 'refused');
+  assert.equal((await pending)?.kind, 'refused');
   assert.equal(site.hosts.get('h1')?.host.ready(), false);
 });
 
@@ -229,9 +229,9 @@
   const first = site.leader();
   const other = [...site.hosts].find(([name]) => name !== first)?.[1].host;
   site.freeze(first, 3_400);
-  const asked = other?.service.cancel(id, site.time.clock() + 3_000);
+  const pending = other?.service.cancel(id, site.time.clock() + 3_000);
   await site.time.advance(100);
-  assert.equal((await asked)?.kind, 'recorded');
+  assert.equal((await pending)?.kind, 'recorded');
   site.history.jobs.set(id, {
     steps: [{ tasks: 2, after: [] }],
     maxAttempts: 3,
@@ -244,7 +244,7 @@
 test('a start that was recorded late is not sent after its job was cancelled', async () => {
   const site = smallSite(15);
   await site.time.advance(2_000);
-  void site.submit('0000000000000015', [{ tasks: 2, after: [] }], QUICK);
+  void site.submit('0000000000000015', [{ tasks: 2, after: [] }], SHORT_RUN);
   await site.time.advance(10);
   site.log.streamModes.set('journal', 'refusing');
   await site.time.advance(500);
@@ -286,7 +286,7 @@
 test('the outcome of a job is known after its records were dropped', async () => {
   const site = smallSite(28);
   const id = '0000000000000028';
-  void site.submit(id, TWO_STEPS, QUICK);
+  void site.submit(id, TWO_STEPS, SHORT_RUN);
   await site.time.advance(6_000);
   assert.ok(site.history.isDone(id));
   const dropped = site.log.recordsOf('journal').length;
@@ -294,19 +294,19 @@
   site.log.trimTo(dropped);
   restartAll(site);
   await site.time.advance(4_000);
-  const asked = site.hosts.get('h2')?.host.service.status(id);
+  const pending = site.hosts.get('h2')?.host.service.status(id);
   await site.time.advance(100);
-  assert.deepEqual(await asked, { kind: 'known', status: 'completed' });
+  assert.deepEqual(await pending, { kind: 'known', status: 'completed' });
 });
 
 test('a job that finished long ago is removed', async () => {
   const site = smallSite(17);
   const id = '0000000000000017';
-  void site.submit(id, TWO_STEPS, QUICK);
+  void site.submit(id, TWO_STEPS, SHORT_RUN);
   await site.time.advance(60_000);
-  const asked = site.hosts.get('h1')?.host.service.status(id);
+  const pending = site.hosts.get('h1')?.host.service.status(id);
   await site.time.advance(100);
-  assert.deepEqual(await asked, { kind: 'no_such_job' });
+  assert.deepEqual(await pending, { kind: 'no_such_job' });
 });
 
 test('a host leads even if no record of the previous epochs is left', async () => {
@@ -320,7 +320,7 @@
   site.startHost('h1');
   await site.time.advance(5_000);
   assert.equal(site.leader(), 'h1');
-  void site.submit('0000000000000018', TWO_STEPS, QUICK);
+  void site.submit('0000000000000018', TWO_STEPS, SHORT_RUN);
   await site.time.advance(5_000);
   assert.ok(site.history.isDone('0000000000000018'));
 });
@@ -330,10 +330,10 @@
   await site.time.advance(2_000);
   const service = site.hosts.get('h1')?.host.service;
   site.log.hostModes.set('h1', 'silent');
-  const job = jobOf('0000000000000019', TWO_STEPS, QUICK);
-  const asked = service?.submit(job, site.time.clock() + 3_000);
+  const job = jobOf('0000000000000019', TWO_STEPS, SHORT_RUN);
+  const pending = service?.submit(job, site.time.clock() + 3_000);
   await site.time.advance(1_400);
-  assert.equal((await asked)?.kind, 'unknown');
+  assert.equal((await pending)?.kind, 'unknown');
 });
 
 test('a lost answer costs a second append, not the request', async () => {
@@ -341,10 +341,10 @@
   await site.time.advance(2_000);
   const service = site.hosts.get('h1')?.host.service;
   site.log.unansweredAppends = 1;
-  const job = jobOf('0000000000000020', TWO_STEPS, QUICK);
-  const asked = service?.submit(job, site.time.clock() + 3_000);
+  const job = jobOf('0000000000000020', TWO_STEPS, SHORT_RUN);
+  const pending = service?.submit(job, site.time.clock() + 3_000);
   await site.time.advance(600);
-  assert.equal((await asked)?.kind, 'recorded');
+  assert.equal((await pending)?.kind, 'recorded');
   await site.time.advance(6_000);
   assert.deepEqual(site.history.check(), []);
 });
@@ -390,7 +390,7 @@
   assert.ok(w1);
   w1.hanging = true;
   const steps = [{ tasks: 6, after: [], speculative: true, estimateMs: 400 }];
-  void site.submit(id, steps, QUICK);
+  void site.submit(id, steps, SHORT_RUN);
   await site.time.advance(2_700);
   assert.ok(site.history.isDone(id));
   await site.time.advance(4_000);
@@ -455,7 +455,7 @@
   site.startHost('h1');
   await site.time.advance(2_500);
   site.fleet.cuts.add('h1>w1');
-  void site.submit('0000000000000027', [{ tasks: 8, after: [] }], QUICK);
+  void site.submit('0000000000000027', [{ tasks: 8, after: [] }], SHORT_RUN);
   await site.time.advance(1_800);
   const done = site.log
     .recordsOf('journal')
--- a/packages/daemon/src/job-host/simulated-network.fixture.test.ts
+++ b/packages/daemon/src/job-host/simulated-network.fixture.test.ts
@@ -61,13 +61,13 @@
       bytes: number,
       call: () => Promise<OrderResult>,
     ): Promise<OrderResult> => {
-      const gaveUp = sleepIn(this.time, ORDER_TIMEOUT_MS).then(
+      const timedOut = sleepIn(this.time, ORDER_TIMEOUT_MS).then(
         (): OrderResult => ({
           kind: 'unknown',
           reason: 'timeout',
         }),
       );
-      return Promise.race([this.carry(bytes).then(call), gaveUp]);
+      return Promise.race([this.carry(bytes).then(call), timedOut]);
     };
     return {
       ...port,
@@ -127,26 +127,29 @@
           return this.pause(PEER_ACCEPT_TIMEOUT_MS).then(() => unknown);
         }
         this.appends += 1;
-        const gaveUp = this.pause(PEER_APPEND_TIMEOUT_MS).then(() => unknown);
-        return Promise.race([found.host.appendForPeer(records), gaveUp]);
+        const timedOut = this.pause(PEER_APPEND_TIMEOUT_MS).then(() => unknown);
+        return Promise.race([found.host.appendForPeer(records), timedOut]);
       },
       relay: (address, batch, watch) => {
         this.relays += batch.starts.length;
         return new Promise(resolve => {
-          const notTaken = this.time.schedule(watch.takenWithinMs, () => {
-            resolve(UNANSWERED);
-          });
-          const gaveUp = this.pause(watch.takenWithinMs + RELAY_TIMEOUT_MS);
-          void gaveUp.then(() => {
+          const cancelAcceptTimeout = this.time.schedule(
+            watch.takenWithinMs,
+            () => {
+              resolve(UNANSWERED);
+            },
+          );
+          const timedOut = this.pause(watch.takenWithinMs + RELAY_TIMEOUT_MS);
+          void timedOut.then(() => {
             resolve(UNANSWERED);
           });
           const onAccepted: RelayObserver['onAccepted'] = by => {
-            notTaken();
+            cancelAcceptTimeout();
             watch.onAccepted(by);
           };
-          const more = batch.starts.length - 1;
+          const furtherStarts = batch.starts.length - 1;
           void link
-            .carry(CALL_BYTES + more * START_ROW_BYTES)
+            .carry(CALL_BYTES + furtherStarts * START_ROW_BYTES)
             .then(() =>
               this.relay(name, address, batch, { ...watch, onAccepted }),
             )
@@ -177,26 +180,26 @@
     if (found === undefined) {
       return new Promise(() => undefined);
     }
-    const answers = (tell: () => void): void => {
+    const sendAnswer = (deliver: () => void): void => {
       void this.pause(PEER_LATENCY_MS).then(() => {
         if (this.reach(from, to) === found) {
-          tell();
+          deliver();
         }
       });
     };
     return new Promise(resolve => {
       found.process.schedule(0, () => {
         const by = found.host.identifyForPeer();
-        answers(() => {
+        sendAnswer(() => {
           watch.onAccepted(by);
         });
         const onOutcome: RelayObserver['onOutcome'] = (at, outcome) => {
-          answers(() => {
+          sendAnswer(() => {
             watch.onOutcome(at, outcome);
           });
         };
         void found.host.relayForPeer(batch, onOutcome).then(() => {
-          answers(() => {
+          sendAnswer(() => {
             resolve({ kind: 'ended' });
           });
         });
--- a/packages/daemon/src/job-host/simulated-process.fixture.test.ts
+++ b/packages/daemon/src/job-host/simulated-process.fixture.test.ts
@@ -76,9 +76,9 @@
 
   private guardCallback(arg: unknown): unknown {
     if (typeof arg === 'function') {
-      return (...told: unknown[]): void => {
+      return (...results: unknown[]): void => {
         this.run(() => {
-          Reflect.apply(arg, undefined, told);
+          Reflect.apply(arg, undefined, results);
         });
       };
     }
--- a/packages/daemon/src/job-host/simulated-wire.fixture.test.ts
+++ b/packages/daemon/src/job-host/simulated-wire.fixture.test.ts
@@ -56,13 +56,13 @@
  * their acceptance.
  */
 const RELAY_TIMEOUT_MS: Millis = 900;
-const IDENTIFY_TIMEOUTS = { taken: 1_000, answered: 1_000 };
-const APPEND_TIMEOUTS = { taken: 80, answered: 1_200 };
+const IDENTIFY_TIMEOUTS = { acceptedMs: 1_000, answeredMs: 1_000 };
+const APPEND_TIMEOUTS = { acceptedMs: 80, answeredMs: 1_200 };
 const APPEND_CONNECTIONS = 4;
 
 interface CallTimeouts {
-  readonly taken: Millis;
-  readonly answered: Millis;
+  readonly acceptedMs: Millis;
+  readonly answeredMs: Millis;
 }
 
 /** Connections to one host, each of which carries one call at a time. */
@@ -86,9 +86,9 @@
     return isNew;
   }
 
-  release(isSound: boolean): void {
+  release(isHealthy: boolean): void {
     this.busy -= 1;
-    this.idle += isSound ? 1 : 0;
+    this.idle += isHealthy ? 1 : 0;
     this.waiting.shift()?.();
   }
 }
@@ -134,16 +134,16 @@
         order(START_BYTES + start.payload.length, () => port.start(to, start)),
       stop: (to, run) => order(ORDER_BYTES, () => port.stop(to, run)),
       throttle: (to, run) => order(ORDER_BYTES, () => port.throttle(to, run)),
-      poll: async (to, look, takeLate) => {
+      poll: async (to, poll, takeLate) => {
         const answer = this.out
           .carry(CALL_HEAD_BYTES + POLL_BYTES)
-          .then(() => port.poll(to, look, takeLate))
+          .then(() => port.poll(to, poll, takeLate))
           .then(async res => {
             await this.into.carry(sizeOfPollAnswer(res));
             return res;
           });
-        const gaveUp = this.pause(look.waitMs + look.slackMs);
-        const first = await Promise.race([answer, gaveUp]);
+        const timedOut = this.pause(poll.waitMs + poll.slackMs);
+        const first = await Promise.race([answer, timedOut]);
         if (first !== undefined) {
           return first;
         }
@@ -183,9 +183,9 @@
             await this.into.carry(ANSWER_HEAD_BYTES + sizeOf(records));
             return res;
           });
-        const gaveUp = this.pause(limits.waitMs + LOG_TIMEOUT_MS);
-        const away = { kind: 'unavailable', reason: 'timeout' } as const;
-        return Promise.race([answer, gaveUp.then(() => away)]);
+        const timedOut = this.pause(limits.waitMs + LOG_TIMEOUT_MS);
+        const unavailable = { kind: 'unavailable', reason: 'timeout' } as const;
+        return Promise.race([answer, timedOut.then(() => unavailable)]);
       },
     };
   }
@@ -196,10 +196,10 @@
       append: async (address, records) => {
         const bytes = sizeOf(records);
         const pool = poolOf(this.leaders, address, APPEND_CONNECTIONS);
-        const res = await this.call(pool, APPEND_TIMEOUTS, async began => {
+        const res = await this.call(pool, APPEND_TIMEOUTS, async onAccepted => {
           const { links, host } = await this.arrive(name, address, bytes, site);
           site.appends += 1;
-          began();
+          onAccepted();
           const appended = await host.appendForPeer(records);
           await this.answerBy(links, 0);
           return appended;
@@ -212,15 +212,15 @@
         const rows = batch.starts.length;
         site.relays += rows;
         const pool = poolOf(this.relays, address, this.connections);
-        const answered = takenWithinMs + RELAY_TIMEOUT_MS;
-        const limits = { taken: takenWithinMs, answered };
+        const answeredMs = takenWithinMs + RELAY_TIMEOUT_MS;
+        const timeouts = { acceptedMs: takenWithinMs, answeredMs };
         const bytes = BATCH_BYTES + rows * RELAYED_START_BYTES;
-        const res = await this.call(pool, limits, async began => {
+        const res = await this.call(pool, timeouts, async onAccepted => {
           await this.pause(site.startDelays.get(address) ?? 0);
           const { links, host } = await this.arrive(name, address, bytes, site);
           const by = host.identifyForPeer();
           void this.answerBy(links, ACCEPTANCE_BYTES).then(() => {
-            began();
+            onAccepted();
             watch.onAccepted(by);
           });
           const answers: Promise<void>[] = [];
@@ -240,9 +240,9 @@
         const pool = poolOf(this.relays, address, this.connections);
         const res = await this.call(pool, IDENTIFY_TIMEOUTS, async () => {
           const { links, host } = await this.arrive(name, address, 0, site);
-          const told = host.identifyForPeer();
+          const identity = host.identifyForPeer();
           await this.answerBy(links, PROCESS_ANSWER_BYTES);
-          return told;
+          return identity;
         });
         this.replaceIfSilent(this.relays, address, pool, res);
         return res;
@@ -256,8 +256,8 @@
    */
   private call<R>(
     pool: ConnectionPool,
-    { taken, answered }: CallTimeouts,
-    send: (began: () => void) => Promise<R>,
+    { acceptedMs, answeredMs }: CallTimeouts,
+    send: (onAccepted: () => void) => Promise<R>,
   ): Promise<R | undefined> {
     return new Promise(resolve => {
       let isOver = false;
@@ -265,19 +265,19 @@
       const end = (res: R | undefined): void => {
         if (!isOver) {
           isOver = true;
-          notTaken();
-          late();
+          cancelAcceptTimeout();
+          cancelAnswerTimeout();
           if (holds) {
             pool.release(res !== undefined);
           }
           resolve(res);
         }
       };
-      const giveUp = (): void => {
+      const timeOut = (): void => {
         end(undefined);
       };
-      const notTaken = this.time.schedule(taken, giveUp);
-      const late = this.time.schedule(answered, giveUp);
+      const cancelAcceptTimeout = this.time.schedule(acceptedMs, timeOut);
+      const cancelAnswerTimeout = this.time.schedule(answeredMs, timeOut);
       const begin = async (): Promise<void> => {
         const isNew = await pool.acquire();
         if (isOver) {
@@ -289,7 +289,7 @@
           await this.out.carry(CONNECT_BYTES);
           await this.into.carry(CONNECT_BYTES);
         }
-        end(await send(notTaken));
+        end(await send(cancelAcceptTimeout));
       };
       void begin();
     });
--- a/packages/daemon/src/job-host/simulation.fixture.test.ts
+++ b/packages/daemon/src/job-host/simulation.fixture.test.ts
@@ -186,8 +186,8 @@
       const now = this.time.clock();
       const sinceStart = -Math.floor(now * clockRate);
       const startedAt = Math.floor(now + this.workerWallOffset);
-      const life = { id: machine, startedAt, clockOffset: sinceStart };
-      this.fleet.add(machine, { ...traits, ...life });
+      const incarnation = { id: machine, startedAt, clockOffset: sinceStart };
+      this.fleet.add(machine, { ...traits, ...incarnation });
     } else {
       const id = `${machine}-life${this.incarnations}`;
       this.fleet.add(machine, { ...traits, id, clockOffset });
@@ -292,23 +292,23 @@
     await this.untilRecorded(host =>
       host.service.submit(job, this.time.clock() + 3_000),
     );
-    const promised = this.history.jobs.get(id);
-    if (promised !== undefined) {
-      promised.acceptedAt = this.time.clock();
+    const submitted = this.history.jobs.get(id);
+    if (submitted !== undefined) {
+      submitted.acceptedAt = this.time.clock();
     }
   }
 
   /** Cancels a job through a random host, retrying until that is confirmed. */
   async cancel(id: string): Promise<void> {
-    const asked = this.history.jobs.get(id);
-    if (asked !== undefined) {
-      asked.cancelRequestedAt ??= this.time.clock();
+    const job = this.history.jobs.get(id);
+    if (job !== undefined) {
+      job.cancelRequestedAt ??= this.time.clock();
     }
     await this.untilRecorded(host =>
       host.service.cancel(id, this.time.clock() + 3_000),
     );
-    if (asked !== undefined) {
-      asked.cancelledAt = this.time.clock();
+    if (job !== undefined) {
+      job.cancelledAt = this.time.clock();
     }
   }
 
@@ -317,10 +317,10 @@
   ): Promise<void> {
     for (;;) {
       const alive = [...this.hosts.values()].filter(found => found.alive);
-      const chosen = alive[Math.floor(this.random() * alive.length)];
-      if (chosen !== undefined) {
-        const gaveUp = this.wait(4_000).then(() => ({ kind: 'gave_up' }));
-        const result = await Promise.race([ask(chosen.host), gaveUp]);
+      const host = alive[Math.floor(this.random() * alive.length)];
+      if (host !== undefined) {
+        const timedOut = this.wait(4_000).then(() => ({ kind: 'gave_up' }));
+        const result = await Promise.race([ask(host.host), timedOut]);
         if (result.kind === 'recorded') {
           return;
         }
