--- a/packages/daemon/src/job-host/job-service.test.ts
+++ b/packages/daemon/src/job-host/job-service.test.ts
@@ -78,27 +78,33 @@
 }
 
 test('a follower reports the end of a job that it has not read yet', async () => {
-  const site = new FollowerFixture();
-  await site.learnJob();
-  await site.recordRun('done');
-  assert.deepEqual(await site.status(), { kind: 'known', status: 'completed' });
+  const follower = new FollowerFixture();
+  await follower.learnJob();
+  await follower.recordRun('done');
+  assert.deepEqual(await follower.status(), {
+    kind: 'known',
+    status: 'completed',
+  });
 });
 
 test('a follower reports no state while it cannot read the journal', async () => {
-  const site = new FollowerFixture();
-  await site.learnJob();
-  site.log.hostStreamModes.set('h journal', 'unreadable');
-  assert.deepEqual(await site.status(), { kind: 'unavailable' });
+  const follower = new FollowerFixture();
+  await follower.learnJob();
+  follower.log.hostStreamModes.set('h journal', 'unreadable');
+  assert.deepEqual(await follower.status(), { kind: 'unavailable' });
 });
 
 test('a follower reports a known end of a job without reading', async () => {
-  const site = new FollowerFixture();
-  await site.learnJob();
-  await site.recordRun('done');
-  void site.replica.refresh('journal');
-  await site.time.advance(100);
-  site.log.hostStreamModes.set('h journal', 'unreadable');
-  assert.deepEqual(await site.status(), { kind: 'known', status: 'completed' });
+  const follower = new FollowerFixture();
+  await follower.learnJob();
+  await follower.recordRun('done');
+  void follower.replica.refresh('journal');
+  await follower.time.advance(100);
+  follower.log.hostStreamModes.set('h journal', 'unreadable');
+  assert.deepEqual(await follower.status(), {
+    kind: 'known',
+    status: 'completed',
+  });
 });
 
 /** Submits a job and returns its outcome after `afterMs`. */
@@ -117,32 +123,44 @@
 }
 
 test('callers are refused at once while the inbox resets connections', async () => {
-  const site = new FollowerFixture();
-  await site.follow();
-  site.log.streamModes.set('inbox', 'resetting');
-  assert.equal(await outcomeOfSubmit(site, '0000000000000001', 20), 'unknown');
+  const follower = new FollowerFixture();
+  await follower.follow();
+  follower.log.streamModes.set('inbox', 'resetting');
+  assert.equal(
+    await outcomeOfSubmit(follower, '0000000000000001', 20),
+    'unknown',
+  );
   for (const id of ['0000000000000002', '0000000000000003']) {
-    assert.equal(await outcomeOfSubmit(site, id, 1), 'refused');
+    assert.equal(await outcomeOfSubmit(follower, id, 1), 'refused');
   }
-  await site.time.advance(5_000);
-  assert.equal(await outcomeOfSubmit(site, '0000000000000004', 1), 'refused');
-  assert.equal(site.log.recordsOf('inbox').length, 0);
+  await follower.time.advance(5_000);
+  assert.equal(
+    await outcomeOfSubmit(follower, '0000000000000004', 1),
+    'refused',
+  );
+  assert.equal(follower.log.recordsOf('inbox').length, 0);
 });
 
 test('callers are accepted again once the inbox can be read', async () => {
-  const site = new FollowerFixture();
-  await site.follow();
-  site.log.streamModes.set('inbox', 'resetting');
-  await outcomeOfSubmit(site, '0000000000000001', 2_000);
-  site.log.streamModes.delete('inbox');
-  await site.time.advance(500);
-  assert.equal(await outcomeOfSubmit(site, '0000000000000002', 50), 'recorded');
+  const follower = new FollowerFixture();
+  await follower.follow();
+  follower.log.streamModes.set('inbox', 'resetting');
+  await outcomeOfSubmit(follower, '0000000000000001', 2_000);
+  follower.log.streamModes.delete('inbox');
+  await follower.time.advance(500);
+  assert.equal(
+    await outcomeOfSubmit(follower, '0000000000000002', 50),
+    'recorded',
+  );
 });
 
 test('one lost answer does not make later callers wait or retry', async () => {
-  const site = new FollowerFixture();
-  await site.follow();
-  site.log.unansweredAppends = 1;
-  await outcomeOfSubmit(site, '0000000000000001', 1_000);
-  assert.equal(await outcomeOfSubmit(site, '0000000000000002', 50), 'recorded');
+  const follower = new FollowerFixture();
+  await follower.follow();
+  follower.log.unansweredAppends = 1;
+  await outcomeOfSubmit(follower, '0000000000000001', 1_000);
+  assert.equal(
+    await outcomeOfSubmit(follower, '0000000000000002', 50),
+    'recorded',
+  );
 });
--- a/packages/daemon/src/job-host/model/tidy.fixture.test.ts
+++ b/packages/daemon/src/job-host/model/tidy.fixture.test.ts
@@ -33,7 +33,7 @@
   return {
     ...state,
     messages,
-    delayedAppends: delayedAppends,
+    delayedAppends,
     workers: [
       hasNoMessages ? normalizeWorker(first) : first,
       hasNoMessages ? normalizeWorker(second) : second,
--- a/packages/daemon/src/job-host/relay/relayed-starts.test.ts
+++ b/packages/daemon/src/job-host/relay/relayed-starts.test.ts
@@ -172,117 +172,118 @@
 
 /** Returns a leader that knows its hosts, which give `answer` from then on. */
 async function leaderWithKnownHosts(answer: Answer): Promise<LeaderFixture> {
-  const site = new LeaderFixture();
-  await site.time.advance(10);
-  return site.answerAll(answer);
+  const fixture = new LeaderFixture();
+  await fixture.time.advance(10);
+  return fixture.answerAll(answer);
 }
 
 test('a start that exceeds the link budget is sent through one other host', async () => {
-  const site = new LeaderFixture();
-  assert.deepEqual(await site.send('w'), ACCEPTED);
-  assert.equal(site.sentBy.length, 1);
-  assert.notEqual(site.sentBy[0], 'leader');
+  const fixture = new LeaderFixture();
+  assert.deepEqual(await fixture.send('w'), ACCEPTED);
+  assert.equal(fixture.sentBy.length, 1);
+  assert.notEqual(fixture.sentBy[0], 'leader');
 });
 
 test('a start within the link budget is sent by the leader', async () => {
-  const site = new LeaderFixture(1_000_000);
-  assert.deepEqual(await site.send('w'), ACCEPTED);
-  assert.deepEqual(site.sentBy, ['leader']);
+  const fixture = new LeaderFixture(1_000_000);
+  assert.deepEqual(await fixture.send('w'), ACCEPTED);
+  assert.deepEqual(fixture.sentBy, ['leader']);
 });
 
 test('the other host gets the latest time on its own clock', async () => {
-  const site = new LeaderFixture();
-  await site.time.advance(10);
-  const before = site.time.clock();
-  await site.sendOne('w');
-  await site.sendOne('w', { ...WANTED, sendBy: site.time.clock() + 120 });
-  site.starts.close();
-  const [first, second] = site.latestSendTimes();
+  const fixture = new LeaderFixture();
+  await fixture.time.advance(10);
+  const before = fixture.time.clock();
+  await fixture.sendOne('w');
+  await fixture.sendOne('w', { ...WANTED, sendBy: fixture.time.clock() + 120 });
+  fixture.starts.close();
+  const [first, second] = fixture.latestSendTimes();
   assert.equal(first, before + 300);
   assert.equal(second, before + 100 + 120);
 });
 
 // A slow answer makes the other clock seem to be behind, so that each start would be late.
 test('the latest time is computed from the fastest answer of the other host', async () => {
-  const site = new LeaderFixture();
-  await site.time.advance(10);
-  site.answerLagMs = 250;
-  await site.sendOne('w');
-  await site.sendOne('w');
-  const sendTimes = site.latestSendTimes();
+  const fixture = new LeaderFixture();
+  await fixture.time.advance(10);
+  fixture.answerLagMs = 250;
+  await fixture.sendOne('w');
+  await fixture.sendOne('w');
+  const sendTimes = fixture.latestSendTimes();
   assert.equal(sendTimes.length, 2);
   assert.ok(sendTimes.every((at, turn) => at >= 10 + 300 + 100 * turn));
   // The bound is kept only for seconds, since a machine may have been suspended meanwhile.
-  await site.time.advance(3_000);
-  await site.sendToAll(workersOf(2 * RELAYS.length));
-  site.starts.close();
+  await fixture.time.advance(3_000);
+  await fixture.sendToAll(workersOf(2 * RELAYS.length));
+  fixture.starts.close();
   assert.equal(
-    site.latestSendTimes().at(-1),
-    site.time.clock() - 100 + 300 - 250,
+    fixture.latestSendTimes().at(-1),
+    fixture.time.clock() - 100 + 300 - 250,
   );
 });
 
 test('a host that lost a start gets none during its backoff and others replace it', async () => {
-  const site = new LeaderFixture();
-  await site.time.advance(10);
-  await site.sendOne('w');
-  const [first = ''] = site.sentBy;
-  site.answers.set(first, LOST);
-  const toFirst = (): number => site.sentBy.filter(by => by === first).length;
+  const fixture = new LeaderFixture();
+  await fixture.time.advance(10);
+  await fixture.sendOne('w');
+  const [first = ''] = fixture.sentBy;
+  fixture.answers.set(first, LOST);
+  const toFirst = (): number =>
+    fixture.sentBy.filter(by => by === first).length;
   while (toFirst() < 2) {
-    assert.deepEqual(await site.sendOne('w'), ACCEPTED);
+    assert.deepEqual(await fixture.sendOne('w'), ACCEPTED);
   }
   for (let turn = 0; turn < 6; turn += 1) {
-    assert.deepEqual(await site.sendOne('w'), ACCEPTED);
+    assert.deepEqual(await fixture.sendOne('w'), ACCEPTED);
   }
   assert.equal(toFirst(), 2);
-  site.answers.delete(first);
-  await site.time.advance(2_000);
-  await site.sendToAll(workersOf(RELAYS.length));
-  site.starts.close();
+  fixture.answers.delete(first);
+  await fixture.time.advance(2_000);
+  await fixture.sendToAll(workersOf(RELAYS.length));
+  fixture.starts.close();
   assert.equal(toFirst(), 3);
-  assert.ok(!site.sentBy.includes('leader'));
+  assert.ok(!fixture.sentBy.includes('leader'));
 });
 
 // Falling back to the leader's own link costs five times the bytes while that link is short of
 // capacity.
 test('hosts that seem silent all at once are still used while they answer', async () => {
-  const site = await leaderWithKnownHosts(LOST);
+  const fixture = await leaderWithKnownHosts(LOST);
   for (let turn = 0; turn < 4; turn += 1) {
-    await site.sendOne('w');
+    await fixture.sendOne('w');
   }
-  site.answerAll({ kind: 'sent', result: ACCEPTED });
-  site.sentBy.length = 0;
-  assert.deepEqual(await site.sendOne('w'), ACCEPTED);
-  site.starts.close();
-  assert.ok(!site.sentBy.includes('leader'));
+  fixture.answerAll({ kind: 'sent', result: ACCEPTED });
+  fixture.sentBy.length = 0;
+  assert.deepEqual(await fixture.sendOne('w'), ACCEPTED);
+  fixture.starts.close();
+  assert.ok(!fixture.sentBy.includes('leader'));
 });
 
 test('hosts that are silent for seconds count as unavailable', async () => {
-  const site = await leaderWithKnownHosts(LOST);
-  await site.sendToAll(workersOf(RELAYS.length));
-  await site.time.advance(2_500);
-  site.sentBy.length = 0;
-  assert.deepEqual(await site.sendOne('w'), ACCEPTED);
-  site.starts.close();
-  assert.deepEqual(site.sentBy, ['leader']);
+  const fixture = await leaderWithKnownHosts(LOST);
+  await fixture.sendToAll(workersOf(RELAYS.length));
+  await fixture.time.advance(2_500);
+  fixture.sentBy.length = 0;
+  assert.deepEqual(await fixture.sendOne('w'), ACCEPTED);
+  fixture.starts.close();
+  assert.deepEqual(fixture.sentBy, ['leader']);
 });
 
 test('starts that are given at about the same time share one call', async () => {
-  const site = new LeaderFixture();
-  await site.time.advance(10);
+  const fixture = new LeaderFixture();
+  await fixture.time.advance(10);
   await Promise.all([
-    site.startSending('w1'),
-    site.startSending('w2'),
-    site.time.advance(1),
+    fixture.startSending('w1'),
+    fixture.startSending('w2'),
+    fixture.time.advance(1),
   ]);
-  const soon = [site.startSending('w3')];
-  await site.time.advance(10);
-  soon.push(site.startSending('w4'));
-  await site.time.advance(20);
+  const soon = [fixture.startSending('w3')];
+  await fixture.time.advance(10);
+  soon.push(fixture.startSending('w4'));
+  await fixture.time.advance(20);
   await Promise.all(soon);
-  site.starts.close();
-  const calls = site.relayed.map(({ starts }) =>
+  fixture.starts.close();
+  const calls = fixture.relayed.map(({ starts }) =>
     starts.map(({ worker }) => worker.id),
   );
   assert.deepEqual(calls, [
@@ -292,14 +293,14 @@
 });
 
 test('starts are distributed over all hosts', async () => {
-  const site = new LeaderFixture();
-  await site.time.advance(10);
+  const fixture = new LeaderFixture();
+  await fixture.time.advance(10);
   for (let at = 0; at < 60; at += 1) {
-    await site.sendOne(`w${at}`);
+    await fixture.sendOne(`w${at}`);
   }
-  site.starts.close();
+  fixture.starts.close();
   for (const host of RELAYS) {
-    const share = site.sentBy.filter(by => by === host).length;
+    const share = fixture.sentBy.filter(by => by === host).length;
     assert.ok(share >= 10, `${host} has ${share}`);
   }
 });
@@ -307,67 +308,67 @@
 test('a start that another host refused or did not accept is sent by the leader', async () => {
   const refused: Answer = { kind: 'refused', why: 'late' };
   for (const answer of [refused, LOST]) {
-    const site = await leaderWithKnownHosts(answer);
-    assert.deepEqual(await site.send('w'), ACCEPTED);
-    assert.equal(site.sentBy.at(-1), 'leader');
+    const fixture = await leaderWithKnownHosts(answer);
+    assert.deepEqual(await fixture.send('w'), ACCEPTED);
+    assert.equal(fixture.sentBy.at(-1), 'leader');
   }
 });
 
 // Only the leader can determine whether a worker is silent, since the path from the other host may
 // be cut.
 test('a worker that does not answer one host is called by the leader and then through another host', async () => {
-  const site = await leaderWithKnownHosts({ kind: 'sent', result: SILENT });
-  await site.time.advance(10);
-  assert.deepEqual(await site.sendOne('w'), ACCEPTED);
-  await site.sendOne('w');
-  site.starts.close();
-  const [first, own, second] = site.sentBy;
+  const fixture = await leaderWithKnownHosts({ kind: 'sent', result: SILENT });
+  await fixture.time.advance(10);
+  assert.deepEqual(await fixture.sendOne('w'), ACCEPTED);
+  await fixture.sendOne('w');
+  fixture.starts.close();
+  const [first, own, second] = fixture.sentBy;
   assert.equal(own, 'leader');
   assert.notEqual(second, first);
 });
 
 // Otherwise one briefly slow worker would leave the leader without hosts, and with all payloads.
 test('a host that one worker does not answer is still used for other workers', async () => {
-  const site = await leaderWithKnownHosts({ kind: 'sent', result: SILENT });
-  await site.sendToAll(workersOf(RELAYS.length));
-  site.answerAll({ kind: 'sent', result: ACCEPTED });
-  site.sentBy.length = 0;
-  await site.sendOne('w');
-  await site.sendOne('v');
-  site.starts.close();
-  const [again, other] = site.sentBy;
+  const fixture = await leaderWithKnownHosts({ kind: 'sent', result: SILENT });
+  await fixture.sendToAll(workersOf(RELAYS.length));
+  fixture.answerAll({ kind: 'sent', result: ACCEPTED });
+  fixture.sentBy.length = 0;
+  await fixture.sendOne('w');
+  await fixture.sendOne('v');
+  fixture.starts.close();
+  const [again, other] = fixture.sentBy;
   assert.equal(again, 'leader');
   assert.ok(other !== undefined && other !== 'leader');
 });
 
 test('a host that several workers do not answer is not used while there are others', async () => {
-  const site = new LeaderFixture();
-  await site.time.advance(10);
+  const fixture = new LeaderFixture();
+  await fixture.time.advance(10);
   const [cut = ''] = RELAYS;
-  site.answers.set(cut, { kind: 'sent', result: SILENT });
-  await site.sendToAll(workersOf(4 * RELAYS.length, 'w'));
-  const before = site.sentBy.filter(by => by === cut).length;
+  fixture.answers.set(cut, { kind: 'sent', result: SILENT });
+  await fixture.sendToAll(workersOf(4 * RELAYS.length, 'w'));
+  const before = fixture.sentBy.filter(by => by === cut).length;
   assert.equal(before, 4);
-  await site.sendToAll(workersOf(RELAYS.length, 'v'));
-  assert.equal(site.sentBy.filter(by => by === cut).length, before);
-  await site.time.advance(3_000);
-  await site.sendToAll(workersOf(RELAYS.length, 'w'));
-  site.starts.close();
-  assert.ok(site.sentBy.filter(by => by === cut).length > before);
+  await fixture.sendToAll(workersOf(RELAYS.length, 'v'));
+  assert.equal(fixture.sentBy.filter(by => by === cut).length, before);
+  await fixture.time.advance(3_000);
+  await fixture.sendToAll(workersOf(RELAYS.length, 'w'));
+  fixture.starts.close();
+  assert.ok(fixture.sentBy.filter(by => by === cut).length > before);
 });
 
 // The run may have started and ended there: recorded as never started, its task would run again.
 test('a run refused after another host may have sent it does not count as never started', async () => {
   const old: OrderResult = { kind: 'rejected', why: 'superseded', clock: 7 };
   for (const answer of [LOST, { kind: 'sent', result: SILENT }] as const) {
-    const site = await leaderWithKnownHosts(answer);
-    site.directResult = old;
-    assert.equal((await site.send('w')).kind, 'unsure');
-    site.directResult = { kind: 'not_run', reason: 'refused' };
+    const fixture = await leaderWithKnownHosts(answer);
+    fixture.directResult = old;
+    assert.equal((await fixture.send('w')).kind, 'unsure');
+    fixture.directResult = { kind: 'not_run', reason: 'refused' };
   }
-  const site = await leaderWithKnownHosts(LOST);
-  site.directResult = { kind: 'not_run', reason: 'refused' };
-  assert.equal((await site.send('w')).kind, 'unknown');
+  const fixture = await leaderWithKnownHosts(LOST);
+  fixture.directResult = { kind: 'not_run', reason: 'refused' };
+  assert.equal((await fixture.send('w')).kind, 'unknown');
 });
 
 test('a start that is no longer wanted is not sent again', async () => {
@@ -380,8 +381,8 @@
 
 test('the refusal of a worker is returned unchanged', async () => {
   const fenced: OrderResult = { kind: 'rejected', why: 'fenced', clock: 7 };
-  const site = await leaderWithKnownHosts({ kind: 'sent', result: fenced });
-  assert.deepEqual(await site.send('w'), fenced);
+  const fixture = await leaderWithKnownHosts({ kind: 'sent', result: fenced });
+  assert.deepEqual(await fixture.send('w'), fenced);
   const later = await leaderWithKnownHosts(LOST);
   later.directResult = fenced;
   assert.deepEqual(await later.send('w'), fenced);
--- a/packages/daemon/src/job-host/relay/start-relay.test.ts
+++ b/packages/daemon/src/job-host/relay/start-relay.test.ts
@@ -103,40 +103,40 @@
 
   /** Handles a batch and returns the outcome of each start. */
   async relayAll(batch: RelayBatch): Promise<string[]> {
-    const told: string[] = [];
-    const taking = this.relay.sendBatch(batch, (at, outcome) => {
-      assert.equal(told[at], undefined);
-      told[at] = wordOf(outcome);
+    const outcomes: string[] = [];
+    const sending = this.relay.sendBatch(batch, (at, outcome) => {
+      assert.equal(outcomes[at], undefined);
+      outcomes[at] = outcomeNameOf(outcome);
     });
     await this.time.advance(1_000);
-    await taking;
-    return told;
+    await sending;
+    return outcomes;
   }
 
   /** Handles a batch of one start and returns its outcome. */
   async relayOne(batch: RelayBatch): Promise<string> {
-    const told = await this.relayAll(batch);
-    assert.equal(told.length, 1);
-    return told[0] ?? '';
+    const outcomes = await this.relayAll(batch);
+    assert.equal(outcomes.length, 1);
+    return outcomes[0] ?? '';
   }
 }
 
-function wordOf(outcome: RelayOutcome): string {
+function outcomeNameOf(outcome: RelayOutcome): string {
   return outcome.kind === 'refused' ? outcome.why : outcome.result.kind;
 }
 
 test('a start is sent with the payload from the log and all else from the leader', async () => {
-  const site = new RelayFixture();
-  site.submit();
-  assert.equal(await site.relayOne(site.batch()), 'accepted');
-  assert.deepEqual(site.sent, [{ ...START.order, payload: SPEC.payload }]);
+  const fixture = new RelayFixture();
+  fixture.submit();
+  assert.equal(await fixture.relayOne(fixture.batch()), 'accepted');
+  assert.deepEqual(fixture.sent, [{ ...START.order, payload: SPEC.payload }]);
 });
 
 // Without an outcome the leader assumes that the run may still start.
 test('the outcome of a start is reported as soon as its worker answers', async () => {
-  const site = new RelayFixture();
-  site.submit();
-  site.answerMs.set('slow', 400);
+  const fixture = new RelayFixture();
+  fixture.submit();
+  fixture.answerMs.set('slow', 400);
   const slow = { ...START, worker: { id: 'slow', address: 'w:2' } };
   const job = '00000000000000c9';
   const { order } = START;
@@ -144,18 +144,18 @@
     ...START,
     order: { ...order, task: { ...order.task, job } },
   };
-  const told: { at: number; word: string; after: number }[] = [];
-  const cameAt = site.time.clock();
-  const taking = site.relay.sendBatch(
-    site.batch([slow, START, unknown]),
+  const outcomes: { at: number; word: string; after: number }[] = [];
+  const cameAt = fixture.time.clock();
+  const sending = fixture.relay.sendBatch(
+    fixture.batch([slow, START, unknown]),
     (at, outcome) => {
-      const after = site.time.clock() - cameAt;
-      told.push({ at, word: wordOf(outcome), after });
+      const after = fixture.time.clock() - cameAt;
+      outcomes.push({ at, word: outcomeNameOf(outcome), after });
     },
   );
-  await site.time.advance(1_000);
-  await taking;
-  assert.deepEqual(told, [
+  await fixture.time.advance(1_000);
+  await sending;
+  assert.deepEqual(outcomes, [
     { at: 1, word: 'accepted', after: 0 },
     { at: 2, word: 'unknown_job', after: 5 },
     { at: 0, word: 'accepted', after: 400 },
@@ -163,75 +163,75 @@
 });
 
 test('an unknown job is looked up in the log', async () => {
-  const site = new RelayFixture();
-  site.inbox = () => {
-    site.submit();
+  const fixture = new RelayFixture();
+  fixture.inbox = () => {
+    fixture.submit();
   };
-  assert.equal(await site.relayOne(site.batch()), 'accepted');
+  assert.equal(await fixture.relayOne(fixture.batch()), 'accepted');
 });
 
 test('no start is sent for a job that is not in the log or has finished', async () => {
-  const site = new RelayFixture();
-  assert.equal(await site.relayOne(site.batch()), 'unknown_job');
-  site.submit();
-  applyInbox(site.state, { kind: 'cancel', job: JOB });
-  assert.equal(await site.relayOne(site.batch()), 'unknown_job');
-  assert.deepEqual(site.sent, []);
+  const fixture = new RelayFixture();
+  assert.equal(await fixture.relayOne(fixture.batch()), 'unknown_job');
+  fixture.submit();
+  applyInbox(fixture.state, { kind: 'cancel', job: JOB });
+  assert.equal(await fixture.relayOne(fixture.batch()), 'unknown_job');
+  assert.deepEqual(fixture.sent, []);
 });
 
 test('no start is sent that arrives late', async () => {
-  const site = new RelayFixture();
-  site.submit();
-  const batch = site.batch();
-  await site.time.advance(301);
-  assert.equal(await site.relayOne(batch), 'late');
-  assert.deepEqual(site.sent, []);
+  const fixture = new RelayFixture();
+  fixture.submit();
+  const batch = fixture.batch();
+  await fixture.time.advance(301);
+  assert.equal(await fixture.relayOne(batch), 'late');
+  assert.deepEqual(fixture.sent, []);
 });
 
 test('no start is sent that is late after the log was read', async () => {
-  const site = new RelayFixture();
-  site.readMs = 400;
-  site.inbox = () => {
-    site.submit();
+  const fixture = new RelayFixture();
+  fixture.readMs = 400;
+  fixture.inbox = () => {
+    fixture.submit();
   };
-  assert.equal(await site.relayOne(site.batch()), 'late');
-  assert.deepEqual(site.sent, []);
+  assert.equal(await fixture.relayOne(fixture.batch()), 'late');
+  assert.deepEqual(fixture.sent, []);
 });
 
 // The clock of another process of the host may be hours behind; on that clock no start would be
 // late.
 test('no start is sent that was addressed to another process of the host', async () => {
-  const site = new RelayFixture();
-  site.submit();
-  const batch = { ...site.batch(), process: 'another' };
-  assert.equal(await site.relayOne(batch), 'other_process');
-  assert.deepEqual(site.sent, []);
+  const fixture = new RelayFixture();
+  fixture.submit();
+  const batch = { ...fixture.batch(), process: 'another' };
+  assert.equal(await fixture.relayOne(batch), 'other_process');
+  assert.deepEqual(fixture.sent, []);
 });
 
 test('no start is sent by a host that leads, stops or does not follow the log', async () => {
-  const site = new RelayFixture();
-  site.submit();
-  site.follows = false;
-  assert.equal(await site.relayOne(site.batch()), 'not_following');
-  assert.deepEqual(site.sent, []);
+  const fixture = new RelayFixture();
+  fixture.submit();
+  fixture.follows = false;
+  assert.equal(await fixture.relayOne(fixture.batch()), 'not_following');
+  assert.deepEqual(fixture.sent, []);
 });
 
 test('no start is sent for a leader with a known successor', async () => {
-  const site = new RelayFixture();
-  site.submit();
+  const fixture = new RelayFixture();
+  fixture.submit();
   const claim = { kind: 'claim', host: 'h2', nonce: 1 } as const;
-  applyJournal(site.state, { ...claim, epoch: EPOCH + 64 });
-  assert.equal(await site.relayOne(site.batch()), 'deposed');
-  assert.deepEqual(site.sent, []);
+  applyJournal(fixture.state, { ...claim, epoch: EPOCH + 64 });
+  assert.equal(await fixture.relayOne(fixture.batch()), 'deposed');
+  assert.deepEqual(fixture.sent, []);
 });
 
 test('idle connections to workers are closed', async () => {
-  const site = new RelayFixture();
-  site.submit();
-  await site.relayOne(site.batch());
-  site.relay.closeIdleConnections();
-  assert.deepEqual(site.forgotten, []);
-  await site.time.advance(60_000);
-  site.relay.closeIdleConnections();
-  assert.deepEqual(site.forgotten, ['w']);
+  const fixture = new RelayFixture();
+  fixture.submit();
+  await fixture.relayOne(fixture.batch());
+  fixture.relay.closeIdleConnections();
+  assert.deepEqual(fixture.forgotten, []);
+  await fixture.time.advance(60_000);
+  fixture.relay.closeIdleConnections();
+  assert.deepEqual(fixture.forgotten, ['w']);
 });
--- a/packages/daemon/src/job-host/replica.test.ts
+++ b/packages/daemon/src/job-host/replica.test.ts
@@ -42,25 +42,33 @@
 
 for (const stream of ['inbox', 'journal'] as const) {
   test(`concurrent refreshes of the ${stream} share a read`, async () => {
-    const site = new SlowReplica();
-    void site.replica.refresh('journal');
-    await site.time.advance(1_000);
-    site.startedReads = 0;
-    const asked = [1, 2, 3, 4, 5].map(() => site.replica.refresh(stream));
-    await site.time.advance(1_000);
-    assert.deepEqual(await Promise.all(asked), [true, true, true, true, true]);
-    assert.equal(site.startedReads, 1);
+    const fixture = new SlowReplica();
+    void fixture.replica.refresh('journal');
+    await fixture.time.advance(1_000);
+    fixture.startedReads = 0;
+    const refreshes = [1, 2, 3, 4, 5].map(() =>
+      fixture.replica.refresh(stream),
+    );
+    await fixture.time.advance(1_000);
+    assert.deepEqual(await Promise.all(refreshes), [
+      true,
+      true,
+      true,
+      true,
+      true,
+    ]);
+    assert.equal(fixture.startedReads, 1);
   });
 
   test(`the ${stream} is read by one read at a time`, async () => {
-    const site = new SlowReplica();
-    const asked: Promise<boolean>[] = [];
+    const fixture = new SlowReplica();
+    const refreshes: Promise<boolean>[] = [];
     for (let at = 0; at < 10; at += 1) {
-      asked.push(site.replica.refresh(stream));
-      await site.time.advance(100);
+      refreshes.push(fixture.replica.refresh(stream));
+      await fixture.time.advance(100);
     }
-    await site.time.advance(2_000);
-    assert.ok((await Promise.all(asked)).every(Boolean));
-    assert.equal(site.maxReadsInFlight, 1);
+    await fixture.time.advance(2_000);
+    assert.ok((await Promise.all(refreshes)).every(Boolean));
+    assert.equal(fixture.maxReadsInFlight, 1);
   });
 }
