--- a/packages/daemon/src/job-host/answers-from-replica.test.ts
+++ b/packages/daemon/src/job-host/answers-from-replica.test.ts
@@ -1,30 +1,33 @@
 /*
- * Seen: two hosts told a caller that no job of a queue waits, while 26 and 24 had waited for over
- * 5 s. How: all hosts had been killed 10 s before; those with a link of 10 Mbit/s received 0.8 MB a
- * second from the log from then on, and learnt nothing. Causes: a read asked for 1 MiB, several went
- * on side by side, none arrived within its 1.5 s, and the same was asked for again, without end; and
- * a host that could not read counted in the copy that it had, so that "nothing known" was told as
- * "nothing there". Proof: the first test needs nothing but a slow link to keep a host ignorant for
- * good; each way of answering from a copy that is not up to date gives a wrong number below. The
- * same gap made a host deny a job whose records it had yet to read.
+ * Guards against wrong answers from a copy that is not up to date.
+ *
+ * Two hosts reported an empty queue while 26 and 24 jobs had waited for over 5 s. All hosts had
+ * been killed 10 s before; those with a link of 10 Mbit/s received 0.8 MB a second from the log,
+ * but no read completed: reads asked for 1 MiB, several ran concurrently, none arrived within 1.5
+ * s, and the same records were requested again and again. A host that could not read counted in its
+ * old copy and reported "unknown" as "none". For the same reason a host denied a job whose records
+ * it had not read yet.
+ *
+ * A slow link alone reproduces this in the first test. Each way of answering from an outdated copy
+ * gives a wrong number in one of the tests below.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
 import { jobOf, Simulation } from './simulation.fixture.test.js';
 
-const QUICK = { runMs: 400, failures: 0 };
+const SHORT_RUN = { runMs: 400, failures: 0 };
 const JOBS = ['00000000000000e1', '00000000000000e2', '00000000000000e3'];
 
-/** Three hosts and no worker, so that every job waits. */
-async function siteWithWaitingJobs(seed: number): Promise<Simulation> {
+/** Starts three hosts without workers, so that every job waits. */
+async function deploymentWithWaitingJobs(seed: number): Promise<Simulation> {
   const site = new Simulation(seed);
   for (const name of ['h1', 'h2', 'h3']) {
     site.startHost(name);
   }
   await site.time.advance(2_500);
   for (const id of JOBS) {
-    void site.submit(id, [{ tasks: 2, after: [] }], QUICK);
+    void site.submit(id, [{ tasks: 2, after: [] }], SHORT_RUN);
   }
   await site.time.advance(1_000);
   return site;
@@ -36,53 +39,59 @@
   return name;
 }
 
-/** Asks a host for the length of the queue, and fails on any but the true one. */
-async function assertNotWrong(site: Simulation, name: string): Promise<void> {
-  const asked = site.hosts.get(name)?.host.service.queueLength('checks');
+/** Asks a host for the length of the queue, and fails if it returns a wrong one. */
+async function assertUnknownOrCorrect(
+  site: Simulation,
+  name: string,
+): Promise<void> {
+  const pending = site.hosts.get(name)?.host.service.queueLength('checks');
   await site.time.advance(2_000);
-  const told: number | undefined = await asked;
-  assert.ok(told === undefined || told === JOBS.length, `told ${told}`);
+  const length: number | undefined = await pending;
+  assert.ok(
+    length === undefined || length === JOBS.length,
+    `reported ${length}`,
+  );
 }
 
-test('every host tells how many jobs wait', async () => {
-  const site = await siteWithWaitingJobs(1);
+test('every host reports how many jobs wait', async () => {
+  const site = await deploymentWithWaitingJobs(1);
   for (const { host } of site.hosts.values()) {
-    const asked = host.service.queueLength('checks');
+    const pending = host.service.queueLength('checks');
     await site.time.advance(100);
-    assert.equal(await asked, JOBS.length);
+    assert.equal(await pending, JOBS.length);
   }
 });
 
-test('a host that cannot read the log does not tell how many jobs wait', async () => {
+test('a host that cannot read the log does not report a queue length', async () => {
   const site = new Simulation(2);
   ['h1', 'h2', 'h3'].forEach(name => site.startHost(name));
   await site.time.advance(2_500);
   const name = follower(site);
   site.log.hostModes.set(name, 'unreadable');
   for (const id of JOBS) {
-    void site.submit(id, [{ tasks: 2, after: [] }], QUICK);
+    void site.submit(id, [{ tasks: 2, after: [] }], SHORT_RUN);
   }
   await site.time.advance(6_000);
-  await assertNotWrong(site, name);
+  await assertUnknownOrCorrect(site, name);
 });
 
-test('a read for another caller that has not ended is waited for', async () => {
+test('a query waits for a read that another caller started', async () => {
   const site = new Simulation(3);
   ['h1', 'h2', 'h3'].forEach(name => site.startHost(name));
   await site.time.advance(2_500);
   const name = follower(site);
   site.log.hostModes.set(name, 'silent');
   for (const id of JOBS) {
-    void site.submit(id, [{ tasks: 2, after: [] }], QUICK);
+    void site.submit(id, [{ tasks: 2, after: [] }], SHORT_RUN);
   }
   await site.time.advance(6_000);
   void site.hosts.get(name)?.host.service.queueLength('checks');
   await site.time.advance(200);
-  await assertNotWrong(site, name);
+  await assertUnknownOrCorrect(site, name);
 });
 
-test('a host that has just ceased to lead does not tell that nothing waits', async () => {
-  const site = await siteWithWaitingJobs(4);
+test('a host that just lost the leadership does not report an empty queue', async () => {
+  const site = await deploymentWithWaitingJobs(4);
   const name = site.leader();
   const service = site.hosts.get(name)?.host.service;
   assert.ok(service);
@@ -95,28 +104,31 @@
   while (site.leader() === name) {
     await site.time.advance(10);
   }
-  const asked: Promise<number | undefined>[] = [];
+  const pendingLengths: Promise<number | undefined>[] = [];
   for (let at = 0; at < 60; at += 1) {
-    asked.push(service.queueLength('checks'));
+    pendingLengths.push(service.queueLength('checks'));
     await site.time.advance(11);
   }
   await site.time.advance(2_000);
-  for (const told of await Promise.all(asked)) {
-    assert.ok(told === undefined || told === JOBS.length, `told ${told}`);
+  for (const length of await Promise.all(pendingLengths)) {
+    assert.ok(
+      length === undefined || length === JOBS.length,
+      `reported ${length}`,
+    );
   }
 });
 
-test('a job whose only start never ran waits', async () => {
-  const site = await siteWithWaitingJobs(5);
+test('a job whose only start was never carried out is counted as waiting', async () => {
+  const site = await deploymentWithWaitingJobs(5);
   site.addWorker('w1');
   site.fleet.refusesStarts = true;
   await site.time.advance(3_000);
   for (const name of site.hosts.keys()) {
-    await assertNotWrong(site, name);
+    await assertUnknownOrCorrect(site, name);
   }
 });
 
-test('jobs whose starts wait for their turn are told to wait', async () => {
+test('jobs whose start commands are still queued are counted as waiting', async () => {
   const site = new Simulation(9);
   site.addWorker('w1');
   ['h1', 'h2'].forEach(name => site.startHost(name));
@@ -133,15 +145,18 @@
   await site.time.advance(5_000);
   for (const { host } of site.hosts.values()) {
     const waiting = ids.filter(id => site.history.runningOf(id) === 0).length;
-    const asked = host.service.queueLength('checks');
+    const pending = host.service.queueLength('checks');
     await site.time.advance(200);
-    const told: number | undefined = await asked;
-    assert.ok(told !== undefined && told >= waiting / 2, `${told}, ${waiting}`);
+    const length: number | undefined = await pending;
+    assert.ok(
+      length !== undefined && length >= waiting / 2,
+      `${length}, ${waiting}`,
+    );
   }
 });
 
-test('a leader that cannot write tells neither lengths nor ends', async () => {
-  const site = await siteWithWaitingJobs(10);
+test('a leader that cannot write reports neither queue lengths nor completed jobs', async () => {
+  const site = await deploymentWithWaitingJobs(10);
   site.addWorker('w1');
   await site.time.advance(600);
   const leader = site.hosts.get(site.leader())?.host.service;
@@ -157,22 +172,22 @@
   assert.equal(await length, undefined);
 });
 
-test('a host that has not read the journal denies no job', async () => {
-  const site = await siteWithWaitingJobs(6);
+test('a host that has not read the journal does not deny a job', async () => {
+  const site = await deploymentWithWaitingJobs(6);
   await site.time.advance(15_000);
-  // All that is left of the jobs is that the leader has restated them.
+  // Only the leader's restatement of the jobs is left.
   site.log.trimTo(4);
   const name = follower(site);
   site.kill(name);
   site.log.streamModes.set('journal', 'refusing');
   site.startHost(name);
   await site.time.advance(300);
-  const asked = site.hosts.get(name)?.host.service.status(JOBS[0] ?? '');
+  const pending = site.hosts.get(name)?.host.service.status(JOBS[0] ?? '');
   await site.time.advance(1_000);
-  assert.notEqual((await asked)?.kind, 'no_such_job');
+  assert.notEqual((await pending)?.kind, 'no_such_job');
 });
 
-test('a host on a slow link learns all that the log keeps', async () => {
+test('a host on a slow link reads everything that the log keeps', async () => {
   const site = new Simulation(7);
   ['h1', 'h2', 'h3'].forEach(name => site.startHost(name));
   await site.time.advance(2_500);
@@ -181,45 +196,45 @@
     (at + 1).toString(16).padStart(16, '0'),
   );
   for (const id of ids) {
-    void site.submit(id, [{ tasks: 1, after: [] }], { ...QUICK, payload });
+    void site.submit(id, [{ tasks: 1, after: [] }], { ...SHORT_RUN, payload });
   }
   await site.time.advance(12_000);
   const name = follower(site);
   site.kill(name);
-  // A mebibyte takes 1.7 s.
+  // At this rate a mebibyte takes 1.7 s.
   site.log.linkRates.set(name, 600);
   site.startHost(name);
   await site.time.advance(12_000);
-  const asked = site.hosts.get(name)?.host.service.queueLength('checks');
+  const pending = site.hosts.get(name)?.host.service.queueLength('checks');
   await site.time.advance(1_000);
-  assert.equal(await asked, ids.length);
+  assert.equal(await pending, ids.length);
 });
 
-test('a host that missed records which the log has dropped reads all anew', async () => {
+test('a host that missed dropped records rebuilds its copy', async () => {
   const site = new Simulation(8);
   ['h1', 'h2', 'h3'].forEach(name => site.startHost(name));
   await site.time.advance(2_500);
   const id = JOBS[0] ?? '';
-  void site.submit(id, [{ tasks: 2, after: [] }], QUICK);
+  void site.submit(id, [{ tasks: 2, after: [] }], SHORT_RUN);
   await site.time.advance(2_000);
   const name = follower(site);
   const service = site.hosts.get(name)?.host.service;
   void service?.status(id);
   await site.time.advance(500);
   site.log.hostModes.set(name, 'silent');
-  // The job ends while the host hears nothing, and the records of that are dropped.
+  // The job finishes while the host is cut off from the log, and the records of that are dropped.
   site.addWorker('w1');
   await site.time.advance(4_000);
   site.log.trimTo(site.log.recordsOf('journal').length);
   await site.time.advance(12_000);
   site.log.hostModes.delete(name);
   await site.time.advance(6_000);
-  const asked = service?.status(id);
+  const pending = service?.status(id);
   await site.time.advance(1_500);
-  assert.deepEqual(await asked, { kind: 'known', status: 'completed' });
+  assert.deepEqual(await pending, { kind: 'known', status: 'completed' });
 });
 
-test('a host that reads the journal late does not begin anew what is done', async () => {
+test('a host that reads the journal late does not repeat completed tasks', async () => {
   const site = new Simulation(11);
   ['h1', 'h2', 'h3'].forEach(name => site.startHost(name));
   site.addWorker('w1');
@@ -229,16 +244,16 @@
   const id = JOBS[0] ?? '';
   const steps = [
     { tasks: 2, after: [] },
-    // Keeps the job open.
+    // Keeps the job unfinished.
     { tasks: 1, after: [0], label: 'none' },
   ];
-  void site.submit(id, steps, QUICK);
+  void site.submit(id, steps, SHORT_RUN);
   await site.time.advance(300);
   site.log.hostStreamModes.set(`${name} journal`, 'refusing');
   site.startHost(name);
   const late = site.hosts.get(name)?.host.service;
   void late?.status(id);
-  // Meanwhile the first step ends, and the records of that are dropped.
+  // Meanwhile the first step completes, and the records of that are dropped.
   await site.time.advance(2_000);
   const dropped = site.log.recordsOf('journal').length;
   await site.time.advance(12_000);
@@ -255,7 +270,7 @@
   assert.deepEqual(site.history.check(), []);
 });
 
-test('a host that knows a job by its own append misses no cancellation of it', async () => {
+test('a host that knows a job only from its own append sees its cancellation', async () => {
   const site = new Simulation(12);
   ['h1', 'h2'].forEach(name => site.startHost(name));
   await site.time.advance(2_500);
@@ -265,7 +280,7 @@
   await site.time.advance(500);
   const id = JOBS[0] ?? '';
   const service = site.hosts.get(name)?.host.service;
-  const job = jobOf(id, [{ tasks: 2, after: [] }], QUICK);
+  const job = jobOf(id, [{ tasks: 2, after: [] }], SHORT_RUN);
   const submitted = service?.submit(job, site.time.clock() + 3_000);
   await site.time.advance(100);
   assert.deepEqual(await submitted, { kind: 'recorded' });
@@ -277,7 +292,7 @@
   site.log.trimTo(0);
   site.log.hostStreamModes.clear();
   await site.time.advance(3_000);
-  const asked = service?.status(id);
+  const pending = service?.status(id);
   await site.time.advance(1_500);
-  assert.deepEqual(await asked, { kind: 'known', status: 'cancelled' });
+  assert.deepEqual(await pending, { kind: 'known', status: 'cancelled' });
 });
--- a/packages/daemon/src/job-host/append-again.test.ts
+++ b/packages/daemon/src/job-host/append-again.test.ts
@@ -12,9 +12,12 @@
 const UNKNOWN: AppendResult = { kind: 'unknown', reason: 'reset' };
 const REFUSED: AppendResult = { kind: 'refused', reason: 'busy' };
 
-/** An append of which each try ends as `tries` tells, after the time given; later ones never end. */
-function start(
-  tries: readonly (readonly [number, AppendResult])[],
+/**
+ * Starts an append whose attempts end as `attempts` says, each after the given time; later attempts
+ * never end.
+ */
+function startAppend(
+  attempts: readonly (readonly [number, AppendResult])[],
   stoppedAt = Infinity,
 ): {
   time: ReturnType<typeof createVirtualTime>;
@@ -26,11 +29,11 @@
   let outcome: AppendResult | undefined;
   const append = (): Promise<AppendResult> =>
     new Promise(resolve => {
-      const found = tries[sent];
+      const attempt = attempts[sent];
       sent += 1;
-      if (found !== undefined) {
-        time.schedule(found[0], () => {
-          resolve(found[1]);
+      if (attempt !== undefined) {
+        time.schedule(attempt[0], () => {
+          resolve(attempt[1]);
         });
       }
     });
@@ -43,14 +46,14 @@
 }
 
 test('an append that is answered in time is sent once', async () => {
-  const { time, sent, outcome } = start([[10, APPENDED]]);
+  const { time, sent, outcome } = startAppend([[10, APPENDED]]);
   await time.advance(1_000);
   assert.deepEqual(outcome(), APPENDED);
   assert.equal(sent(), 1);
 });
 
-test('a try that is answered settles an append of which others are silent', async () => {
-  const { time, outcome } = start([
+test('one answered attempt settles an append whose other attempts are silent', async () => {
+  const { time, outcome } = startAppend([
     [5_000, UNKNOWN],
     [10, APPENDED],
   ]);
@@ -58,8 +61,8 @@
   assert.deepEqual(outcome(), APPENDED);
 });
 
-test('an append that another leader has overtaken is told so', async () => {
-  const { time, outcome } = start([
+test('an append that was fenced by another leader reports that', async () => {
+  const { time, outcome } = startAppend([
     [5_000, UNKNOWN],
     [10, { kind: 'fenced' }],
   ]);
@@ -67,15 +70,15 @@
   assert.deepEqual(outcome(), { kind: 'fenced' });
 });
 
-test('an append that is refused is told so at once', async () => {
-  const { time, sent, outcome } = start([[10, REFUSED]]);
+test('a refused append reports that at once', async () => {
+  const { time, sent, outcome } = startAppend([[10, REFUSED]]);
   await time.advance(100);
   assert.deepEqual(outcome(), REFUSED);
   assert.equal(sent(), 1);
 });
 
-test('an append of which one try may be there is not refused', async () => {
-  const { time, outcome } = start([
+test('an append is not reported as refused if one attempt may have succeeded', async () => {
+  const { time, outcome } = startAppend([
     [500, UNKNOWN],
     [100, REFUSED],
   ]);
@@ -83,14 +86,14 @@
   assert.equal(outcome()?.kind, 'unknown');
 });
 
-test('few tries are under way at the same time', async () => {
-  const { time, sent } = start([]);
+test('the number of attempts in flight is limited', async () => {
+  const { time, sent } = startAppend([]);
   await time.advance(10_000);
   assert.equal(sent(), 4);
 });
 
-test('an append that is given up is sent no more', async () => {
-  const { time, sent, outcome } = start([[1_500, UNKNOWN]], 100);
+test('a stopped append is not sent again', async () => {
+  const { time, sent, outcome } = startAppend([[1_500, UNKNOWN]], 100);
   await time.advance(10_000);
   assert.equal(sent(), 1);
   assert.equal(outcome()?.kind, 'unknown');
--- a/packages/daemon/src/job-host/claims-read-late.test.ts
+++ b/packages/daemon/src/job-host/claims-read-late.test.ts
@@ -1,8 +1,9 @@
 /*
- * Found in the review of handed-over leases: what a claim hands on was true when its host read the journal
- * last, not when the claim came into the journal. The leader before may have written in between, other
- * leaders may have led (a host whose claim was refused skips epochs), and a copy that began with a trimmed
- * journal does not know by which leader a worker was reached. Each time a lease that holds counts as ended.
+ * Guards against leases that are taken for expired too early after a claim. The claim's writer last
+ * read the journal before it sent the claim. By the time the claim is in the journal, the former
+ * leader may have written more, other leaders may have led (a host whose claim was refused skips
+ * epochs), and a copy that starts with a trimmed journal does not know which leader reached a
+ * worker.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -46,61 +47,65 @@
   return ends;
 }
 
-test('a worker that was reached after the claimer had read is not silent', () => {
+test('a worker that was reached after the claimer last read does not count as silent', () => {
   const [claimer, reader] = [endsFromBeginning(), endsFromBeginning()];
   const silent = heartbeat(1, { epochs: [[1, 7_703]], workers: [['w', 500]] });
   for (const ends of [claimer, reader]) {
     ends.applyRecord(claim(1), 1, 100);
     ends.applyRecord(silent, 1, 1_000);
   }
-  const late = claim(2);
+  const delayedClaim = claim(2);
   // Meanwhile the leader records that the worker answers again, and extends its lease.
   for (const ends of [claimer, reader]) {
     ends.applyRecord({ kind: 'reached', worker: 'w' }, 1, 1_450);
-    ends.applyRecord(late, 2, 1_500);
+    ends.applyRecord(delayedClaim, 2, 1_500);
     const end = ends.endFor('w', 1);
     assert.ok(end >= 1_450 + TASK_LEASE_MS, `ended at ${end}`);
   }
 });
 
-test('a leader that wrote after the claimer had read has leases since then', () => {
+test('a leader that wrote after the claimer last read has given leases since then', () => {
   const reader = endsFromBeginning();
   reader.applyRecord(claim(1), 1, 100);
-  // The leader was cut off for 1.3 s: the claim was written then, and is carried out 2 s later.
-  const late = claim(2);
+  // The leader was cut off for 1.3 s: the claim was sent then and is carried out 2 s later.
+  const delayedClaim = claim(2);
   reader.applyRecord(
     heartbeat(1, { epochs: [[1, HELD_MS]], workers: [] }),
     1,
     3_300,
   );
-  reader.applyRecord(late, 2, 3_400);
+  reader.applyRecord(delayedClaim, 2, 3_400);
   const end = reader.endFor('w', 1);
   assert.ok(end >= 3_300 + MAX_LEASE_AFTER_LAST_RECORD_MS, `ended at ${end}`);
 });
 
-test('a leader of which the claimer had not read may have given leases', () => {
+test('a leader unknown to the claimer may have given leases', () => {
   const reader = endsFromBeginning();
   reader.applyRecord(claim(1), 1, 100);
-  // A host of which a claim was refused skips epochs.
-  const late = claim(5);
+  // A host whose claim was refused skips epochs.
+  const delayedClaim = claim(5);
   reader.applyRecord(claim(2), 2, 1_410);
   reader.applyRecord({ kind: 'reached', worker: 'w' }, 2, 1_500);
-  reader.applyRecord(late, 5, 1_600);
+  reader.applyRecord(delayedClaim, 5, 1_600);
   const end = reader.endFor('w', 2);
   assert.ok(end >= 1_500 + TASK_LEASE_MS, `ended at ${end}`);
 });
 
-test('a host that reads on after records it never read does not know of all leaders', () => {
+test('a host that missed records does not know of all leaders', () => {
   const ends = endsFromBeginning();
   ends.applyRecord(claim(3), 3, 100);
-  // It observed meanwhile; what leader 4 wrote is no longer kept, and leader 5 does not say what it knows.
+  // This host followed the summary meanwhile. The records of leader 4 are no longer kept, and
+  // leader 5 hands over nothing.
   ends.noteGap();
   ends.applyRecord(claim(5), 5, 90_000);
   const end = ends.endFor('w', 4);
   assert.ok(end >= 90_000 + TASK_LEASE_MS, `ended at ${end}`);
 });
 
-/** Restates a job of which a task runs at `worker`: else a claim forgets by whom the worker was reached. */
+/**
+ * Returns a restatement of a job with a task running on `worker`; without it a claim would drop the
+ * record of who reached the worker.
+ */
 function restateOfRun(worker: string): JournalRecord {
   const task = { tasks: 1, after: [], lasting: true };
   const spec = jobOf('00000000000000e1', [task], { runMs: 1, failures: 0 });
@@ -120,8 +125,8 @@
   };
 }
 
-/** Returns a copy that reads `records`, a moment apart, from a journal that lacks what came before them. */
-async function copyOfRest(
+/** Returns a copy that reads `records` at intervals from a journal without its first records. */
+async function replicaOfTrimmedJournal(
   records: readonly JournalRecord[],
   apartMs: Millis,
 ): Promise<{ replica: Replica; now: () => number }> {
@@ -144,19 +149,27 @@
   return { replica, now: clock };
 }
 
-test('a worker whose records are gone has a lease though epochs were skipped', async () => {
-  const beat = heartbeat(5, { epochs: [[5, HELD_MS]], workers: [] });
-  const { replica, now } = await copyOfRest([beat, claim(13)], 50);
-  const left = replica.earlierLeaseEnd('w') - now();
-  assert.ok(left > TASK_LEASE_MS, `left ${left}`);
+test('a worker whose records were dropped has a lease although epochs were skipped', async () => {
+  const heartbeatRecord = heartbeat(5, { epochs: [[5, HELD_MS]], workers: [] });
+  const { replica, now } = await replicaOfTrimmedJournal(
+    [heartbeatRecord, claim(13)],
+    50,
+  );
+  const leftMs = replica.earlierLeaseEnd('w') - now();
+  assert.ok(leftMs > TASK_LEASE_MS, `leftMs ${leftMs}`);
 });
 
-test('a worker that a leader reached before the first record that names the leader has a lease', async () => {
-  const beat = heartbeat(5, { epochs: [[5, HELD_MS]], workers: [] });
-  const { replica, now } = await copyOfRest(
-    [{ kind: 'reached', worker: 'w' }, beat, restateOfRun('w'), claim(6)],
+test('a worker that was reached before the first record of its leader has a lease', async () => {
+  const heartbeatRecord = heartbeat(5, { epochs: [[5, HELD_MS]], workers: [] });
+  const { replica, now } = await replicaOfTrimmedJournal(
+    [
+      { kind: 'reached', worker: 'w' },
+      heartbeatRecord,
+      restateOfRun('w'),
+      claim(6),
+    ],
     50,
   );
-  const left = replica.earlierLeaseEnd('w') - now();
-  assert.ok(left > TASK_LEASE_MS, `left ${left}`);
+  const leftMs = replica.earlierLeaseEnd('w') - now();
+  assert.ok(leftMs > TASK_LEASE_MS, `leftMs ${leftMs}`);
 });
--- a/packages/daemon/src/job-host/fuzz-plan.fixture.test.ts
+++ b/packages/daemon/src/job-host/fuzz-plan.fixture.test.ts
@@ -1,4 +1,4 @@
-/** Plans that fuzzing draws: jobs, faults, and when these disturb what. */
+/** Generators of random scenarios: jobs, and faults with their times. */
 import type { JobStream } from '@paddlewind/ports/jobs';
 import type { FaultTime } from '@paddlewind/stand-ins/jobs';
 import fc from 'fast-check';
@@ -11,18 +11,18 @@
 export const WORKERS = ['w1', 'w2', 'w3', 'w4'];
 /** A label that some workers have. */
 export const LABEL = 'fast';
-/** How long jobs come and faults strike, in milliseconds. */
-export const STORM_MS = 16_000;
-/** Longest time after which the log carries out an append that was not answered. */
-const LOSING_MS = 6_000;
-/** Time until a host that hands over has ended and starts again. */
-export const STOPPED_MS = 3_500;
+/** Time in which jobs are submitted and faults occur, in milliseconds. */
+export const FAULT_PERIOD_MS = 16_000;
+/** Longest delay until the log carries out an append that it did not answer. */
+const MAX_APPEND_DELAY_MS = 6_000;
+/** Time until a host that hands over has stopped and restarts. */
+export const HANDOVER_RESTART_MS = 3_500;
 
 const host = fc.constantFrom(...HOSTS);
 const worker = fc.constantFrom(...WORKERS);
 const span = fc.integer({ min: 300, max: 6_000 });
 
-/** A fault, and for how long. */
+/** A fault and its duration. */
 export type Fault =
   | { kind: 'kill' | 'freeze' | 'stop'; host: string; span: number }
   | {
@@ -95,7 +95,7 @@
 );
 
 const job = fc.record({
-  at: fc.integer({ min: 0, max: STORM_MS }),
+  at: fc.integer({ min: 0, max: FAULT_PERIOD_MS }),
   widths: fc.array(fc.integer({ min: 1, max: 5 }), {
     minLength: 1,
     maxLength: 3,
@@ -109,37 +109,37 @@
 });
 
 const gang = fc.record({
-  at: fc.integer({ min: 0, max: STORM_MS }),
+  at: fc.integer({ min: 0, max: FAULT_PERIOD_MS }),
   tasks: fc.integer({ min: 2, max: 5 }),
   runMs: fc.integer({ min: 50, max: 3_000 }),
   failures: fc.constantFrom(0, 0, 0, 1),
   cancelAfter: fc.option(fc.integer({ min: 0, max: 5_000 }), { freq: 4 }),
 });
 
-/** Three cores of sixteen at the most each, so that all others have room in the end. */
-const lasting = fc.record({
-  at: fc.integer({ min: 0, max: STORM_MS }),
+/** At most three cores of sixteen each, so that all other jobs find capacity in the end. */
+const longRunning = fc.record({
+  at: fc.integer({ min: 0, max: FAULT_PERIOD_MS }),
   tasks: fc.integer({ min: 1, max: 3 }),
   maxPerWorker: fc.constantFrom(undefined, undefined, 1),
   cancelAfter: fc.option(fc.integer({ min: 0, max: 30_000 }), { freq: 2 }),
 });
 
-/** Draws plans. */
-export const plan = fc.record({
+/** Generates scenarios. */
+export const scenario = fc.record({
   seed: fc.integer({ min: 1, max: 1_000_000 }),
   jobs: fc.array(job, { minLength: 2, maxLength: 8 }),
   gangs: fc.array(gang, { maxLength: 2 }),
-  lasting: fc.array(lasting, { maxLength: 2 }),
+  lasting: fc.array(longRunning, { maxLength: 2 }),
   faults: fc.array(
-    fc.record({ at: fc.integer({ min: 500, max: STORM_MS }), fault }),
+    fc.record({ at: fc.integer({ min: 500, max: FAULT_PERIOD_MS }), fault }),
     { minLength: 1, maxLength: 8 },
   ),
 });
 
-/** Draws spans in which the answers of a worker to looks come late, in time or beyond it. */
+/** Generates periods in which a worker answers polls late, within or beyond the timeout. */
 export const lateAnswers = fc.array(
   fc.record({
-    at: fc.integer({ min: 500, max: STORM_MS }),
+    at: fc.integer({ min: 500, max: FAULT_PERIOD_MS }),
     worker,
     delayMs: fc.integer({ min: 100, max: 2_500 }),
     span: fc.integer({ min: 1_000, max: 12_000 }),
@@ -147,40 +147,42 @@
   { minLength: 1, maxLength: 4 },
 );
 
-/** Draws a job of which one task brings down each worker on which it begins. */
-export const crasher = fc.record({
-  at: fc.integer({ min: 0, max: STORM_MS }),
+/** Generates a job with one task that crashes each worker on which it starts. */
+export const crashingJob = fc.record({
+  at: fc.integer({ min: 0, max: FAULT_PERIOD_MS }),
   tasks: fc.integer({ min: 1, max: 3 }),
   afterMs: fc.constantFrom(0, 10, 300, 2_000),
   kind: fc.constantFrom('plain', 'lasting', 'speculative', 'gang'),
 });
 
-/** Draws workers that start again at once or soon. */
-export const soonRestarts = fc.array(
+/** Generates workers that restart at once or soon. */
+export const quickRestarts = fc.array(
   fc.record({
-    at: fc.integer({ min: 500, max: STORM_MS }),
+    at: fc.integer({ min: 500, max: FAULT_PERIOD_MS }),
     worker,
     awayMs: fc.constantFrom(0, 5, 30, 200, 1_500),
   }),
   { minLength: 1, maxLength: 6 },
 );
 
-/** A worker that starts again soon. */
-export type SoonRestart =
-  typeof soonRestarts extends fc.Arbitrary<(infer T)[]> ? T : never;
+/** A worker that restarts soon. */
+export type QuickRestart =
+  typeof quickRestarts extends fc.Arbitrary<(infer T)[]> ? T : never;
 
-/** A job of which one task brings its workers down. */
-export type Crasher = typeof crasher extends fc.Arbitrary<infer T> ? T : never;
+/** A job with one task that crashes its workers. */
+export type CrashingJob =
+  typeof crashingJob extends fc.Arbitrary<infer T> ? T : never;
 
 /** Late answers of one worker. */
 export type LateAnswers =
   typeof lateAnswers extends fc.Arbitrary<(infer T)[]> ? T : never;
 
-/** What happens in a play. */
-export type Plan = typeof plan extends fc.Arbitrary<infer T> ? T : never;
+/** A scenario. */
+export type Scenario =
+  typeof scenario extends fc.Arbitrary<infer T> ? T : never;
 
-/** When a fault that strikes `at` disturbs what. */
-export function timeOf(at: number, found: Fault): FaultTime {
+/** Returns when and where a fault at time `at` causes disturbances. */
+export function faultTimeOf(at: number, found: Fault): FaultTime {
   const until = at + found.span;
   switch (found.kind) {
     case 'kill':
@@ -189,10 +191,14 @@
     case 'link':
       return { from: at, until, of: { host: found.host } };
     case 'stop':
-      return { from: at, until: at + STOPPED_MS, of: { host: found.host } };
+      return {
+        from: at,
+        until: at + HANDOVER_RESTART_MS,
+        of: { host: found.host },
+      };
     case 'log': {
-      const late = found.mode === 'losing' ? LOSING_MS : 0;
-      return { from: at, until: until + late, of: { host: found.host } };
+      const delayMs = found.mode === 'losing' ? MAX_APPEND_DELAY_MS : 0;
+      return { from: at, until: until + delayMs, of: { host: found.host } };
     }
     case 'stream':
       return { from: at, until, of: 'log' };
@@ -208,49 +214,51 @@
   }
 }
 
-/** A job that is asked for. */
-export interface Request {
+/** A job to submit. */
+export interface JobRequest {
   readonly id: string;
   readonly at: number;
   readonly steps: TestStep[];
   readonly script: { runMs: number; failures: number; gang?: number };
   readonly cancelAfter: number | null;
-  /** Whether it is over once all its tasks are done. */
+  /** Whether it finishes once all its tasks are done. */
   readonly ends: boolean;
 }
 
-/** Returns all jobs of a plan. */
-export function requestsOf({
+/** Returns all jobs of a scenario. */
+export function jobRequestsOf({
   jobs,
   gangs,
-  lasting: standing,
-}: Plan): Request[] {
-  const plain = jobs.map(asked => ({
-    ...asked,
-    steps: asked.widths.map((tasks, step) => ({
+  lasting: longRunningJobs,
+}: Scenario): JobRequest[] {
+  const shortJobs = jobs.map(request => ({
+    ...request,
+    steps: request.widths.map((tasks, step) => ({
       tasks,
       after: step === 0 ? [] : [step - 1],
-      speculative: asked.speculative,
-      label: asked.label,
-      maxPerWorker: asked.maxPerWorker,
+      speculative: request.speculative,
+      label: request.label,
+      maxPerWorker: request.maxPerWorker,
     })),
-    script: { runMs: asked.runMs, failures: asked.failures },
+    script: { runMs: request.runMs, failures: request.failures },
     ends: true,
   }));
-  const together = gangs.map(({ tasks, runMs, failures, ...asked }) => ({
-    ...asked,
+  const gangJobs = gangs.map(({ tasks, runMs, failures, ...request }) => ({
+    ...request,
     steps: [{ tasks, after: [], gang: true }],
     script: { runMs, failures, gang: tasks },
     ends: true,
   }));
-  const endless = standing.map(({ tasks, maxPerWorker, ...asked }) => ({
-    ...asked,
-    steps: [{ tasks, after: [], lasting: true, maxPerWorker }],
-    script: { runMs: 10_000_000, failures: 0 },
-    ends: false,
-  }));
-  return [...plain, ...together, ...endless].map((asked, index) => ({
-    ...asked,
+  const endlessJobs = longRunningJobs.map(
+    ({ tasks, maxPerWorker, ...request }) => ({
+      ...request,
+      steps: [{ tasks, after: [], lasting: true, maxPerWorker }],
+      script: { runMs: 10_000_000, failures: 0 },
+      ends: false,
+    }),
+  );
+  return [...shortJobs, ...gangJobs, ...endlessJobs].map((request, index) => ({
+    ...request,
     id: index.toString(16).padStart(16, '0'),
   }));
 }
--- a/packages/daemon/src/job-host/job-service.test.ts
+++ b/packages/daemon/src/job-host/job-service.test.ts
@@ -16,8 +16,8 @@
 const ID = '00000000000000b1';
 const TASK = { job: ID, occurrence: 0, step: 0, index: 0 };
 
-/** A host that follows, and a log in which others write. */
-class Following {
+/** A host that follows the journal, and a log to which others write. */
+class FollowerFixture {
   readonly time = createVirtualTime();
   readonly log = new MemoryJobLog({ ...this.time, random: () => 0.5 });
   readonly replica: Replica;
@@ -37,17 +37,17 @@
     this.service = new JobService(ctx, inbox, () => view);
   }
 
-  /** Reads the journal on and on, as a host that follows does. */
+  /** Keeps reading the journal, as a follower does. */
   async follow(): Promise<void> {
-    const readOn = (): void => {
+    const keepReading = (): void => {
       void this.replica.refresh('journal');
-      this.time.schedule(300, readOn);
+      this.time.schedule(300, keepReading);
     };
-    readOn();
+    keepReading();
     await this.time.advance(100);
   }
 
-  /** Another host accepts the job, and this one learns of it. */
+  /** Another host accepts the job, and this one reads it. */
   async learnJob(): Promise<void> {
     const steps = [{ tasks: 1, after: [] }];
     const job = jobOf(ID, steps, { runMs: 100, failures: 0 });
@@ -60,7 +60,7 @@
     assert.ok(this.replica.state.jobs.has(ID));
   }
 
-  /** The leader records the run of the job's only task. */
+  /** The leader records a run of the job's only task. */
   async recordRun(how: RunEnd): Promise<void> {
     const records = [
       encodeRecord({ kind: 'start', task: TASK, run: 1, worker: 'w' }),
@@ -71,78 +71,96 @@
   }
 
   async status(): Promise<StatusResult> {
-    const asked = this.service.status(ID);
+    const pending = this.service.status(ID);
     await this.time.advance(2_000);
-    return asked;
+    return pending;
   }
 }
 
-test('a host that follows tells of an end that it has not read yet', async () => {
-  const site = new Following();
-  await site.learnJob();
-  await site.recordRun('done');
-  assert.deepEqual(await site.status(), { kind: 'known', status: 'completed' });
+test('a follower reports the end of a job that it has not read yet', async () => {
+  const follower = new FollowerFixture();
+  await follower.learnJob();
+  await follower.recordRun('done');
+  assert.deepEqual(await follower.status(), {
+    kind: 'known',
+    status: 'completed',
+  });
 });
 
-test('a host that follows tells no state while it cannot read the journal', async () => {
-  const site = new Following();
-  await site.learnJob();
-  site.log.hostStreamModes.set('h journal', 'unreadable');
-  assert.deepEqual(await site.status(), { kind: 'unavailable' });
+test('a follower reports no state while it cannot read the journal', async () => {
+  const follower = new FollowerFixture();
+  await follower.learnJob();
+  follower.log.hostStreamModes.set('h journal', 'unreadable');
+  assert.deepEqual(await follower.status(), { kind: 'unavailable' });
 });
 
-test('a host that follows tells of an end that it knows without a read', async () => {
-  const site = new Following();
-  await site.learnJob();
-  await site.recordRun('done');
-  void site.replica.refresh('journal');
-  await site.time.advance(100);
-  site.log.hostStreamModes.set('h journal', 'unreadable');
-  assert.deepEqual(await site.status(), { kind: 'known', status: 'completed' });
+test('a follower reports a known end of a job without reading', async () => {
+  const follower = new FollowerFixture();
+  await follower.learnJob();
+  await follower.recordRun('done');
+  void follower.replica.refresh('journal');
+  await follower.time.advance(100);
+  follower.log.hostStreamModes.set('h journal', 'unreadable');
+  assert.deepEqual(await follower.status(), {
+    kind: 'known',
+    status: 'completed',
+  });
 });
 
-/** Submits a job whose outcome is asked for after `afterMs`. */
-async function submitted(
-  { service, time }: Following,
+/** Submits a job and returns its outcome after `afterMs`. */
+async function outcomeOfSubmit(
+  { service, time }: FollowerFixture,
   id: string,
   afterMs: number,
 ): Promise<string> {
-  let told = 'nothing';
+  let outcome = 'nothing';
   const job = jobOf(id, [{ tasks: 1, after: [] }], { runMs: 1, failures: 0 });
   void service.submit(job, time.clock() + 3_000).then(({ kind }) => {
-    told = kind;
+    outcome = kind;
   });
   await time.advance(afterMs);
-  return told;
+  return outcome;
 }
 
-test('while the inbox resets what it is sent, later callers are refused at once', async () => {
-  const site = new Following();
-  await site.follow();
-  site.log.streamModes.set('inbox', 'resetting');
-  assert.equal(await submitted(site, '0000000000000001', 20), 'unknown');
+test('callers are refused at once while the inbox resets connections', async () => {
+  const follower = new FollowerFixture();
+  await follower.follow();
+  follower.log.streamModes.set('inbox', 'resetting');
+  assert.equal(
+    await outcomeOfSubmit(follower, '0000000000000001', 20),
+    'unknown',
+  );
   for (const id of ['0000000000000002', '0000000000000003']) {
-    assert.equal(await submitted(site, id, 1), 'refused');
+    assert.equal(await outcomeOfSubmit(follower, id, 1), 'refused');
   }
-  await site.time.advance(5_000);
-  assert.equal(await submitted(site, '0000000000000004', 1), 'refused');
-  assert.equal(site.log.recordsOf('inbox').length, 0);
+  await follower.time.advance(5_000);
+  assert.equal(
+    await outcomeOfSubmit(follower, '0000000000000004', 1),
+    'refused',
+  );
+  assert.equal(follower.log.recordsOf('inbox').length, 0);
 });
 
 test('callers are accepted again once the inbox can be read', async () => {
-  const site = new Following();
-  await site.follow();
-  site.log.streamModes.set('inbox', 'resetting');
-  await submitted(site, '0000000000000001', 2_000);
-  site.log.streamModes.delete('inbox');
-  await site.time.advance(500);
-  assert.equal(await submitted(site, '0000000000000002', 50), 'recorded');
+  const follower = new FollowerFixture();
+  await follower.follow();
+  follower.log.streamModes.set('inbox', 'resetting');
+  await outcomeOfSubmit(follower, '0000000000000001', 2_000);
+  follower.log.streamModes.delete('inbox');
+  await follower.time.advance(500);
+  assert.equal(
+    await outcomeOfSubmit(follower, '0000000000000002', 50),
+    'recorded',
+  );
 });
 
-test('one answer that was lost makes no later caller wait or come back', async () => {
-  const site = new Following();
-  await site.follow();
-  site.log.unansweredAppends = 1;
-  await submitted(site, '0000000000000001', 1_000);
-  assert.equal(await submitted(site, '0000000000000002', 50), 'recorded');
+test('one lost answer does not make later callers wait or retry', async () => {
+  const follower = new FollowerFixture();
+  await follower.follow();
+  follower.log.unansweredAppends = 1;
+  await outcomeOfSubmit(follower, '0000000000000001', 1_000);
+  assert.equal(
+    await outcomeOfSubmit(follower, '0000000000000002', 50),
+    'recorded',
+  );
 });
--- a/packages/daemon/src/job-host/relay/link-budget.test.ts
+++ b/packages/daemon/src/job-host/relay/link-budget.test.ts
@@ -7,41 +7,42 @@
 
 const BYTES_PER_S = 10_000;
 
-test('a budget carries what it has saved up for a second', async () => {
+test('a budget admits the bytes saved up in one second', async () => {
   const time = createVirtualTime();
   const budget = new LinkBudget(time.clock, BYTES_PER_S);
-  const taken = Array.from({ length: 12 }, () => budget.take(1_000));
-  assert.equal(taken.filter(Boolean).length, 10);
+  const admitted = Array.from({ length: 12 }, () => budget.tryTake(1_000));
+  assert.equal(admitted.filter(Boolean).length, 10);
   await time.advance(10_000);
-  assert.ok(budget.take(10_000));
-  assert.ok(!budget.take(1));
+  assert.ok(budget.tryTake(10_000));
+  assert.ok(!budget.tryTake(1));
 });
 
-// Payloads would else take their part of the link in each second of an overload, when nothing is left of it.
-test('nothing is left of a budget while more is asked for than it carries', async () => {
+// Otherwise payloads would take their part of the link in each second of an overload, when it has
+// nothing to spare.
+test('a budget admits nothing during a sustained overload', async () => {
   const time = createVirtualTime();
   const budget = new LinkBudget(time.clock, BYTES_PER_S);
-  let taken = 0;
+  let admitted = 0;
   for (let at = 0; at < 200; at += 1) {
     await time.advance(50);
-    taken += budget.take(1_000) ? 1 : 0;
+    admitted += budget.tryTake(1_000) ? 1 : 0;
   }
-  // The second that was saved up, of twenty a second.
-  assert.ok(taken <= 20, `${taken} of 200`);
+  // The second that was saved up, at twenty a second.
+  assert.ok(admitted <= 20, `${admitted} of 200`);
 });
 
-test('a budget is whole again soon after an overload', async () => {
+test('a budget recovers soon after an overload', async () => {
   const time = createVirtualTime();
   const budget = new LinkBudget(time.clock, BYTES_PER_S);
   for (let at = 0; at < 100; at += 1) {
-    budget.take(1_000);
+    budget.tryTake(1_000);
   }
   await time.advance(2_000);
-  assert.ok(budget.take(10_000));
+  assert.ok(budget.tryTake(10_000));
 });
 
-test('a link without a limit carries everything', () => {
+test('an unlimited link carries everything', () => {
   const budget = new LinkBudget(createVirtualTime().clock, Infinity);
-  assert.ok(budget.take(1e12) && budget.take(1e12));
-  assert.ok(!budget.mayRunShort);
+  assert.ok(budget.tryTake(1e12) && budget.tryTake(1e12));
+  assert.ok(!budget.mayBeExceeded);
 });
--- a/packages/daemon/src/job-host/relay/link-pace.test.ts
+++ b/packages/daemon/src/job-host/relay/link-pace.test.ts
@@ -4,53 +4,56 @@
 import { createVirtualTime, type VirtualTime } from '@paddlewind/stand-ins';
 
 import { testContext } from '../context.fixture.test.js';
-import { LinkPace } from './link-pace.js';
+import { LinkPacer } from './link-pace.js';
 
 /** Ten bytes a millisecond. */
 const BYTES_PER_S = 10_000;
 
-/** How long starts of `bytes` that come together wait for their turns; undefined for those that have none. */
-async function turnsOf(
-  pace: LinkPace,
+/**
+ * Returns how long simultaneous starts of `bytes` wait for their turns; undefined for starts that
+ * are not admitted.
+ */
+async function waitsOf(
+  pacer: LinkPacer,
   time: VirtualTime,
   count: number,
   bytes: number,
 ): Promise<(number | undefined)[]> {
   const cameAt = time.clock();
-  const turns = Array.from({ length: count }, async () => {
-    const hasTurn = await pace.admit(bytes);
+  const waits = Array.from({ length: count }, async () => {
+    const hasTurn = await pacer.admit(bytes);
     return hasTurn ? Math.round(time.clock() - cameAt) : undefined;
   });
   await time.advance(5_000);
-  return Promise.all(turns);
+  return Promise.all(waits);
 }
 
-test('starts have their turns as the link carries them, a few at once', async () => {
+test('starts are admitted at the pace of the link after an initial burst', async () => {
   const time = createVirtualTime();
-  const pace = new LinkPace(testContext(time), BYTES_PER_S);
-  const turns = await turnsOf(pace, time, 9, 1_000);
-  assert.deepEqual(turns, [0, 0, 0, 0, 0, 0, 100, 200, 300]);
+  const pacer = new LinkPacer(testContext(time), BYTES_PER_S);
+  const waits = await waitsOf(pacer, time, 9, 1_000);
+  assert.deepEqual(waits, [0, 0, 0, 0, 0, 0, 100, 200, 300]);
 });
 
-// Sent all the same, they would hold up looks and appends until workers seem to be silent.
-test('starts that would wait for too long have no turn', async () => {
+// If sent, they would delay polls and appends until workers seem silent.
+test('starts that would wait too long are not admitted', async () => {
   const time = createVirtualTime();
-  const pace = new LinkPace(testContext(time), BYTES_PER_S);
-  const turns = await turnsOf(pace, time, 20, 1_000);
-  assert.equal(turns.filter(turn => turn !== undefined).length, 16);
-  assert.ok(turns.every(turn => turn === undefined || turn <= 1_000));
+  const pacer = new LinkPacer(testContext(time), BYTES_PER_S);
+  const waits = await waitsOf(pacer, time, 20, 1_000);
+  assert.equal(waits.filter(wait => wait !== undefined).length, 16);
+  assert.ok(waits.every(wait => wait === undefined || wait <= 1_000));
 });
 
-test('few starts are under way on a slow link, and any number on one without a limit', async () => {
+test('few starts are in flight on a slow link, any number on an unlimited one', async () => {
   const time = createVirtualTime();
   const ctx = testContext(time);
-  const slow = new LinkPace(ctx, BYTES_PER_S);
-  await turnsOf(slow, time, 8, 1_000);
-  assert.equal(slow.mostStarts, 8);
-  assert.equal(new LinkPace(ctx, 1_000).mostStarts, 4);
-  assert.equal(new LinkPace(ctx, 1_000_000).mostStarts, 666);
-  const free = new LinkPace(ctx, Infinity);
-  assert.equal(free.mostStarts, Infinity);
-  assert.deepEqual(await turnsOf(free, time, 2, 1e9), [0, 0]);
-  assert.ok(!free.isBusy);
+  const slow = new LinkPacer(ctx, BYTES_PER_S);
+  await waitsOf(slow, time, 8, 1_000);
+  assert.equal(slow.maxStarts, 8);
+  assert.equal(new LinkPacer(ctx, 1_000).maxStarts, 4);
+  assert.equal(new LinkPacer(ctx, 1_000_000).maxStarts, 666);
+  const free = new LinkPacer(ctx, Infinity);
+  assert.equal(free.maxStarts, Infinity);
+  assert.deepEqual(await waitsOf(free, time, 2, 1e9), [0, 0]);
+  assert.ok(!free.hasWaitingStarts);
 });
--- a/packages/daemon/src/job-host/relay/start-relay.test.ts
+++ b/packages/daemon/src/job-host/relay/start-relay.test.ts
@@ -1,4 +1,4 @@
-/** What a host does that is to send a start for the leader. */
+/** How a host sends starts on behalf of the leader. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
@@ -26,7 +26,7 @@
 const EPOCH = 64;
 const ACCEPTED: OrderResult = { kind: 'accepted', clock: 7 };
 
-/** A start, which is to be sent by when its batch says. */
+/** A start whose latest send time comes from its batch. */
 type TestStart = Omit<RelayedStart, 'sendBy'>;
 
 const START: TestStart = {
@@ -42,13 +42,13 @@
 };
 
 /** A host that is asked to send starts. */
-class RelaySite {
+class RelayFixture {
   readonly time = createVirtualTime();
   readonly state = emptyJobsState();
   readonly sent: StartOrder[] = [];
   readonly forgotten: string[] = [];
   follows = true;
-  /** What a read of the inbox takes, and brings. */
+  /** Duration of a read of the inbox, and the records it returns. */
   readMs = 5;
   inbox: () => void = () => undefined;
 
@@ -65,7 +65,7 @@
         }),
     },
     port: () => this.port,
-    follows: () => this.follows,
+    isFollowing: () => this.follows,
   });
 
   /** Time that a worker takes to answer, by its id. */
@@ -93,7 +93,7 @@
     applyInbox(this.state, { kind: 'submit', job: SPEC, atWall: 0 });
   }
 
-  /** Starts that this host is to send within 300 ms: one, where no others are given. */
+  /** Returns a batch of starts that this host is to send within 300 ms; of one start by default. */
   batch(starts: readonly TestStart[] = [START]): RelayBatch {
     const { process, clock } = this.relay.identify();
     const sendBy = clock + 300;
@@ -101,42 +101,42 @@
     return { epoch: EPOCH, process, starts: due };
   }
 
-  /** Takes starts, and returns what became of each. */
-  async takeAll(batch: RelayBatch): Promise<string[]> {
-    const told: string[] = [];
-    const taking = this.relay.take(batch, (at, outcome) => {
-      assert.equal(told[at], undefined);
-      told[at] = wordOf(outcome);
+  /** Handles a batch and returns the outcome of each start. */
+  async relayAll(batch: RelayBatch): Promise<string[]> {
+    const outcomes: string[] = [];
+    const sending = this.relay.sendBatch(batch, (at, outcome) => {
+      assert.equal(outcomes[at], undefined);
+      outcomes[at] = outcomeNameOf(outcome);
     });
     await this.time.advance(1_000);
-    await taking;
-    return told;
+    await sending;
+    return outcomes;
   }
 
-  /** Takes one start, and returns what became of it. */
-  async take(batch: RelayBatch): Promise<string> {
-    const told = await this.takeAll(batch);
-    assert.equal(told.length, 1);
-    return told[0] ?? '';
+  /** Handles a batch of one start and returns its outcome. */
+  async relayOne(batch: RelayBatch): Promise<string> {
+    const outcomes = await this.relayAll(batch);
+    assert.equal(outcomes.length, 1);
+    return outcomes[0] ?? '';
   }
 }
 
-function wordOf(outcome: RelayOutcome): string {
+function outcomeNameOf(outcome: RelayOutcome): string {
   return outcome.kind === 'refused' ? outcome.why : outcome.result.kind;
 }
 
-test('a start is sent with the payload that the log holds, and all else as the leader says', async () => {
-  const site = new RelaySite();
-  site.submit();
-  assert.equal(await site.take(site.batch()), 'accepted');
-  assert.deepEqual(site.sent, [{ ...START.order, payload: SPEC.payload }]);
+test('a start is sent with the payload from the log and all else from the leader', async () => {
+  const fixture = new RelayFixture();
+  fixture.submit();
+  assert.equal(await fixture.relayOne(fixture.batch()), 'accepted');
+  assert.deepEqual(fixture.sent, [{ ...START.order, payload: SPEC.payload }]);
 });
 
-// The leader counts a start of which it hears nothing as one that may begin.
-test('what became of a start is told as soon as its worker has answered, whatever the others do', async () => {
-  const site = new RelaySite();
-  site.submit();
-  site.answerMs.set('slow', 400);
+// Without an outcome the leader assumes that the run may still start.
+test('the outcome of a start is reported as soon as its worker answers', async () => {
+  const fixture = new RelayFixture();
+  fixture.submit();
+  fixture.answerMs.set('slow', 400);
   const slow = { ...START, worker: { id: 'slow', address: 'w:2' } };
   const job = '00000000000000c9';
   const { order } = START;
@@ -144,93 +144,94 @@
     ...START,
     order: { ...order, task: { ...order.task, job } },
   };
-  const told: { at: number; word: string; after: number }[] = [];
-  const cameAt = site.time.clock();
-  const taking = site.relay.take(
-    site.batch([slow, START, unknown]),
+  const outcomes: { at: number; word: string; after: number }[] = [];
+  const cameAt = fixture.time.clock();
+  const sending = fixture.relay.sendBatch(
+    fixture.batch([slow, START, unknown]),
     (at, outcome) => {
-      const after = site.time.clock() - cameAt;
-      told.push({ at, word: wordOf(outcome), after });
+      const after = fixture.time.clock() - cameAt;
+      outcomes.push({ at, word: outcomeNameOf(outcome), after });
     },
   );
-  await site.time.advance(1_000);
-  await taking;
-  assert.deepEqual(told, [
+  await fixture.time.advance(1_000);
+  await sending;
+  assert.deepEqual(outcomes, [
     { at: 1, word: 'accepted', after: 0 },
     { at: 2, word: 'unknown_job', after: 5 },
     { at: 0, word: 'accepted', after: 400 },
   ]);
 });
 
-test('a job that is not known is looked for in the log', async () => {
-  const site = new RelaySite();
-  site.inbox = () => {
-    site.submit();
+test('an unknown job is looked up in the log', async () => {
+  const fixture = new RelayFixture();
+  fixture.inbox = () => {
+    fixture.submit();
   };
-  assert.equal(await site.take(site.batch()), 'accepted');
+  assert.equal(await fixture.relayOne(fixture.batch()), 'accepted');
 });
 
-test('no start is sent of a job that is not in the log, or over', async () => {
-  const site = new RelaySite();
-  assert.equal(await site.take(site.batch()), 'unknown_job');
-  site.submit();
-  applyInbox(site.state, { kind: 'cancel', job: JOB });
-  assert.equal(await site.take(site.batch()), 'unknown_job');
-  assert.deepEqual(site.sent, []);
+test('no start is sent for a job that is not in the log or has finished', async () => {
+  const fixture = new RelayFixture();
+  assert.equal(await fixture.relayOne(fixture.batch()), 'unknown_job');
+  fixture.submit();
+  applyInbox(fixture.state, { kind: 'cancel', job: JOB });
+  assert.equal(await fixture.relayOne(fixture.batch()), 'unknown_job');
+  assert.deepEqual(fixture.sent, []);
 });
 
 test('no start is sent that arrives late', async () => {
-  const site = new RelaySite();
-  site.submit();
-  const batch = site.batch();
-  await site.time.advance(301);
-  assert.equal(await site.take(batch), 'late');
-  assert.deepEqual(site.sent, []);
+  const fixture = new RelayFixture();
+  fixture.submit();
+  const batch = fixture.batch();
+  await fixture.time.advance(301);
+  assert.equal(await fixture.relayOne(batch), 'late');
+  assert.deepEqual(fixture.sent, []);
 });
 
-test('no start is sent that is late once the log was read', async () => {
-  const site = new RelaySite();
-  site.readMs = 400;
-  site.inbox = () => {
-    site.submit();
+test('no start is sent that is late after the log was read', async () => {
+  const fixture = new RelayFixture();
+  fixture.readMs = 400;
+  fixture.inbox = () => {
+    fixture.submit();
   };
-  assert.equal(await site.take(site.batch()), 'late');
-  assert.deepEqual(site.sent, []);
+  assert.equal(await fixture.relayOne(fixture.batch()), 'late');
+  assert.deepEqual(fixture.sent, []);
 });
 
-// The clock of another process of the host may be behind by hours: by it no start would be late.
-test('no start is sent that was meant for another process of the host', async () => {
-  const site = new RelaySite();
-  site.submit();
-  const batch = { ...site.batch(), process: 'another' };
-  assert.equal(await site.take(batch), 'other_process');
-  assert.deepEqual(site.sent, []);
+// The clock of another process of the host may be hours behind; on that clock no start would be
+// late.
+test('no start is sent that was addressed to another process of the host', async () => {
+  const fixture = new RelayFixture();
+  fixture.submit();
+  const batch = { ...fixture.batch(), process: 'another' };
+  assert.equal(await fixture.relayOne(batch), 'other_process');
+  assert.deepEqual(fixture.sent, []);
 });
 
 test('no start is sent by a host that leads, stops or does not follow the log', async () => {
-  const site = new RelaySite();
-  site.submit();
-  site.follows = false;
-  assert.equal(await site.take(site.batch()), 'not_following');
-  assert.deepEqual(site.sent, []);
+  const fixture = new RelayFixture();
+  fixture.submit();
+  fixture.follows = false;
+  assert.equal(await fixture.relayOne(fixture.batch()), 'not_following');
+  assert.deepEqual(fixture.sent, []);
 });
 
-test('no start is sent for a leader of which a later one is known', async () => {
-  const site = new RelaySite();
-  site.submit();
+test('no start is sent for a leader with a known successor', async () => {
+  const fixture = new RelayFixture();
+  fixture.submit();
   const claim = { kind: 'claim', host: 'h2', nonce: 1 } as const;
-  applyJournal(site.state, { ...claim, epoch: EPOCH + 64 });
-  assert.equal(await site.take(site.batch()), 'deposed');
-  assert.deepEqual(site.sent, []);
+  applyJournal(fixture.state, { ...claim, epoch: EPOCH + 64 });
+  assert.equal(await fixture.relayOne(fixture.batch()), 'deposed');
+  assert.deepEqual(fixture.sent, []);
 });
 
-test('connections to workers that are not used are closed', async () => {
-  const site = new RelaySite();
-  site.submit();
-  await site.take(site.batch());
-  site.relay.forgetUnused();
-  assert.deepEqual(site.forgotten, []);
-  await site.time.advance(60_000);
-  site.relay.forgetUnused();
-  assert.deepEqual(site.forgotten, ['w']);
+test('idle connections to workers are closed', async () => {
+  const fixture = new RelayFixture();
+  fixture.submit();
+  await fixture.relayOne(fixture.batch());
+  fixture.relay.closeIdleConnections();
+  assert.deepEqual(fixture.forgotten, []);
+  await fixture.time.advance(60_000);
+  fixture.relay.closeIdleConnections();
+  assert.deepEqual(fixture.forgotten, ['w']);
 });
--- a/packages/daemon/src/job-host/restarts-deployment.fixture.test.ts
+++ b/packages/daemon/src/job-host/restarts-deployment.fixture.test.ts
@@ -1,4 +1,7 @@
-/** A site whose workers start again under their ids, beside a lasting job and jobs of short tasks. */
+/**
+ * A simulated deployment whose workers restart under their ids while a long-running job and jobs of
+ * short tasks run.
+ */
 import assert from 'node:assert/strict';
 
 import type { Millis } from '@paddlewind/domain';
@@ -6,7 +9,7 @@
 
 import { Simulation } from './simulation.fixture.test.js';
 
-/** The job that lasts, and its number of tasks. */
+/** The long-running job and its number of tasks. */
 export const LONG_RUNNING_JOB = '00000000000000d1';
 export const LONG_RUNNING_TASKS = 8;
 const HOSTS = ['h1', 'h2', 'h3', 'h4', 'h5'];
@@ -15,38 +18,38 @@
 const SHORT_TASKS = 6;
 const SHORT_RUN_MS = 700;
 const SHORT_JOBS = 49;
-const SHORT_EVERY_MS = 900;
-/** Time until a host leads and the lasting job runs. */
+const SHORT_JOB_INTERVAL_MS = 900;
+/** Time until a host leads and the long-running job runs. */
 const SETTLE_MS = 4_000;
 /** Pause between restarts. */
-const EVERY_MS = 5_000;
-/** How often workers start again. */
+const RESTART_INTERVAL_MS = 5_000;
+/** Number of restarts. */
 export const RESTART_ROUNDS = 6;
-/** Seeds of each play. */
+/** Seeds of each scenario. */
 export const SEEDS = [1, 2, 3, 4];
-/** Time after the last restart in which all that is left is done. */
-const CALM_MS = 30_000;
+/** Time after the last restart in which all remaining work completes. */
+const RECOVERY_MS = 30_000;
 
-/** Makes workers start again; `turn` counts from 0. */
+/** Restarts workers; `turn` counts from 0. */
 export type Restart = (site: Simulation, turn: number) => void | Promise<void>;
 
-/** What a site is like, and what happens there. */
-export interface RestartsPlay {
+/** Settings of a deployment and the restarts in it. */
+export interface RestartsScenario {
   readonly seed: number;
   readonly restart: Restart;
   readonly keepsIds?: boolean;
   readonly maxLeaseMs?: Millis;
-  /** What the workers' time of day is ahead by at first. */
+  /** Initial offset of the workers' time of day. */
   readonly wallOffset?: Millis;
 }
 
-/** Starts hosts, workers and the lasting job. */
+/** Starts hosts, workers and the long-running job. */
 export async function deploymentWithRestarts({
   seed,
   keepsIds = true,
   maxLeaseMs = 6_000,
   wallOffset = 0,
-}: Omit<RestartsPlay, 'restart'>): Promise<Simulation> {
+}: Omit<RestartsScenario, 'restart'>): Promise<Simulation> {
   const site = new Simulation(seed, { keepsIds, maxLeaseMs });
   site.workerWallOffset = wallOffset;
   site.history.faults = new FaultTimes();
@@ -55,24 +58,25 @@
   });
   HOSTS.forEach(name => site.startHost(name));
   const step = { tasks: LONG_RUNNING_TASKS, after: [], lasting: true };
-  void site.submit(LONG_RUNNING_JOB, [step], {
-    runMs: 10_000_000,
-    failures: 0,
-  });
+  void site.submit(LONG_RUNNING_JOB, [step], { runMs: 10_000_000, failures: 0 });
   await site.time.advance(SETTLE_MS);
   assert.equal(site.history.runningOf(LONG_RUNNING_JOB), LONG_RUNNING_TASKS);
   return site;
 }
 
-/** Plays restarts beside jobs that come all the time; returns the site once all should be done. */
-export async function runRestarts(play: RestartsPlay): Promise<Simulation> {
+/** Runs restarts while jobs are submitted; returns the deployment once all jobs should be done. */
+export async function runRestarts(
+  play: RestartsScenario,
+): Promise<Simulation> {
   const site = await deploymentWithRestarts(play);
   void submitShortJobs(site);
   for (let turn = 0; turn < RESTART_ROUNDS; turn += 1) {
-    await site.time.advance(EVERY_MS);
+    await site.time.advance(RESTART_INTERVAL_MS);
     void play.restart(site, turn);
   }
-  await site.time.advance(Math.max(CALM_MS, SHORT_JOBS * SHORT_EVERY_MS));
+  await site.time.advance(
+    Math.max(RECOVERY_MS, SHORT_JOBS * SHORT_JOB_INTERVAL_MS),
+  );
   return site;
 }
 
@@ -81,7 +85,7 @@
     const step = { tasks: SHORT_TASKS, after: [] };
     const script = { runMs: SHORT_RUN_MS, failures: 0 };
     void site.submit(shortJob(index), [step], script);
-    await site.wait(SHORT_EVERY_MS);
+    await site.wait(SHORT_JOB_INTERVAL_MS);
   }
 }
 
@@ -89,13 +93,13 @@
   return `5${index.toString(16).padStart(15, '0')}`;
 }
 
-/** Short jobs that are not done. */
+/** Returns the short jobs that are not done. */
 export function unfinished(site: Simulation): string[] {
   const all = Array.from({ length: SHORT_JOBS }, (_, at) => shortJob(at));
   return all.filter(id => !site.history.isDone(id));
 }
 
-/** Makes workers start again, as a fault that promises of calm times take into account. */
+/** Restarts workers and records that as a fault, since some guarantees hold only in fault-free times. */
 export function restartWorkers(
   site: Simulation,
   machines: readonly string[],
@@ -108,21 +112,21 @@
   }
 }
 
-/** One worker after the other, each away for `awayMs`. */
+/** Returns a restart of one worker after the other, each unavailable for `awayMs`. */
 export function restartOneByOne(awayMs: number): Restart {
   return (site, turn) => {
     restartWorkers(site, WORKERS.slice(turn, turn + 1), awayMs);
   };
 }
 
-/** Makes all hosts start anew at the same moment. */
+/** Restarts all hosts at the same moment. */
 export function restartHosts(site: Simulation): void {
   for (const host of HOSTS) {
     restartHost(site, host, 0);
   }
 }
 
-/** Kills a host, which is there again after `awayMs`. */
+/** Kills a host and restarts it after `awayMs`. */
 export function restartHost(
   site: Simulation,
   host: string,
@@ -134,12 +138,8 @@
   site.time.schedule(awayMs, () => site.startHost(host));
 }
 
-/** Cuts a worker off from all hosts for `span`. */
-export function disconnectWorker(
-  site: Simulation,
-  machine: string,
-  span: Millis,
-): void {
+/** Disconnects a worker from all hosts for `span`. */
+export function disconnectWorker(site: Simulation, machine: string, span: Millis): void {
   const from = site.time.clock();
   site.history.faults?.add({ from, until: from + span, of: 'workers' });
   const pairs = HOSTS.map(host => `${host}>${machine}`);
@@ -149,7 +149,7 @@
   });
 }
 
-/** Asserts that every promise was kept, and that all was done and runs that should. */
+/** Asserts that every guarantee was kept, all short jobs are done and the long-running tasks run. */
 export function assertNothingLost(site: Simulation, note: string): void {
   assert.deepEqual(site.history.check(), [], note);
   assert.deepEqual(unfinished(site), [], note);
--- a/packages/daemon/src/job-host/simulated-network.fixture.test.ts
+++ b/packages/daemon/src/job-host/simulated-network.fixture.test.ts
@@ -1,4 +1,4 @@
-/** The links of hosts in virtual time, and the calls between hosts. */
+/** Simulated links of hosts and calls between hosts, in virtual time. */
 import type { Instant, Millis } from '@paddlewind/domain';
 import type {
   OrderResult,
@@ -13,22 +13,22 @@
 import type { SimulatedProcess } from './simulated-process.fixture.test.js';
 import type { JobHost } from './start-job-host.js';
 
-/** Bytes of a call beside a job's payload. */
+/** Size of a call without a job's payload. */
 const CALL_BYTES = 300;
-/** Bytes of each further start that one call carries to another host. */
+/** Size of each further start in a call to another host. */
 const START_ROW_BYTES = 110;
-/** Time after which an order to a worker is given up. */
-const ORDER_MS: Millis = 500;
-/** Time of a call between hosts, and after which it is given up: not taken, or not appended. */
-const PEER_MS: Millis = 2;
-const PEER_TAKEN_MS: Millis = 80;
-const PEER_APPENDED_MS: Millis = 1_200;
-/** Time after which a host that is asked who it is, or starts that it has taken, are given up. */
-const IDENTIFIED_MS: Millis = 300;
-const RELAYED_MS: Millis = 900;
+/** Timeout of an order to a worker. */
+const ORDER_TIMEOUT_MS: Millis = 500;
+/** Latency of a call between hosts, and its timeouts for being accepted and for the append. */
+const PEER_LATENCY_MS: Millis = 2;
+const PEER_ACCEPT_TIMEOUT_MS: Millis = 80;
+const PEER_APPEND_TIMEOUT_MS: Millis = 1_200;
+/** Timeouts for identifying a host, and for starts that it has accepted. */
+const IDENTIFY_TIMEOUT_MS: Millis = 300;
+const RELAY_TIMEOUT_MS: Millis = 900;
 const MS_PER_S = 1_000;
 
-/** What a host sends goes over one link, one byte after the other. */
+/** A host's outgoing link, which carries one byte after the other. */
 export class SimulatedLink {
   private freeAt: Instant = 0;
 
@@ -38,7 +38,7 @@
     private readonly bytesPerS: number,
   ) {}
 
-  /** Resolves once all that was sent before, and these bytes, are through. */
+  /** Resolves once these bytes, and all that were sent before, have been carried. */
   async carry(bytes: number): Promise<void> {
     if (this.bytesPerS === Infinity) {
       return;
@@ -46,10 +46,13 @@
     const now = this.time.clock();
     const took = (bytes / this.bytesPerS) * MS_PER_S;
     this.freeAt = Math.max(now, this.freeAt) + took;
-    await pauseOf(this.time, this.freeAt - now);
+    await sleepIn(this.time, this.freeAt - now);
   }
 
-  /** Returns `port` behind this link: what waits here for too long is carried out all the same. */
+  /**
+   * Returns `port` behind this link. Calls that time out while they wait here are carried out all
+   * the same.
+   */
   port(port: WorkerPort): WorkerPort {
     if (this.bytesPerS === Infinity) {
       return port;
@@ -58,11 +61,13 @@
       bytes: number,
       call: () => Promise<OrderResult>,
     ): Promise<OrderResult> => {
-      const gaveUp = pauseOf(this.time, ORDER_MS).then((): OrderResult => ({
-        kind: 'unknown',
-        reason: 'timeout',
-      }));
-      return Promise.race([this.carry(bytes).then(call), gaveUp]);
+      const timedOut = sleepIn(this.time, ORDER_TIMEOUT_MS).then(
+        (): OrderResult => ({
+          kind: 'unknown',
+          reason: 'timeout',
+        }),
+      );
+      return Promise.race([this.carry(bytes).then(call), timedOut]);
     };
     return {
       ...port,
@@ -78,7 +83,7 @@
   }
 }
 
-/** The link of a host in each direction. */
+/** The links of a host in both directions. */
 export interface HostLinks {
   readonly out: SimulatedLink;
   readonly into: SimulatedLink;
@@ -92,106 +97,109 @@
 
 /** Calls between hosts. */
 export class SimulatedPeers {
-  /** Pairs of hosts `from>to` of which the first does not reach the second. */
+  /** Pairs of hosts `from>to` where the first can't reach the second. */
   readonly cuts = new Set<string>();
-  /** Time by host that starts take on their way to it, also beyond the time after which they are given up. */
+  /** Extra latency of starts by receiving host, which may exceed their timeout. */
   readonly startDelays = new Map<string, Millis>();
-  /** Whether no host reaches another one. */
+  /** Whether no host can reach another one. */
   cutAll = false;
-  /** Links by host, where the site has any in both directions. */
+  /** Links by host, for deployments with links in both directions. */
   readonly links = new Map<string, HostLinks>();
-  /** How often a host was asked to append for another one. */
+  /** Number of calls that asked a host to append for another one. */
   appends = 0;
-  /** How often a host was asked to send a start for another one. */
+  /** Number of starts that a host was asked to send for another one. */
   relays = 0;
 
-  /** Creates the calls between the hosts of a site. */
+  /** Creates the calls between the hosts of a deployment. */
   constructor(
     private readonly time: VirtualTime,
     private readonly hosts: ReadonlyMap<string, ReachedHost>,
   ) {}
 
-  /** Other hosts as `name` reaches them: a frozen or dead one does not answer. */
+  /** Returns the port through which `name` calls other hosts. A frozen or dead host does not answer. */
   connect(name: string, link: SimulatedLink): PeerPort {
     return {
       append: async (address, records) => {
-        await this.pause(PEER_MS);
+        await this.pause(PEER_LATENCY_MS);
         const found = this.reach(name, address);
         const unknown = { kind: 'unknown', reason: 'no answer' } as const;
         if (found === undefined || found.process.isStopped) {
-          return this.pause(PEER_TAKEN_MS).then(() => unknown);
+          return this.pause(PEER_ACCEPT_TIMEOUT_MS).then(() => unknown);
         }
         this.appends += 1;
-        const gaveUp = this.pause(PEER_APPENDED_MS).then(() => unknown);
-        return Promise.race([found.host.appendForPeer(records), gaveUp]);
+        const timedOut = this.pause(PEER_APPEND_TIMEOUT_MS).then(() => unknown);
+        return Promise.race([found.host.appendForPeer(records), timedOut]);
       },
       relay: (address, batch, watch) => {
         this.relays += batch.starts.length;
         return new Promise(resolve => {
-          const notTaken = this.time.schedule(watch.takenWithinMs, () => {
+          const cancelAcceptTimeout = this.time.schedule(
+            watch.takenWithinMs,
+            () => {
+              resolve(UNANSWERED);
+            },
+          );
+          const timedOut = this.pause(watch.takenWithinMs + RELAY_TIMEOUT_MS);
+          void timedOut.then(() => {
             resolve(UNANSWERED);
           });
-          const gaveUp = this.pause(watch.takenWithinMs + RELAYED_MS);
-          void gaveUp.then(() => {
-            resolve(UNANSWERED);
-          });
-          const taken: RelayObserver['onAccepted'] = by => {
-            notTaken();
+          const onAccepted: RelayObserver['onAccepted'] = by => {
+            cancelAcceptTimeout();
             watch.onAccepted(by);
           };
-          const more = batch.starts.length - 1;
+          const furtherStarts = batch.starts.length - 1;
           void link
-            .carry(CALL_BYTES + more * START_ROW_BYTES)
+            .carry(CALL_BYTES + furtherStarts * START_ROW_BYTES)
             .then(() =>
-              this.relay(name, address, batch, { ...watch, onAccepted: taken }),
+              this.relay(name, address, batch, { ...watch, onAccepted }),
             )
             .then(resolve);
         });
       },
       identify: async address => {
         await link.carry(CALL_BYTES);
-        await this.pause(PEER_MS);
+        await this.pause(PEER_LATENCY_MS);
         const found = this.reach(name, address);
         if (found === undefined || found.process.isStopped) {
-          return this.pause(IDENTIFIED_MS).then(() => undefined);
+          return this.pause(IDENTIFY_TIMEOUT_MS).then(() => undefined);
         }
         return found.host.identifyForPeer();
       },
     };
   }
 
-  /** A host that stands still deals with the starts once it goes on. */
+  /** Delivers a batch; a frozen host handles the starts once it resumes. */
   private async relay(
     from: string,
     to: string,
     batch: RelayBatch,
     watch: RelayObserver,
   ): Promise<RelayCallResult> {
-    await this.pause(PEER_MS + (this.startDelays.get(to) ?? 0));
+    await this.pause(PEER_LATENCY_MS + (this.startDelays.get(to) ?? 0));
     const found = this.reach(from, to);
     if (found === undefined) {
       return new Promise(() => undefined);
     }
-    const answers = (tell: () => void): void => {
-      void this.pause(PEER_MS).then(() => {
+    const sendAnswer = (deliver: () => void): void => {
+      void this.pause(PEER_LATENCY_MS).then(() => {
         if (this.reach(from, to) === found) {
-          tell();
+          deliver();
         }
       });
     };
     return new Promise(resolve => {
       found.process.schedule(0, () => {
         const by = found.host.identifyForPeer();
-        answers(() => {
+        sendAnswer(() => {
           watch.onAccepted(by);
         });
-        const told: RelayObserver['onOutcome'] = (at, outcome) => {
-          answers(() => {
+        const onOutcome: RelayObserver['onOutcome'] = (at, outcome) => {
+          sendAnswer(() => {
             watch.onOutcome(at, outcome);
           });
         };
-        void found.host.relayForPeer(batch, told).then(() => {
-          answers(() => {
+        void found.host.relayForPeer(batch, onOutcome).then(() => {
+          sendAnswer(() => {
             resolve({ kind: 'ended' });
           });
         });
@@ -199,7 +207,7 @@
     });
   }
 
-  /** Returns the host `to` if `from` reaches it. */
+  /** Returns the host `to` if `from` can reach it. */
   reach(from: string, to: string): ReachedHost | undefined {
     const found = this.hosts.get(to);
     const isCut = this.cutAll || this.cuts.has(`${from}>${to}`);
@@ -207,7 +215,7 @@
   }
 
   private pause(span: Millis): Promise<void> {
-    return pauseOf(this.time, span);
+    return sleepIn(this.time, span);
   }
 }
 
@@ -218,7 +226,7 @@
 };
 
 /** Resolves after `span` of virtual time. */
-export function pauseOf(time: VirtualTime, span: Millis): Promise<void> {
+export function sleepIn(time: VirtualTime, span: Millis): Promise<void> {
   return new Promise(resolve => {
     time.schedule(span, resolve);
   });
--- a/packages/daemon/src/job-host/simulated-wire.fixture.test.ts
+++ b/packages/daemon/src/job-host/simulated-wire.fixture.test.ts
@@ -1,6 +1,6 @@
 /**
- * The wire of a host in virtual time: what calls and their answers take of its link in each direction, and
- * the connections that calls to another host share.
+ * Simulated wire of a host in virtual time: the bytes of calls and answers on its link in each
+ * direction, and the connections shared by calls to another host.
  */
 import type { Millis } from '@paddlewind/domain';
 import type {
@@ -14,65 +14,68 @@
 import type { VirtualTime } from '@paddlewind/stand-ins';
 
 import {
-  pauseOf,
+  sleepIn,
   type HostLinks,
   type SimulatedLink,
   type SimulatedPeers,
 } from './simulated-network.fixture.test.js';
 
-/** What a test may set of the wires of a site. */
+/** Settings of the wires of a deployment. */
 export interface WireOptions {
-  /** What the link of each host carries in. */
+  /** Capacity of each host's incoming link. */
   readonly inBytesPerS: number;
-  /** Starts at one other host at a time, and questions which process it is. */
+  /** Concurrent calls to one other host for relayed starts and identification. */
   readonly connections: number;
 }
 
-/** Heads of a call and of its answer. */
-const HEAD = 215;
-const ANSWER_HEAD = 110;
-/** What calls carry beside their heads and payloads. */
-const START = 180;
-const BATCH = 80;
-const RELAYED = 110;
-const ORDER = 80;
-const LOOK = 70;
-/** What answers carry beside their heads. */
-const ORDER_ANSWER = 40;
-const TAKEN = 20;
-const OUTCOME = 40;
-const PROCESS_ANSWER = 45;
-const ACTIVE_RUN = 46;
-const ENDED_RUN = 90;
+/** Head sizes of a call and of its answer. */
+const CALL_HEAD_BYTES = 215;
+const ANSWER_HEAD_BYTES = 110;
+/** Body sizes of calls without payloads. */
+const START_BYTES = 180;
+const BATCH_BYTES = 80;
+const RELAYED_START_BYTES = 110;
+const ORDER_BYTES = 80;
+const POLL_BYTES = 70;
+/** Body sizes of answers. */
+const ORDER_ANSWER_BYTES = 40;
+const ACCEPTANCE_BYTES = 20;
+const OUTCOME_BYTES = 40;
+const PROCESS_ANSWER_BYTES = 45;
+const ACTIVE_RUN_BYTES = 46;
+const ENDED_RUN_BYTES = 90;
 /** Packets that open a connection, in each direction. */
-const CONNECT = 60;
-const RECORD = 20;
-/** Time after which a call to a worker or the log is given up. */
-const ORDER_MS: Millis = 500;
-const LOG_MS: Millis = 1_500;
-const WAY_MS: Millis = 1;
-/** Time until another host has taken a call, and has answered it; of starts, once it has taken them. */
-const RELAYED_MS: Millis = 900;
-const PROCESS_LIMITS = { taken: 1_000, answered: 1_000 };
-const APPEND_LIMITS = { taken: 80, answered: 1_200 };
+const CONNECT_BYTES = 60;
+const RECORD_BYTES = 20;
+/** Timeouts of calls to a worker and to the log. */
+const ORDER_TIMEOUT_MS: Millis = 500;
+const LOG_TIMEOUT_MS: Millis = 1_500;
+const LATENCY_MS: Millis = 1;
+/**
+ * Timeouts until another host has accepted a call and has answered it; for starts, counted from
+ * their acceptance.
+ */
+const RELAY_TIMEOUT_MS: Millis = 900;
+const IDENTIFY_TIMEOUTS = { acceptedMs: 1_000, answeredMs: 1_000 };
+const APPEND_TIMEOUTS = { acceptedMs: 80, answeredMs: 1_200 };
 const APPEND_CONNECTIONS = 4;
 
-interface Limits {
-  readonly taken: Millis;
-  readonly answered: Millis;
+interface CallTimeouts {
+  readonly acceptedMs: Millis;
+  readonly answeredMs: Millis;
 }
 
-/** Connections to one host, of which each carries a call at a time. */
-class Connections {
+/** Connections to one host, each of which carries one call at a time. */
+class ConnectionPool {
   private busy = 0;
   private idle = 0;
   private readonly waiting: (() => void)[] = [];
 
-  constructor(private readonly most: number) {}
+  constructor(private readonly size: number) {}
 
-  /** Resolves once a connection is free; with whether it is still to be opened. */
-  async take(): Promise<boolean> {
-    if (this.busy >= this.most) {
+  /** Resolves once a connection is free, with whether it still has to be opened. */
+  async acquire(): Promise<boolean> {
+    if (this.busy >= this.size) {
       await new Promise<void>(resolve => {
         this.waiting.push(resolve);
       });
@@ -83,17 +86,17 @@
     return isNew;
   }
 
-  free(isSound: boolean): void {
+  release(isHealthy: boolean): void {
     this.busy -= 1;
-    this.idle += isSound ? 1 : 0;
+    this.idle += isHealthy ? 1 : 0;
     this.waiting.shift()?.();
   }
 }
 
-/** One host's link in both directions. */
+/** A host's link in both directions. */
 export class SimulatedWire {
-  private readonly relays = new Map<string, Connections>();
-  private readonly leaders = new Map<string, Connections>();
+  private readonly relays = new Map<string, ConnectionPool>();
+  private readonly leaders = new Map<string, ConnectionPool>();
 
   /** Creates a wire without connections. */
   constructor(
@@ -103,38 +106,44 @@
     private readonly connections: number,
   ) {}
 
-  /** Returns workers behind this wire: what waits here for too long is carried out all the same. */
+  /**
+   * Returns workers behind this wire. Calls that time out while they wait here are carried out all
+   * the same.
+   */
   port(port: WorkerPort): WorkerPort {
     const order = async (
       bytes: number,
       call: () => Promise<OrderResult>,
     ): Promise<OrderResult> => {
       const answer = this.out
-        .carry(HEAD + bytes)
+        .carry(CALL_HEAD_BYTES + bytes)
         .then(call)
         .then(async res => {
-          await this.into.carry(ANSWER_HEAD + ORDER_ANSWER);
+          await this.into.carry(ANSWER_HEAD_BYTES + ORDER_ANSWER_BYTES);
           return res;
         });
       const unknown = { kind: 'unknown', reason: 'timeout' } as const;
-      return Promise.race([answer, this.pause(ORDER_MS).then(() => unknown)]);
+      return Promise.race([
+        answer,
+        this.pause(ORDER_TIMEOUT_MS).then(() => unknown),
+      ]);
     };
     return {
       ...port,
       start: (to, start) =>
-        order(START + start.payload.length, () => port.start(to, start)),
-      stop: (to, run) => order(ORDER, () => port.stop(to, run)),
-      throttle: (to, run) => order(ORDER, () => port.throttle(to, run)),
-      poll: async (to, look, takeLate) => {
+        order(START_BYTES + start.payload.length, () => port.start(to, start)),
+      stop: (to, run) => order(ORDER_BYTES, () => port.stop(to, run)),
+      throttle: (to, run) => order(ORDER_BYTES, () => port.throttle(to, run)),
+      poll: async (to, poll, takeLate) => {
         const answer = this.out
-          .carry(HEAD + LOOK)
-          .then(() => port.poll(to, look, takeLate))
+          .carry(CALL_HEAD_BYTES + POLL_BYTES)
+          .then(() => port.poll(to, poll, takeLate))
           .then(async res => {
-            await this.into.carry(sizeOfLook(res));
+            await this.into.carry(sizeOfPollAnswer(res));
             return res;
           });
-        const gaveUp = this.pause(look.waitMs + look.slackMs);
-        const first = await Promise.race([answer, gaveUp]);
+        const timedOut = this.pause(poll.waitMs + poll.slackMs);
+        const first = await Promise.race([answer, timedOut]);
         if (first !== undefined) {
           return first;
         }
@@ -153,41 +162,44 @@
     return {
       append: async (stream, records, stamp) => {
         const answer = this.out
-          .carry(HEAD + sizeOf(records))
+          .carry(CALL_HEAD_BYTES + sizeOf(records))
           .then(() => log.append(stream, records, stamp))
           .then(async res => {
-            await this.into.carry(ANSWER_HEAD);
+            await this.into.carry(ANSWER_HEAD_BYTES);
             return res;
           });
         const unknown = { kind: 'unknown', reason: 'timeout' } as const;
-        return Promise.race([answer, this.pause(LOG_MS).then(() => unknown)]);
+        return Promise.race([
+          answer,
+          this.pause(LOG_TIMEOUT_MS).then(() => unknown),
+        ]);
       },
       read: async (stream, from, limits) => {
         const answer = this.out
-          .carry(HEAD)
+          .carry(CALL_HEAD_BYTES)
           .then(() => log.read(stream, from, limits))
           .then(async res => {
             const records = res.kind === 'records' ? res.records : [];
-            await this.into.carry(ANSWER_HEAD + sizeOf(records));
+            await this.into.carry(ANSWER_HEAD_BYTES + sizeOf(records));
             return res;
           });
-        const gaveUp = this.pause(limits.waitMs + LOG_MS);
-        const away = { kind: 'unavailable', reason: 'timeout' } as const;
-        return Promise.race([answer, gaveUp.then(() => away)]);
+        const timedOut = this.pause(limits.waitMs + LOG_TIMEOUT_MS);
+        const unavailable = { kind: 'unavailable', reason: 'timeout' } as const;
+        return Promise.race([answer, timedOut.then(() => unavailable)]);
       },
     };
   }
 
-  /** Other hosts as `name` reaches them over this wire. */
+  /** Returns the port through which `name` calls other hosts over this wire. */
   peers(name: string, site: SimulatedPeers): PeerPort {
     return {
       append: async (address, records) => {
         const bytes = sizeOf(records);
         const pool = poolOf(this.leaders, address, APPEND_CONNECTIONS);
-        const res = await this.call(pool, APPEND_LIMITS, async began => {
+        const res = await this.call(pool, APPEND_TIMEOUTS, async onAccepted => {
           const { links, host } = await this.arrive(name, address, bytes, site);
           site.appends += 1;
-          began();
+          onAccepted();
           const appended = await host.appendForPeer(records);
           await this.answerBy(links, 0);
           return appended;
@@ -200,20 +212,20 @@
         const rows = batch.starts.length;
         site.relays += rows;
         const pool = poolOf(this.relays, address, this.connections);
-        const answered = takenWithinMs + RELAYED_MS;
-        const limits = { taken: takenWithinMs, answered };
-        const bytes = BATCH + rows * RELAYED;
-        const res = await this.call(pool, limits, async began => {
+        const answeredMs = takenWithinMs + RELAY_TIMEOUT_MS;
+        const timeouts = { acceptedMs: takenWithinMs, answeredMs };
+        const bytes = BATCH_BYTES + rows * RELAYED_START_BYTES;
+        const res = await this.call(pool, timeouts, async onAccepted => {
           await this.pause(site.startDelays.get(address) ?? 0);
           const { links, host } = await this.arrive(name, address, bytes, site);
           const by = host.identifyForPeer();
-          void this.answerBy(links, TAKEN).then(() => {
-            began();
+          void this.answerBy(links, ACCEPTANCE_BYTES).then(() => {
+            onAccepted();
             watch.onAccepted(by);
           });
           const answers: Promise<void>[] = [];
           await host.relayForPeer(batch, (at, outcome) => {
-            const answer = this.carryBack(links, OUTCOME).then(() => {
+            const answer = this.carryBack(links, OUTCOME_BYTES).then(() => {
               watch.onOutcome(at, outcome);
             });
             answers.push(answer);
@@ -226,11 +238,11 @@
       },
       identify: async address => {
         const pool = poolOf(this.relays, address, this.connections);
-        const res = await this.call(pool, PROCESS_LIMITS, async () => {
+        const res = await this.call(pool, IDENTIFY_TIMEOUTS, async () => {
           const { links, host } = await this.arrive(name, address, 0, site);
-          const told = host.identifyForPeer();
-          await this.answerBy(links, PROCESS_ANSWER);
-          return told;
+          const identity = host.identifyForPeer();
+          await this.answerBy(links, PROCESS_ANSWER_BYTES);
+          return identity;
         });
         this.replaceIfSilent(this.relays, address, pool, res);
         return res;
@@ -238,11 +250,14 @@
     };
   }
 
-  /** Makes a call once a connection is free; undefined if it was given up, and never sent if that was before. */
+  /**
+   * Makes a call once a connection is free. Undefined if it timed out; it is not sent if that
+   * happened before a connection was free.
+   */
   private call<R>(
-    pool: Connections,
-    { taken, answered }: Limits,
-    send: (began: () => void) => Promise<R>,
+    pool: ConnectionPool,
+    { acceptedMs, answeredMs }: CallTimeouts,
+    send: (onAccepted: () => void) => Promise<R>,
   ): Promise<R | undefined> {
     return new Promise(resolve => {
       let isOver = false;
@@ -250,74 +265,77 @@
       const end = (res: R | undefined): void => {
         if (!isOver) {
           isOver = true;
-          notTaken();
-          late();
+          cancelAcceptTimeout();
+          cancelAnswerTimeout();
           if (holds) {
-            pool.free(res !== undefined);
+            pool.release(res !== undefined);
           }
           resolve(res);
         }
       };
-      const giveUp = (): void => {
+      const timeOut = (): void => {
         end(undefined);
       };
-      const notTaken = this.time.schedule(taken, giveUp);
-      const late = this.time.schedule(answered, giveUp);
+      const cancelAcceptTimeout = this.time.schedule(acceptedMs, timeOut);
+      const cancelAnswerTimeout = this.time.schedule(answeredMs, timeOut);
       const begin = async (): Promise<void> => {
-        const isNew = await pool.take();
+        const isNew = await pool.acquire();
         if (isOver) {
-          pool.free(!isNew);
+          pool.release(!isNew);
           return;
         }
         holds = true;
         if (isNew) {
-          await this.out.carry(CONNECT);
-          await this.into.carry(CONNECT);
+          await this.out.carry(CONNECT_BYTES);
+          await this.into.carry(CONNECT_BYTES);
         }
-        end(await send(notTaken));
+        end(await send(cancelAcceptTimeout));
       };
       void begin();
     });
   }
 
-  /** Resolves in the other host's process once the call is there; never where it is out of reach. */
+  /**
+   * Resolves in the other host's process once the call has arrived; never if that host can't be
+   * reached.
+   */
   private async arrive(
     from: string,
     to: string,
     bytes: number,
     site: SimulatedPeers,
-  ): Promise<Reached> {
-    await this.out.carry(HEAD + bytes);
-    await this.pause(WAY_MS);
+  ): Promise<ReachedProcess> {
+    await this.out.carry(CALL_HEAD_BYTES + bytes);
+    await this.pause(LATENCY_MS);
     const found = site.reach(from, to);
     const links = site.links.get(to);
     if (found === undefined || links === undefined) {
       return new Promise(() => undefined);
     }
-    await links.into.carry(HEAD + bytes);
+    await links.into.carry(CALL_HEAD_BYTES + bytes);
     await new Promise<void>(resolve => {
       found.process.schedule(0, resolve);
     });
     return { links, host: found.host };
   }
 
-  /** Carries an answer of another host here. */
+  /** Carries an answer from another host. */
   private async answerBy(links: HostLinks, bytes: number): Promise<void> {
-    await this.carryBack(links, ANSWER_HEAD + bytes);
+    await this.carryBack(links, ANSWER_HEAD_BYTES + bytes);
   }
 
-  /** Carries what another host sends here. */
+  /** Carries bytes from another host. */
   private async carryBack(links: HostLinks, bytes: number): Promise<void> {
     await links.out.carry(bytes);
-    await this.pause(WAY_MS);
+    await this.pause(LATENCY_MS);
     await this.into.carry(bytes);
   }
 
-  /** A call that ran out of time makes all connections suspect: later calls go over new ones. */
+  /** Replaces the connections after a call that timed out, since all of them may be broken. */
   private replaceIfSilent(
-    pools: Map<string, Connections>,
+    pools: Map<string, ConnectionPool>,
     address: string,
-    used: Connections,
+    used: ConnectionPool,
     res: unknown,
   ): void {
     if (res === undefined && pools.get(address) === used) {
@@ -326,11 +344,11 @@
   }
 
   private pause(span: Millis): Promise<void> {
-    return pauseOf(this.time, span);
+    return sleepIn(this.time, span);
   }
 }
 
-interface Reached {
+interface ReachedProcess {
   readonly links: HostLinks;
   readonly host: NonNullable<ReturnType<SimulatedPeers['reach']>>['host'];
 }
@@ -342,23 +360,23 @@
 };
 
 function poolOf(
-  pools: Map<string, Connections>,
+  pools: Map<string, ConnectionPool>,
   address: string,
   most: number,
-): Connections {
-  const found = pools.get(address) ?? new Connections(most);
+): ConnectionPool {
+  const found = pools.get(address) ?? new ConnectionPool(most);
   pools.set(address, found);
   return found;
 }
 
 function sizeOf(records: readonly Uint8Array[]): number {
-  return records.reduce((sum, { length }) => sum + RECORD + length, 0);
+  return records.reduce((sum, { length }) => sum + RECORD_BYTES + length, 0);
 }
 
-function sizeOfLook(res: PollResult): number {
+function sizeOfPollAnswer(res: PollResult): number {
   return res.kind === 'seen'
-    ? ANSWER_HEAD +
-        ACTIVE_RUN * res.active.length +
-        ENDED_RUN * res.ended.length
-    : ANSWER_HEAD;
+    ? ANSWER_HEAD_BYTES +
+        ACTIVE_RUN_BYTES * res.active.length +
+        ENDED_RUN_BYTES * res.ended.length
+    : ANSWER_HEAD_BYTES;
 }
--- a/packages/daemon/src/job-host/simulation.fixture.test.ts
+++ b/packages/daemon/src/job-host/simulation.fixture.test.ts
@@ -1,4 +1,4 @@
-/** Job hosts, log and workers in virtual time, with faults that a test sets. */
+/** Job hosts, log and workers in virtual time, with faults that a test injects. */
 import { seededRandom, type Millis, type Random } from '@paddlewind/domain';
 import {
   decodeJournal,
@@ -37,7 +37,7 @@
 import { startJobHost, type JobHost } from './start-job-host.js';
 
 const MAX_LEASE_MS = 6_000;
-const REVIVAL_MS = 2_500;
+const WORKER_RESTART_MS = 2_500;
 const RETENTION_MS = 30_000;
 const STATUS_MS = 20_000;
 const CAPACITY = { cpuMilli: 4_000, memoryMiB: 8_000, accelerators: 0 };
@@ -77,23 +77,26 @@
 /** A step of a job in a test. */
 export type TestStep = Pick<StepSpec, 'tasks' | 'after'> & Partial<StepSpec>;
 
-/** What a test may set of a site. */
-interface SiteOptions {
-  /** Longest lease that workers take. */
+/** Settings of a simulated deployment. */
+interface SimulationOptions {
+  /** Longest lease that workers accept. */
   readonly maxLeaseMs?: Millis;
-  /** Time after which a worker that a task has brought down is there again. */
+  /** Time until a worker that was crashed by a task is back. */
   readonly revivalMs?: Millis;
-  /** Whether a worker that starts again has the id that it had. */
+  /** Whether a worker that restarts keeps its id. */
   readonly keepsIds?: boolean;
-  /** What the link of each host carries out; by default all that it is given. */
+  /** Capacity of each host's outgoing link; unlimited by default. */
   readonly linkBytesPerS?: number;
-  /** Whether hosts believe that their links carry no payload at all, so that others send the starts. */
-  readonly relaysAll?: boolean;
-  /** What calls take of links in both directions; by default what is in `SimulatedLink` alone. */
+  /**
+   * Whether hosts assume that their links carry no payload at all, so that other hosts send the
+   * starts.
+   */
+  readonly relayAllStarts?: boolean;
+  /** Size of calls on links in both directions; by default only `SimulatedLink` is used. */
   readonly wire?: WireOptions;
 }
 
-/** What a host reaches. */
+/** The ports of a host. */
 interface SimulatedNetwork {
   readonly log: JobLog;
   readonly peers: PeerPort;
@@ -108,9 +111,9 @@
   readonly fleet: MemoryFleet;
   readonly history: JobHistory;
   readonly hosts = new Map<string, SimulatedHost>();
-  /** What the hosts' time of day is ahead by. */
+  /** Offset of the hosts' time of day. */
   wallOffset: Millis = 0;
-  /** What the workers' time of day is ahead by. */
+  /** Offset of the workers' time of day. */
   workerWallOffset: Millis = 0;
   /** Whether hosts that are started find a configuration. */
   configured = false;
@@ -118,26 +121,26 @@
   private readonly maxLeaseMs: Millis;
   private readonly keepsIds: boolean;
   private readonly linkBytesPerS: number;
-  private readonly relaysAll: boolean;
+  private readonly relayAllStarts: boolean;
   private readonly wire: WireOptions | undefined;
-  private lives = 0;
+  private incarnations = 0;
 
-  /** Creates a simulation whose chance follows `seed`. */
+  /** Creates a simulation whose randomness is derived from `seed`. */
   constructor(
     seed: number,
     {
       maxLeaseMs = MAX_LEASE_MS,
-      revivalMs = REVIVAL_MS,
+      revivalMs = WORKER_RESTART_MS,
       keepsIds = false,
       linkBytesPerS = Infinity,
-      relaysAll = process.env.TEST_RELAYS !== undefined,
+      relayAllStarts = process.env.TEST_RELAYS !== undefined,
       wire,
-    }: SiteOptions = {},
+    }: SimulationOptions = {},
   ) {
     this.maxLeaseMs = maxLeaseMs;
     this.keepsIds = keepsIds;
     this.linkBytesPerS = linkBytesPerS;
-    this.relaysAll = relaysAll;
+    this.relayAllStarts = relayAllStarts;
     this.wire = wire;
     this.time = createVirtualTime();
     this.peers = new SimulatedPeers(this.time, this.hosts);
@@ -163,13 +166,13 @@
     };
   }
 
-  /** Adds a new life of the worker on `machine`. */
+  /** Adds a new incarnation of the worker on `machine`. */
   addWorker(
     machine: string,
     labels: readonly string[] = [],
     capacity = CAPACITY,
   ): void {
-    this.lives += 1;
+    this.incarnations += 1;
     const clockRate = 0.98 + 0.02 * this.random();
     const clockOffset = Math.floor(this.random() * 100_000);
     const traits = {
@@ -179,19 +182,19 @@
       clockRate,
     };
     if (this.keepsIds) {
-      // The clock of each life begins at 0.
+      // The clock of each incarnation starts at 0.
       const now = this.time.clock();
       const sinceStart = -Math.floor(now * clockRate);
       const startedAt = Math.floor(now + this.workerWallOffset);
-      const life = { id: machine, startedAt, clockOffset: sinceStart };
-      this.fleet.add(machine, { ...traits, ...life });
+      const incarnation = { id: machine, startedAt, clockOffset: sinceStart };
+      this.fleet.add(machine, { ...traits, ...incarnation });
     } else {
-      const id = `${machine}-life${this.lives}`;
+      const id = `${machine}-life${this.incarnations}`;
       this.fleet.add(machine, { ...traits, id, clockOffset });
     }
   }
 
-  /** Ends the life of the worker on `machine`; another one begins there after `awayMs`. */
+  /** Ends the incarnation of the worker on `machine` and starts another one after `awayMs`. */
   restartWorker(machine: string, awayMs: Millis, capacity = CAPACITY): void {
     this.fleet.crash(machine);
     this.time.schedule(awayMs, () => {
@@ -199,7 +202,7 @@
     });
   }
 
-  /** Starts a host, or starts it again. */
+  /** Starts or restarts a host. */
   startHost(name: string, cores = 1): JobHost {
     const simulated = new SimulatedProcess(this.time);
     const { log, peers, port } = this.networkOf(name);
@@ -224,8 +227,8 @@
       peerAddress: name,
       maxLeaseMs: this.maxLeaseMs,
       cores,
-      linkShares: this.relaysAll
-        ? { payloads: 1, retries: Infinity, alone: Infinity }
+      linkShares: this.relayAllStarts
+        ? { payloads: 1, retries: Infinity, withoutRelays: Infinity }
         : linkSharesOf(this.linkBytesPerS),
       retentionMs: RETENTION_MS,
       statusMs: STATUS_MS,
@@ -234,7 +237,7 @@
     return host;
   }
 
-  /** What a host reaches, behind its link. */
+  /** Returns the ports of a host, behind its link. */
   private networkOf(name: string): SimulatedNetwork {
     const { time, fleet, wire: options } = this;
     const link = new SimulatedLink(time, this.linkBytesPerS);
@@ -259,12 +262,12 @@
     this.hosts.get(name)?.process.kill();
   }
 
-  /** Stops the process of a host for `span`. */
+  /** Freezes the process of a host for `span`. */
   freeze(name: string, span: Millis): void {
     this.hosts.get(name)?.process.freeze(span);
   }
 
-  /** Suspends the machine of a host for `span`, which its steady clock and its timers don't count. */
+  /** Suspends the machine of a host for `span`, which its monotonic clock and its timers don't count. */
   suspend(name: string, span: Millis): void {
     this.hosts.get(name)?.process.suspend(span);
   }
@@ -274,7 +277,7 @@
     this.hosts.get(name)?.process.slow(eventMs);
   }
 
-  /** Submits a job through a host, at other hosts again until it is accepted. */
+  /** Submits a job through a random host, retrying until it is accepted. */
   async submit(
     id: string,
     steps: TestStep[],
@@ -289,23 +292,23 @@
     await this.untilRecorded(host =>
       host.service.submit(job, this.time.clock() + 3_000),
     );
-    const promised = this.history.jobs.get(id);
-    if (promised !== undefined) {
-      promised.acceptedAt = this.time.clock();
+    const submitted = this.history.jobs.get(id);
+    if (submitted !== undefined) {
+      submitted.acceptedAt = this.time.clock();
     }
   }
 
-  /** Cancels a job, at other hosts again until that is confirmed. */
+  /** Cancels a job through a random host, retrying until that is confirmed. */
   async cancel(id: string): Promise<void> {
-    const asked = this.history.jobs.get(id);
-    if (asked !== undefined) {
-      asked.cancelRequestedAt ??= this.time.clock();
+    const job = this.history.jobs.get(id);
+    if (job !== undefined) {
+      job.cancelRequestedAt ??= this.time.clock();
     }
     await this.untilRecorded(host =>
       host.service.cancel(id, this.time.clock() + 3_000),
     );
-    if (asked !== undefined) {
-      asked.cancelledAt = this.time.clock();
+    if (job !== undefined) {
+      job.cancelledAt = this.time.clock();
     }
   }
 
@@ -314,10 +317,10 @@
   ): Promise<void> {
     for (;;) {
       const alive = [...this.hosts.values()].filter(found => found.alive);
-      const chosen = alive[Math.floor(this.random() * alive.length)];
-      if (chosen !== undefined) {
-        const gaveUp = this.wait(4_000).then(() => ({ kind: 'gave_up' }));
-        const result = await Promise.race([ask(chosen.host), gaveUp]);
+      const host = alive[Math.floor(this.random() * alive.length)];
+      if (host !== undefined) {
+        const timedOut = this.wait(4_000).then(() => ({ kind: 'gave_up' }));
+        const result = await Promise.race([ask(host.host), timedOut]);
         if (result.kind === 'recorded') {
           return;
         }
@@ -326,7 +329,7 @@
     }
   }
 
-  /** Name of the host that last claimed the leadership. */
+  /** Returns the name of the host that last claimed the leadership. */
   leader(): string {
     const claims = this.log
       .recordsOf('journal')
@@ -335,7 +338,7 @@
     return claims.at(-1)?.host ?? '';
   }
 
-  /** Number of runs that were recorded to start. */
+  /** Returns the number of recorded starts of runs. */
   recordedStarts(): number {
     const records = this.log.recordsOf('journal').map(decodeJournal);
     return records.filter(record => record?.kind === 'start').length;
@@ -349,7 +352,7 @@
   }
 }
 
-/** A feed that tells a configuration once, or none. */
+/** A feed that returns a configuration once, or none. */
 function configFeed(configured: boolean): ConfigFeed {
   let left = configured ? 1 : 0;
   return {
@@ -362,7 +365,7 @@
   };
 }
 
-/** Returns a job whose tasks do what `script` says. */
+/** Returns a job whose tasks behave as `script` says. */
 export function jobOf(
   id: string,
   steps: readonly TestStep[],
