--- a/packages/domain/src/jobs/account.ts
+++ b/packages/domain/src/jobs/account.ts
@@ -24,7 +24,7 @@
   Obstacle | 'disturbance' | 'turn' | 'no_worker' | 'unexamined';
 
 /** Processor use of all workers, in thousandths of a core. */
-export interface ProcessorAccount {
+export interface ProcessorUsage {
   /** Capacity of all registered workers. */
   registered: number;
   /** Capacity of the workers that may be given tasks now. */
@@ -61,7 +61,7 @@
 export interface FleetAccount {
   readonly workers: number;
   readonly usableWorkers: number;
-  readonly processors: Readonly<ProcessorAccount>;
+  readonly processors: Readonly<ProcessorUsage>;
   /** Tasks that are ready but wait, by queue and reason; queues beyond the limit are summed under `OTHER_QUEUES`. */
   readonly waiting: Readonly<Record<string, WaitingByReason>>;
   /** Jobs with tasks that are ready but wait, by queue; queues beyond the limit are left out. */
@@ -69,7 +69,7 @@
 }
 
 /** Input of a snapshot: that of a planning round, and all registered workers. */
-export interface AccountInput {
+export interface FleetSnapshotInput {
   readonly plan: PlanInput;
   readonly registered: readonly WorkerInfo[];
 }
@@ -82,7 +82,7 @@
 export const OTHER_QUEUES = '(others)';
 
 /** Returns a snapshot of the fleet. */
-export function accountFleet(input: AccountInput): FleetAccount {
+export function accountFleet(input: FleetSnapshotInput): FleetAccount {
   const { plan, registered } = input;
   const ordered = orderedCandidates(plan.state.open, plan.times, plan.time);
   return {
@@ -94,9 +94,12 @@
   };
 }
 
-function countProcessors({ plan, registered }: AccountInput): ProcessorAccount {
-  const totals: ProcessorAccount = {
-    ...emptyProcessorAccount(),
+function countProcessors({
+  plan,
+  registered,
+}: FleetSnapshotInput): ProcessorUsage {
+  const totals: ProcessorUsage = {
+    ...emptyProcessorUsage(),
     registered: totalCpuMilli(registered),
     usable: totalCpuMilli(plan.workers.map(({ info }) => info)),
   };
@@ -112,7 +115,7 @@
   return workers.reduce((sum, { capacity }) => sum + capacity.cpuMilli, 0);
 }
 
-function addRun(totals: ProcessorAccount, { task, progress }: Run): void {
+function addRun(totals: ProcessorUsage, { task, progress }: Run): void {
   const { spec } = task.step;
   const { cpuMilli } = spec.size;
   if (spec.filler) {
@@ -245,12 +248,12 @@
 export const EMPTY_ACCOUNT: FleetAccount = {
   workers: 0,
   usableWorkers: 0,
-  processors: emptyProcessorAccount(),
+  processors: emptyProcessorUsage(),
   waiting: {},
   sizes: {},
 };
 
-function emptyProcessorAccount(): ProcessorAccount {
+function emptyProcessorUsage(): ProcessorUsage {
   return {
     registered: 0,
     usable: 0,
--- a/packages/domain/src/jobs/placement.ts
+++ b/packages/domain/src/jobs/placement.ts
@@ -40,7 +40,7 @@
   /** Returns the load of a worker, including runs about to start. */
   readonly loadOf: (worker: string) => WorkerRuns;
   /** Returns the number of runs of the task's step on a worker, including those about to start. */
-  readonly spreadOf: (task: Task, worker: string) => number;
+  readonly stepRunsOn: (task: Task, worker: string) => number;
 }
 
 /** Returns the most suitable worker for the task, or undefined if none has capacity for it. */
@@ -111,7 +111,7 @@
 
 /** Returns the reason why a worker cannot be given a task that does not depend on the free capacity there. */
 export function staticObstacleAt(
-  { advice, now, spreadOf }: PlacementInput,
+  { advice, now, stepRunsOn }: PlacementInput,
   { info }: PlanWorker,
   task: Task,
 ): Obstacle | undefined {
@@ -127,7 +127,7 @@
   }
   const { maxPerWorker } = spec;
   const isFree =
-    maxPerWorker === undefined || spreadOf(task, info.id) < maxPerWorker;
+    maxPerWorker === undefined || stepRunsOn(task, info.id) < maxPerWorker;
   return isFree ? undefined : 'spread';
 }
 
--- a/packages/domain/src/jobs/plan.ts
+++ b/packages/domain/src/jobs/plan.ts
@@ -297,7 +297,7 @@
     shares: new SizeClassShares(),
     now: time.now,
     loadOf: worker => workerRuns(state, worker),
-    spreadOf: ({ step }, worker) => step.openRunsByWorker.get(worker) ?? 0,
+    stepRunsOn: ({ step }, worker) => step.openRunsByWorker.get(worker) ?? 0,
   });
   for (const task of input.movingTasks) {
     if (!isWaiting(task)) {
--- a/packages/domain/src/jobs/reservations.ts
+++ b/packages/domain/src/jobs/reservations.ts
@@ -21,8 +21,8 @@
         const reserved = this.reserved.get(worker);
         return reserved === undefined ? load : addLoads(load, reserved);
       },
-      spreadOf: (task, worker) =>
-        placement.spreadOf(task, worker) +
+      stepRunsOn: (task, worker) =>
+        placement.stepRunsOn(task, worker) +
         (this.placedByStep.get(task.step)?.get(worker) ?? 0),
     };
   }
