--- a/packages/domain/src/jobs/placement.ts
+++ b/packages/domain/src/jobs/placement.ts
@@ -111,7 +111,7 @@
 
 /** Returns the reason why a worker cannot be given a task that does not depend on the free capacity there. */
 export function staticObstacleAt(
-  { advice, now, stepRunsOn: spreadOf }: PlacementInput,
+  { advice, now, stepRunsOn }: PlacementInput,
   { info }: PlanWorker,
   task: Task,
 ): Obstacle | undefined {
@@ -127,7 +127,7 @@
   }
   const { maxPerWorker } = spec;
   const isFree =
-    maxPerWorker === undefined || spreadOf(task, info.id) < maxPerWorker;
+    maxPerWorker === undefined || stepRunsOn(task, info.id) < maxPerWorker;
   return isFree ? undefined : 'spread';
 }
 
