--- a/packages/daemon/src/job-host/restarts-deployment.fixture.test.ts
+++ b/packages/daemon/src/job-host/restarts-deployment.fixture.test.ts
@@ -58,16 +58,17 @@
   });
   HOSTS.forEach(name => site.startHost(name));
   const step = { tasks: LONG_RUNNING_TASKS, after: [], lasting: true };
-  void site.submit(LONG_RUNNING_JOB, [step], { runMs: 10_000_000, failures: 0 });
+  void site.submit(LONG_RUNNING_JOB, [step], {
+    runMs: 10_000_000,
+    failures: 0,
+  });
   await site.time.advance(SETTLE_MS);
   assert.equal(site.history.runningOf(LONG_RUNNING_JOB), LONG_RUNNING_TASKS);
   return site;
 }
 
 /** Runs restarts while jobs are submitted; returns the deployment once all jobs should be done. */
-export async function runRestarts(
-  play: RestartsScenario,
-): Promise<Simulation> {
+export async function runRestarts(play: RestartsScenario): Promise<Simulation> {
   const site = await deploymentWithRestarts(play);
   void submitShortJobs(site);
   for (let turn = 0; turn < RESTART_ROUNDS; turn += 1) {
@@ -139,7 +140,11 @@
 }
 
 /** Disconnects a worker from all hosts for `span`. */
-export function disconnectWorker(site: Simulation, machine: string, span: Millis): void {
+export function disconnectWorker(
+  site: Simulation,
+  machine: string,
+  span: Millis,
+): void {
   const from = site.time.clock();
   site.history.faults?.add({ from, until: from + span, of: 'workers' });
   const pairs = HOSTS.map(host => `${host}>${machine}`);
