--- a/packages/daemon/src/job-host/crashing-shapes.test.ts
+++ b/packages/daemon/src/job-host/crashing-shapes.test.ts
@@ -103,9 +103,7 @@
   const { history } = site;
   const found = history
     .check()
-    .map(
-      ({ guarantee: promise, detail }) => `${promise} ${detail.slice(0, 120)}`,
-    );
+    .map(({ guarantee, detail }) => `${guarantee} ${detail.slice(0, 120)}`);
   const crashes = history.workersCrashedBy(CRASHING_JOB);
   if (crashes > MAX_CRASHES * (shape.crashingTasks ?? 1)) {
     found.push(`${crashes} workers lost`);
--- a/packages/daemon/src/job-host/leader.ts
+++ b/packages/daemon/src/job-host/leader.ts
@@ -293,7 +293,7 @@
       }
       const startedAt = ctx.clock();
       this.leases.abandonExpired();
-      this.supervisor.stopNeedless();
+      this.supervisor.stopObsolete();
       this.plan();
       restateDueJobs(this.state, this.decisions, ctx, this.options.retentionMs);
       const now = ctx.clock();
--- a/packages/daemon/src/job-host/linked-runs.ts
+++ b/packages/daemon/src/job-host/linked-runs.ts
@@ -221,10 +221,10 @@
   }
 
   private abandon(runs: readonly Run[], reason: AbandonedWorkerReason): void {
-    const { ctx, events, contactFields: contact, lostBy } = this.options;
+    const { ctx, events, contactFields, lostBy } = this.options;
     for (const worker of new Set(runs.map(run => run.worker))) {
       const lost = runs.filter(run => run.worker === worker);
-      logAbandonedRuns(ctx, worker, lost, reason, contact());
+      logAbandonedRuns(ctx, worker, lost, reason, contactFields());
       events.abandoned(worker, lost, reason, lostBy());
     }
   }
--- a/packages/daemon/src/job-host/planted-faults.test.ts
+++ b/packages/daemon/src/job-host/planted-faults.test.ts
@@ -37,9 +37,7 @@
 }
 
 function brokenGuarantees(site: Simulation): GuaranteeName[] {
-  return [
-    ...new Set(site.history.check().map(({ guarantee: promise }) => promise)),
-  ];
+  return [...new Set(site.history.check().map(({ guarantee }) => guarantee))];
 }
 
 test('a healthy deployment breaks no guarantee', async () => {
--- a/packages/daemon/src/job-host/run-recorder.ts
+++ b/packages/daemon/src/job-host/run-recorder.ts
@@ -93,14 +93,14 @@
       this.abandonedWorkers.add(worker);
     }
     const { ctx, claim, state, fleetSize } = this.options;
-    const judged = attributeLoss(state, runs, {
-      lossKind: this.fateOf(worker, reason),
+    const attributions = attributeLoss(state, runs, {
+      lossKind: this.lossKindOf(worker, reason),
       fleetSize: fleetSize(),
       leadsSince: claim.wonAt,
       lostBy,
       now: ctx.clock(),
     });
-    for (const [run, loss] of judged) {
+    for (const [run, loss] of attributions) {
       this.recordLoss(run, loss);
     }
   }
@@ -136,7 +136,7 @@
   }
 
   /** A worker that was removed before this leader took over may have announced its departure. */
-  private fateOf(
+  private lossKindOf(
     worker: string,
     reason: AbandonedWorkerReason,
   ): WorkerLossKind {
@@ -171,11 +171,11 @@
     if (this.closed || !task.runs.includes(run)) {
       return;
     }
-    const { ctx, health, times, startWindow: window } = this.options;
+    const { ctx, health, times, startWindow } = this.options;
     learnFromEnd(run, how, { health, times, now: ctx.clock() });
     ctx.meters.ended(how);
     this.options.onRunEnding(run);
-    window.noteEnded(run);
+    startWindow.noteEnded(run);
     const expectedMs = Math.round(times.expectedMs(task.step));
     const { suspicion, age } = record.kind === 'lost' ? record : NO_LOSS;
     const more = { how, expectedMs, suspicion, age };
@@ -215,8 +215,8 @@
 
   /** Records that the first run of a job has started. */
   recordStarted(run: Run): void {
-    const { decisions, startWindow: window } = this.options;
-    window.noteStarted(run);
+    const { decisions, startWindow } = this.options;
+    startWindow.noteStarted(run);
     const { job } = run.task.step.occurrence;
     if (!this.closed && !job.hasStarted) {
       decisions.record({ kind: 'begun', job: job.spec.id });
@@ -225,14 +225,14 @@
 
   /** Records the end of a run, and logs its job if that finishes it. */
   private recordTaskEnd(task: Task, record: EndRecord): void {
-    const { ctx, decisions, times, onChange: changed } = this.options;
+    const { ctx, decisions, times, onChange } = this.options;
     const { occurrence } = task.step;
-    const wasOver = isFinished(occurrence.job);
+    const wasFinished = isFinished(occurrence.job);
     decisions.record(record);
-    if (!wasOver && isFinished(occurrence.job)) {
+    if (!wasFinished && isFinished(occurrence.job)) {
       logJobFinished(ctx, times, occurrence);
     }
-    changed();
+    onChange();
   }
 }
 
--- a/packages/daemon/src/job-host/run-supervisor.ts
+++ b/packages/daemon/src/job-host/run-supervisor.ts
@@ -66,7 +66,7 @@
   }
 
   /** Stops runs that nobody needs any more, and stalled runs. */
-  stopNeedless(): void {
+  stopObsolete(): void {
     const now = this.options.ctx.clock();
     for (const run of this.openRuns()) {
       if (
@@ -101,8 +101,8 @@
     for (const run of this.evacuatedRuns) {
       const { task } = run;
       const [open] = task.runs;
-      const over = isFinished(task.step.occurrence.job);
-      if (over || (open !== undefined && open !== run)) {
+      const finished = isFinished(task.step.occurrence.job);
+      if (finished || (open !== undefined && open !== run)) {
         this.evacuatedRuns.delete(run);
       } else {
         tasks.add(task);
