--- a/packages/daemon/src/job-host/orders.fixture.test.ts
+++ b/packages/daemon/src/job-host/orders.fixture.test.ts
@@ -166,20 +166,20 @@
   }
 }
 
-/** Opens a link, which reaches the worker of `site`. */
+/** Opens a link, which reaches the worker of `stub`. */
 export async function openLink(
-  site: StubWorker,
+  stub: StubWorker,
   info = ORDERED_WORKER,
 ): Promise<WorkerLink> {
   const link = new WorkerLink(info, {
-    ctx: site.ctx,
-    port: site.port,
-    starts: site.starts,
+    ctx: stub.ctx,
+    port: stub.port,
+    starts: stub.starts,
     fence: 1,
     maxLeaseMs: 6_000,
     earlierLeaseEnd: 0,
-    horizon: () => site.time.clock() + LEASE_HORIZON_MS,
-    runs: () => workerRuns(site.state, info.id),
+    horizon: () => stub.time.clock() + LEASE_HORIZON_MS,
+    runs: () => workerRuns(stub.state, info.id),
     otherRuns: () => [],
     isNew: false,
     leadsSince: 0,
@@ -188,15 +188,15 @@
     registryAgeMs: () => 0,
     ticketFor: () => undefined,
     events: {
-      ended: site.end,
+      ended: stub.end,
       moved: () => undefined,
       replaced: by => {
-        site.replacedBy.push(by);
+        stub.replacedBy.push(by);
         link.supersede();
       },
       abandoned: (_worker, runs) => {
         for (const run of runs) {
-          site.end(run, 'lapsed');
+          stub.end(run, 'lapsed');
         }
       },
       strayEnd: () => undefined,
@@ -214,6 +214,6 @@
     },
   });
   void link.run();
-  await site.time.advance(100);
+  await stub.time.advance(100);
   return link;
 }
--- a/packages/daemon/src/job-host/run-supervisor.test.ts
+++ b/packages/daemon/src/job-host/run-supervisor.test.ts
@@ -12,45 +12,45 @@
 import { RunSupervisor } from './run-supervisor.js';
 import { jobOf } from './simulation.fixture.test.js';
 
-/** Opens a run of a serving task beside those of `site`. */
-function serve(site: StubWorker): void {
+/** Opens a run of a serving task beside those of `stub`. */
+function serve(stub: StubWorker): void {
   const id = '00000000000000c2';
   const step = { tasks: 1, after: [], lasting: true, tailTargetMs: 50 };
   const script = { runMs: 60_000, failures: 0 };
   const job = jobOf(id, [{ ...step, image: 's' }], script);
-  applyInbox(site.state, { kind: 'submit', job, atWall: 0 });
+  applyInbox(stub.state, { kind: 'submit', job, atWall: 0 });
   const task = { job: id, occurrence: 0, step: 0, index: 0 };
   const worker = ORDERED_WORKER.id;
-  applyJournal(site.state, { kind: 'start', task, run: 1, worker });
+  applyJournal(stub.state, { kind: 'start', task, run: 1, worker });
 }
 
 test('an unanswered limit is ordered again with the next report', async () => {
-  const site = new StubWorker(1, { filler: true, image: 'f' });
-  const link = await openLink(site);
+  const stub = new StubWorker(1, { filler: true, image: 'f' });
+  const link = await openLink(stub);
   const supervisor = new RunSupervisor({
-    ctx: site.ctx,
-    state: site.state,
+    ctx: stub.ctx,
+    state: stub.state,
     interference: new Interference(),
     health: new WorkerHealth(),
     linkTo: () => link,
     leavingSince: () => undefined,
   });
-  const run = site.open(0);
-  link.start(run, site.time.clock());
-  await site.time.advance(100);
-  serve(site);
+  const run = stub.open(0);
+  link.start(run, stub.time.clock());
+  await stub.time.advance(100);
+  serve(stub);
   assert.ok(run.progress);
   // A share that the model never returns.
   run.progress.allowedPercent = 1;
   const limits: number[] = [];
   for (const kind of ['unknown', 'unknown', 'accepted', 'accepted'] as const) {
-    site.answer =
+    stub.answer =
       kind === 'unknown'
         ? { kind, reason: 'timeout' }
-        : { kind, clock: site.time.clock() };
+        : { kind, clock: stub.time.clock() };
     supervisor.throttleFillers(link);
-    await site.time.advance(100);
-    limits.push(site.sent.filter(order => order.startsWith('throttle')).length);
+    await stub.time.advance(100);
+    limits.push(stub.sent.filter(order => order.startsWith('throttle')).length);
   }
   assert.deepEqual(limits, [1, 2, 3, 3]);
 });
--- a/packages/daemon/src/job-host/start-window.test.ts
+++ b/packages/daemon/src/job-host/start-window.test.ts
@@ -9,9 +9,9 @@
 const MAX_STARTS = 200;
 
 /** Uses up all starts that a window has available. */
-function fill(window: StartWindow, site: StubWorker, from: number): Run[] {
+function fill(window: StartWindow, stub: StubWorker, from: number): Run[] {
   const runs = Array.from({ length: window.available() }, (_, at) =>
-    site.open(from + at),
+    stub.open(from + at),
   );
   runs.forEach(run => {
     window.add(run);
@@ -53,13 +53,13 @@
 
 test('the window grows again with confirmed starts', () => {
   const window = new StartWindow();
-  const site = new StubWorker(1_000);
+  const stub = new StubWorker(1_000);
   for (let now = 0; now < 60_000; now += 600) {
     window.noteSilence(now);
   }
   let opened = 0;
   for (let round = 0; round < 6; round += 1) {
-    const runs = fill(window, site, opened);
+    const runs = fill(window, stub, opened);
     opened += runs.length;
     runs.forEach(run => {
       window.noteStarted(run);
--- a/packages/daemon/src/job-host/worker-orders.test.ts
+++ b/packages/daemon/src/job-host/worker-orders.test.ts
@@ -13,16 +13,16 @@
   slow: number;
 }
 
-/** Returns orders to the worker of `site`, and a count of how often it was reported as slow. */
-function ordersTo(site: StubWorker): {
+/** Returns orders to the worker of `stub`, and a count of how often it was reported as slow. */
+function ordersTo(stub: StubWorker): {
   orders: WorkerOrders;
   reports: SlowReports;
 } {
   const reports: SlowReports = { slow: 0 };
   const orders = new WorkerOrders({
-    ctx: site.ctx,
-    port: site.port,
-    starts: site.starts,
+    ctx: stub.ctx,
+    port: stub.port,
+    starts: stub.starts,
     fence: 1,
     info: () => ORDERED_WORKER,
     mayStart: () => true,
@@ -31,7 +31,7 @@
     registryAgeMs: () => 0,
     ticketFor: () => undefined,
     events: {
-      ended: site.end,
+      ended: stub.end,
       fenced: () => undefined,
       ticketRefused: () => undefined,
       runStarted: () => undefined,
@@ -48,206 +48,206 @@
 }
 
 test('a queued start is not sent once its job is cancelled', async () => {
-  const site = new StubWorker(2);
-  const { orders } = ordersTo(site);
-  site.answerMs = SLOW_MS;
-  orders.start(site.open(0), site.time.clock());
-  orders.start(site.open(1), site.time.clock());
-  await site.time.advance(100);
-  site.cancel();
-  await site.time.advance(5_000);
-  assert.deepEqual(site.sent, ['start 0#1']);
-  assert.deepEqual(site.ended, ['1#1 void']);
+  const stub = new StubWorker(2);
+  const { orders } = ordersTo(stub);
+  stub.answerMs = SLOW_MS;
+  orders.start(stub.open(0), stub.time.clock());
+  orders.start(stub.open(1), stub.time.clock());
+  await stub.time.advance(100);
+  stub.cancel();
+  await stub.time.advance(5_000);
+  assert.deepEqual(stub.sent, ['start 0#1']);
+  assert.deepEqual(stub.ended, ['1#1 void']);
 });
 
 test('a queued start is not sent once its job has failed', async () => {
-  const site = new StubWorker(2);
-  const { orders } = ordersTo(site);
-  site.end(site.open(0), 'failed');
-  site.end(site.open(0), 'failed');
-  const last = site.open(0);
-  site.answerMs = SLOW_MS;
-  orders.start(last, site.time.clock());
-  orders.start(site.open(1), site.time.clock());
-  await site.time.advance(100);
-  site.end(last, 'failed');
-  await site.time.advance(5_000);
-  assert.deepEqual(site.sent, ['start 0#3']);
-  assert.equal(site.ended.at(-1), '1#1 void');
+  const stub = new StubWorker(2);
+  const { orders } = ordersTo(stub);
+  stub.end(stub.open(0), 'failed');
+  stub.end(stub.open(0), 'failed');
+  const last = stub.open(0);
+  stub.answerMs = SLOW_MS;
+  orders.start(last, stub.time.clock());
+  orders.start(stub.open(1), stub.time.clock());
+  await stub.time.advance(100);
+  stub.end(last, 'failed');
+  await stub.time.advance(5_000);
+  assert.deepEqual(stub.sent, ['start 0#3']);
+  assert.equal(stub.ended.at(-1), '1#1 void');
 });
 
 test('a queued start is not sent once a copy of its task is done', async () => {
-  const site = new StubWorker(2, { speculative: true });
-  const { orders } = ordersTo(site);
-  const first = site.open(0);
-  site.answerMs = SLOW_MS;
-  orders.start(first, site.time.clock());
-  orders.start(site.open(0), site.time.clock());
-  await site.time.advance(100);
-  site.end(first, 'done');
-  await site.time.advance(5_000);
-  assert.deepEqual(site.sent, ['start 0#1']);
-  assert.deepEqual(site.ended, ['0#1 done', '0#2 void']);
+  const stub = new StubWorker(2, { speculative: true });
+  const { orders } = ordersTo(stub);
+  const first = stub.open(0);
+  stub.answerMs = SLOW_MS;
+  orders.start(first, stub.time.clock());
+  orders.start(stub.open(0), stub.time.clock());
+  await stub.time.advance(100);
+  stub.end(first, 'done');
+  await stub.time.advance(5_000);
+  assert.deepEqual(stub.sent, ['start 0#1']);
+  assert.deepEqual(stub.ended, ['0#1 done', '0#2 void']);
 });
 
 test('a stop withdraws a queued start', async () => {
-  const site = new StubWorker(2);
-  const { orders } = ordersTo(site);
-  const waiting = site.open(1);
-  site.answerMs = SLOW_MS;
-  orders.start(site.open(0), site.time.clock());
-  orders.start(waiting, site.time.clock());
-  await site.time.advance(100);
+  const stub = new StubWorker(2);
+  const { orders } = ordersTo(stub);
+  const waiting = stub.open(1);
+  stub.answerMs = SLOW_MS;
+  orders.start(stub.open(0), stub.time.clock());
+  orders.start(waiting, stub.time.clock());
+  await stub.time.advance(100);
   orders.stop(waiting);
-  assert.deepEqual(site.ended, ['1#1 void']);
-  await site.time.advance(5_000);
-  assert.deepEqual(site.sent, ['start 0#1']);
+  assert.deepEqual(stub.ended, ['1#1 void']);
+  await stub.time.advance(5_000);
+  assert.deepEqual(stub.sent, ['start 0#1']);
 });
 
 test('a stop withdraws only the start of its own run', async () => {
-  const site = new StubWorker(3);
-  const { orders } = ordersTo(site);
-  const withdrawn = site.open(1);
-  site.answerMs = SLOW_MS;
-  orders.start(site.open(0), site.time.clock());
-  orders.start(withdrawn, site.time.clock());
-  orders.start(site.open(2), site.time.clock());
-  await site.time.advance(100);
+  const stub = new StubWorker(3);
+  const { orders } = ordersTo(stub);
+  const withdrawn = stub.open(1);
+  stub.answerMs = SLOW_MS;
+  orders.start(stub.open(0), stub.time.clock());
+  orders.start(withdrawn, stub.time.clock());
+  orders.start(stub.open(2), stub.time.clock());
+  await stub.time.advance(100);
   orders.stop(withdrawn);
-  await site.time.advance(5_000);
-  assert.deepEqual(site.sent, ['start 0#1', 'start 2#1']);
+  await stub.time.advance(5_000);
+  assert.deepEqual(stub.sent, ['start 0#1', 'start 2#1']);
 });
 
 test('a stop is sent for a start that was sent', async () => {
-  const site = new StubWorker(1);
-  const { orders } = ordersTo(site);
-  const run = site.open(0);
-  site.answerMs = SLOW_MS;
-  orders.start(run, site.time.clock());
-  await site.time.advance(100);
+  const stub = new StubWorker(1);
+  const { orders } = ordersTo(stub);
+  const run = stub.open(0);
+  stub.answerMs = SLOW_MS;
+  orders.start(run, stub.time.clock());
+  await stub.time.advance(100);
   orders.stop(run);
-  await site.time.advance(5_000);
-  assert.deepEqual(site.sent, ['start 0#1', 'stop 0#1']);
-  assert.deepEqual(site.ended, []);
+  await stub.time.advance(5_000);
+  assert.deepEqual(stub.sent, ['start 0#1', 'stop 0#1']);
+  assert.deepEqual(stub.ended, []);
 });
 
 test('a start that has waited too long is not sent', async () => {
-  const site = new StubWorker(5);
-  const { orders, reports } = ordersTo(site);
-  site.answerMs = SLOW_MS;
+  const stub = new StubWorker(5);
+  const { orders, reports } = ordersTo(stub);
+  stub.answerMs = SLOW_MS;
   for (let index = 0; index < 5; index += 1) {
-    orders.start(site.open(index), site.time.clock());
+    orders.start(stub.open(index), stub.time.clock());
   }
-  await site.time.advance(5_000);
+  await stub.time.advance(5_000);
   const sent = ['start 0#1', 'start 1#1', 'start 2#1', 'start 3#1'];
-  assert.deepEqual(site.sent, sent);
-  assert.deepEqual(site.ended, ['4#1 void']);
+  assert.deepEqual(stub.sent, sent);
+  assert.deepEqual(stub.ended, ['4#1 void']);
   assert.equal(reports.slow, 1);
 });
 
 test('a start that was late before it was queued does not count against the worker', async () => {
-  const site = new StubWorker(1);
-  const { orders, reports } = ordersTo(site);
-  orders.start(site.open(0), site.time.clock() - MAX_START_WAIT_MS - 1);
-  await site.time.advance(5_000);
-  assert.deepEqual(site.sent, []);
-  assert.deepEqual(site.ended, ['0#1 void']);
+  const stub = new StubWorker(1);
+  const { orders, reports } = ordersTo(stub);
+  orders.start(stub.open(0), stub.time.clock() - MAX_START_WAIT_MS - 1);
+  await stub.time.advance(5_000);
+  assert.deepEqual(stub.sent, []);
+  assert.deepEqual(stub.ended, ['0#1 void']);
   assert.equal(reports.slow, 0);
 });
 
 test('only the newest of several queued limits is sent', async () => {
-  const site = new StubWorker(2);
-  const { orders } = ordersTo(site);
-  const run = site.open(0);
-  orders.start(run, site.time.clock());
-  await site.time.advance(100);
-  site.answerMs = SLOW_MS;
-  orders.start(site.open(1), site.time.clock());
-  await site.time.advance(100);
+  const stub = new StubWorker(2);
+  const { orders } = ordersTo(stub);
+  const run = stub.open(0);
+  orders.start(run, stub.time.clock());
+  await stub.time.advance(100);
+  stub.answerMs = SLOW_MS;
+  orders.start(stub.open(1), stub.time.clock());
+  await stub.time.advance(100);
   for (const percent of [50, 40, 30]) {
     orders.throttle(run, percent);
   }
-  await site.time.advance(5_000);
-  assert.deepEqual(site.sent, ['start 0#1', 'start 1#1', 'throttle 0#1 30']);
+  await stub.time.advance(5_000);
+  assert.deepEqual(stub.sent, ['start 0#1', 'start 1#1', 'throttle 0#1 30']);
   assert.equal(run.progress?.allowedPercent, 30);
 });
 
 test('an unanswered limit does not count as being in effect', async () => {
-  const site = new StubWorker(1);
-  const { orders } = ordersTo(site);
-  const run = site.open(0);
-  orders.start(run, site.time.clock());
-  await site.time.advance(100);
-  site.answer = { kind: 'unknown', reason: 'timeout' };
+  const stub = new StubWorker(1);
+  const { orders } = ordersTo(stub);
+  const run = stub.open(0);
+  orders.start(run, stub.time.clock());
+  await stub.time.advance(100);
+  stub.answer = { kind: 'unknown', reason: 'timeout' };
   orders.throttle(run, 0);
-  await site.time.advance(100);
+  await stub.time.advance(100);
   assert.ok(run.progress);
   assert.equal(run.progress.allowedPercent, undefined);
 });
 
 test('a newer limit is sent although the previous one was not answered', async () => {
-  const site = new StubWorker(1);
-  const { orders } = ordersTo(site);
-  const run = site.open(0);
-  orders.start(run, site.time.clock());
-  await site.time.advance(100);
-  site.answerMs = SLOW_MS;
-  site.answer = { kind: 'unknown', reason: 'timeout' };
+  const stub = new StubWorker(1);
+  const { orders } = ordersTo(stub);
+  const run = stub.open(0);
+  orders.start(run, stub.time.clock());
+  await stub.time.advance(100);
+  stub.answerMs = SLOW_MS;
+  stub.answer = { kind: 'unknown', reason: 'timeout' };
   orders.throttle(run, 0);
-  await site.time.advance(100);
-  site.answer = { kind: 'accepted', clock: 0 };
+  await stub.time.advance(100);
+  stub.answer = { kind: 'accepted', clock: 0 };
   orders.throttle(run, 20);
-  await site.time.advance(5_000);
+  await stub.time.advance(5_000);
   const sent = ['start 0#1', 'throttle 0#1 0', 'throttle 0#1 20'];
-  assert.deepEqual(site.sent, sent);
+  assert.deepEqual(stub.sent, sent);
   assert.equal(run.progress?.allowedPercent, 20);
 });
 
 test('constantly changing limits do not block starts', async () => {
-  const site = new StubWorker(3);
-  const { orders } = ordersTo(site);
-  const fillers = [site.open(0), site.open(1)];
+  const stub = new StubWorker(3);
+  const { orders } = ordersTo(stub);
+  const fillers = [stub.open(0), stub.open(1)];
   for (const run of fillers) {
-    orders.start(run, site.time.clock());
+    orders.start(run, stub.time.clock());
   }
-  await site.time.advance(100);
-  site.answerMs = 250;
+  await stub.time.advance(100);
+  stub.answerMs = 250;
   for (let at = 0; at < 30; at += 1) {
     for (const run of fillers) {
       orders.throttle(run, 50 + (at % 2));
     }
     if (at === 0) {
-      orders.start(site.open(2), site.time.clock());
+      orders.start(stub.open(2), stub.time.clock());
     }
-    await site.time.advance(350);
+    await stub.time.advance(350);
   }
-  assert.ok(site.sent.includes('start 2#1'), site.sent.join());
+  assert.ok(stub.sent.includes('start 2#1'), stub.sent.join());
 });
 
 /** Returns a worker whose starts end with `result`. */
 function sendStartWithResult(result: StartResult): StubWorker {
-  const site = new StubWorker(1);
-  site.starts.send = () => {
-    site.sent.push('start');
+  const stub = new StubWorker(1);
+  stub.starts.send = () => {
+    stub.sent.push('start');
     return Promise.resolve(result);
   };
-  const { orders } = ordersTo(site);
-  orders.start(site.open(0), site.time.clock());
-  return site;
+  const { orders } = ordersTo(stub);
+  orders.start(stub.open(0), stub.time.clock());
+  return stub;
 }
 
 // A run that another host may have started is stopped: if it counted as never started, its task would run
 // twice.
 test('a run that may have started elsewhere is stopped before it is abandoned', async () => {
-  const site = sendStartWithResult({ kind: 'unsure', reason: 'superseded' });
-  await site.time.advance(100);
-  assert.deepEqual(site.sent, ['start', 'stop 0#1']);
-  assert.deepEqual(site.ended, []);
+  const stub = sendStartWithResult({ kind: 'unsure', reason: 'superseded' });
+  await stub.time.advance(100);
+  assert.deepEqual(stub.sent, ['start', 'stop 0#1']);
+  assert.deepEqual(stub.ended, []);
 });
 
 test('a start that was sent nowhere is abandoned at once', async () => {
-  const site = sendStartWithResult({ kind: 'not_wanted' });
-  await site.time.advance(100);
-  assert.deepEqual(site.sent, ['start']);
-  assert.deepEqual(site.ended, ['0#1 void']);
+  const stub = sendStartWithResult({ kind: 'not_wanted' });
+  await stub.time.advance(100);
+  assert.deepEqual(stub.sent, ['start']);
+  assert.deepEqual(stub.ended, ['0#1 void']);
 });
