--- a/packages/daemon/src/job-host/group-append.ts
+++ b/packages/daemon/src/job-host/group-append.ts
@@ -21,8 +21,8 @@
 
 /**
  * Limits the inbox to a few appends a second. The log carries out the appends of a partition one
- * after the other: at 200 ms each, as when the log is slow, five callers a second would be served
- * one by one, but any number in batches.
+ * after the other: at 200 ms each, as when the log is slow, only five callers a second could be
+ * served one by one, but any number in batches.
  */
 export class AppendBatcher {
   private pending: PendingAppend[] = [];
--- a/packages/daemon/src/job-host/model/leader-steps.fixture.test.ts
+++ b/packages/daemon/src/job-host/model/leader-steps.fixture.test.ts
@@ -454,9 +454,9 @@
     return silent;
   }
   const hasExpired =
-    fault === 'early_give_up' ||
+    fault === 'early_abandonment' ||
     leaseOf(state, host, silent, worker).hasLapsed(state.now);
-  if (hasExpired && fault !== 'never_given_up') {
+  if (hasExpired && fault !== 'never_abandoned') {
     return decideEnd(silent, 'lapsed');
   }
   return silent.progress.order === 'start' ? decideEnd(silent, 'void') : silent;
--- a/packages/daemon/src/job-host/model/leadership-model.test.ts
+++ b/packages/daemon/src/job-host/model/leadership-model.test.ts
@@ -174,7 +174,7 @@
 test('model finds a run that is abandoned before its lease ends', () => {
   assertViolation(
     { ...LOST, opening: LOST.opening.slice(0, -1) },
-    'early_give_up',
+    'early_abandonment',
     /two runs/,
   );
 });
@@ -206,7 +206,7 @@
 test('model finds a run of a lost worker that is never abandoned', () => {
   assertViolation(
     { ...LOST, opening: LOST.opening.slice(0, -1) },
-    'never_given_up',
+    'never_abandoned',
     /task is lost/,
   );
 });
--- a/packages/daemon/src/job-host/model/worker-steps.fixture.test.ts
+++ b/packages/daemon/src/job-host/model/worker-steps.fixture.test.ts
@@ -18,8 +18,8 @@
   | 'unconfirmed_lease'
   | 'late_confirmation'
   | 'released_lease'
-  | 'early_give_up'
-  | 'never_given_up'
+  | 'early_abandonment'
+  | 'never_abandoned'
   | 'unchecked_start'
   | 'missed_record';
 
--- a/packages/daemon/src/job-host/relay/link-pace.ts
+++ b/packages/daemon/src/job-host/relay/link-pace.ts
@@ -28,7 +28,7 @@
   /** Mean size of a start. */
   private meanBytes = INITIAL_START_BYTES;
 
-  /** Creates a pace of `bytesPerS`, which may be infinite. */
+  /** Creates a pacer for a rate of `bytesPerS`, which may be infinite. */
   constructor(
     private readonly ctx: HostContext,
     bytesPerS: number,
--- a/packages/daemon/src/job-host/relay/relay-host.ts
+++ b/packages/daemon/src/job-host/relay/relay-host.ts
@@ -12,7 +12,7 @@
 
 /** Time for which a host is not used for a worker that answers the leader but not that host. */
 const UNREACHED_WORKER_BACKOFF_MS: Millis = 3_000;
-/** Number of workers out of a host's reach from which the host is not used at all. */
+/** A host that this many workers do not answer is not used for any worker. */
 const MAX_UNREACHED_WORKERS = 4;
 /** Time for which a silent host is not used, unless it answers earlier. */
 const SILENCE_BACKOFF_MS: Millis = 1_000;
--- a/packages/daemon/src/job-host/replica.ts
+++ b/packages/daemon/src/job-host/replica.ts
@@ -77,7 +77,7 @@
   };
   /** Whether reading started after records that the log has dropped. */
   private trimmed = false;
-  /** Whether this host leads, so that the journal holds nothing but its own decisions. */
+  /** Whether this host leads, so that the journal holds nothing that it has not decided itself. */
   private isLeading = false;
   private heartbeat: ReceivedHeartbeat | undefined;
 
