--- a/packages/daemon/src/job-host/job-host.test.ts
+++ b/packages/daemon/src/job-host/job-host.test.ts
@@ -9,7 +9,7 @@
 ];
 const SHORT_RUN = { runMs: 400, failures: 0 };
 
-function smallSite(seed: number): Simulation {
+function smallDeployment(seed: number): Simulation {
   const site = new Simulation(seed);
   for (const name of ['w1', 'w2', 'w3']) {
     site.addWorker(name);
@@ -28,7 +28,7 @@
 }
 
 test('runs the steps of a job in order and reports it as completed', async () => {
-  const site = smallSite(1);
+  const site = smallDeployment(1);
   void site.submit('00000000000000a1', TWO_STEPS, SHORT_RUN);
   await site.time.advance(6_000);
   assert.ok(site.history.isDone('00000000000000a1'));
@@ -41,7 +41,7 @@
 });
 
 test('a repeated submission creates one job', async () => {
-  const site = smallSite(2);
+  const site = smallDeployment(2);
   void site.submit('00000000000000a2', TWO_STEPS, SHORT_RUN);
   void site.submit('00000000000000a2', TWO_STEPS, SHORT_RUN);
   await site.time.advance(6_000);
@@ -50,7 +50,7 @@
 });
 
 test('an end is not acknowledged before it is recorded', async () => {
-  const site = smallSite(3);
+  const site = smallDeployment(3);
   void site.submit('00000000000000a3', [{ tasks: 4, after: [] }], {
     runMs: 3_000,
     failures: 0,
@@ -66,7 +66,7 @@
 });
 
 test('another host leads within 2 s after the leader was killed', async () => {
-  const site = smallSite(4);
+  const site = smallDeployment(4);
   await site.time.advance(2_000);
   const first = site.leader();
   site.kill(first);
@@ -75,7 +75,7 @@
 });
 
 test('a leader that is stopping is replaced at once', async () => {
-  const site = smallSite(5);
+  const site = smallDeployment(5);
   await site.time.advance(2_000);
   const first = site.leader();
   void site.hosts.get(first)?.host.handOver(3_000);
@@ -99,7 +99,7 @@
 });
 
 test('a leader that was frozen changes nothing when it resumes', async () => {
-  const site = smallSite(6);
+  const site = smallDeployment(6);
   void site.submit('00000000000000a6', TWO_STEPS, { runMs: 900, failures: 0 });
   await site.time.advance(1_500);
   site.freeze(site.leader(), 4_000);
@@ -109,7 +109,7 @@
 });
 
 test('tasks of a lost worker run again elsewhere', async () => {
-  const site = smallSite(7);
+  const site = smallDeployment(7);
   void site.submit('00000000000000a7', TWO_STEPS, { runMs: 900, failures: 0 });
   await site.time.advance(1_600);
   site.fleet.crash('w1');
@@ -119,7 +119,7 @@
 });
 
 test('a job whose tasks always fail ends as failed', async () => {
-  const site = smallSite(8);
+  const site = smallDeployment(8);
   void site.submit('00000000000000a8', [{ tasks: 1, after: [] }], {
     runMs: 100,
     failures: 99,
@@ -137,7 +137,7 @@
 });
 
 test('no task of a cancelled job starts or keeps running', async () => {
-  const site = smallSite(9);
+  const site = smallDeployment(9);
   void site.submit('00000000000000a9', TWO_STEPS, {
     runMs: 5_000,
     failures: 0,
@@ -150,7 +150,7 @@
 });
 
 test('an unknown job is reported as unknown', async () => {
-  const site = smallSite(10);
+  const site = smallDeployment(10);
   await site.time.advance(1_000);
   const pending = site.hosts.get('h2')?.host.service.status('00000000000000ff');
   await site.time.advance(100);
@@ -158,7 +158,7 @@
 });
 
 test('a host that is cut off from the log refuses at once', async () => {
-  const site = smallSite(11);
+  const site = smallDeployment(11);
   await site.time.advance(1_000);
   site.log.hostModes.set('h1', 'silent');
   await site.time.advance(4_000);
@@ -171,7 +171,7 @@
 });
 
 test('a host that cannot read the inbox applies no journal records', async () => {
-  const site = smallSite(12);
+  const site = smallDeployment(12);
   void site.submit('0000000000000012', TWO_STEPS, { runMs: 900, failures: 0 });
   await site.time.advance(1_500);
   site.log.streamModes.set('inbox', 'refusing');
@@ -186,7 +186,7 @@
 });
 
 test('a new leader knows of every cancellation', async () => {
-  const site = smallSite(13);
+  const site = smallDeployment(13);
   void site.submit('0000000000000013', [{ tasks: 2, after: [] }], {
     runMs: 9_000,
     failures: 0,
@@ -200,7 +200,7 @@
 });
 
 test('no task starts while cancellations cannot be read', async () => {
-  const site = smallSite(14);
+  const site = smallDeployment(14);
   const slow = { runMs: 4_000, failures: 0 };
   void site.submit('00000000000000b4', [{ tasks: 12, after: [] }], slow);
   await site.time.advance(1_000);
@@ -219,7 +219,7 @@
 });
 
 test('a copy of the inbox that was read before a freeze is stale after it', async () => {
-  const site = smallSite(22);
+  const site = smallDeployment(22);
   const slow = { runMs: 4_000, failures: 0 };
   void site.submit('00000000000000c4', [{ tasks: 12, after: [] }], slow);
   await site.time.advance(1_000);
@@ -242,7 +242,7 @@
 });
 
 test('a start that was recorded late is not sent after its job was cancelled', async () => {
-  const site = smallSite(15);
+  const site = smallDeployment(15);
   await site.time.advance(2_000);
   void site.submit('0000000000000015', [{ tasks: 2, after: [] }], SHORT_RUN);
   await site.time.advance(10);
@@ -278,13 +278,13 @@
 }
 
 test('a job outlives its first records', () =>
-  assertOutlivesRecords(smallSite(16), 0));
+  assertOutlivesRecords(smallDeployment(16), 0));
 
 test('a job outlives its first records when clocks jump back', () =>
-  assertOutlivesRecords(smallSite(30), -40_000));
+  assertOutlivesRecords(smallDeployment(30), -40_000));
 
 test('the outcome of a job is known after its records were dropped', async () => {
-  const site = smallSite(28);
+  const site = smallDeployment(28);
   const id = '0000000000000028';
   void site.submit(id, TWO_STEPS, SHORT_RUN);
   await site.time.advance(6_000);
@@ -300,7 +300,7 @@
 });
 
 test('a job that finished long ago is removed', async () => {
-  const site = smallSite(17);
+  const site = smallDeployment(17);
   const id = '0000000000000017';
   void site.submit(id, TWO_STEPS, SHORT_RUN);
   await site.time.advance(60_000);
@@ -310,7 +310,7 @@
 });
 
 test('a host leads even if no record of the previous epochs is left', async () => {
-  const site = smallSite(18);
+  const site = smallDeployment(18);
   await site.time.advance(2_000);
   for (const name of ['h1', 'h2', 'h3']) {
     site.kill(name);
@@ -326,7 +326,7 @@
 });
 
 test('an unknown outcome is reported within half of the deadline', async () => {
-  const site = smallSite(19);
+  const site = smallDeployment(19);
   await site.time.advance(2_000);
   const service = site.hosts.get('h1')?.host.service;
   site.log.hostModes.set('h1', 'silent');
@@ -337,7 +337,7 @@
 });
 
 test('a lost answer costs a second append, not the request', async () => {
-  const site = smallSite(20);
+  const site = smallDeployment(20);
   await site.time.advance(2_000);
   const service = site.hosts.get('h1')?.host.service;
   site.log.unansweredAppends = 1;
@@ -350,7 +350,7 @@
 });
 
 test('runs of a worker that left during a change of leaders restart within 12 s', async () => {
-  const site = smallSite(21);
+  const site = smallDeployment(21);
   const id = '0000000000000021';
   void site.submit(id, [{ tasks: 6, after: [] }], {
     runMs: 2_500,
@@ -365,7 +365,7 @@
 });
 
 test('another change of leaders does not restart the wait for a lost worker', async () => {
-  const site = smallSite(23);
+  const site = smallDeployment(23);
   site.startHost('h4');
   const id = '0000000000000023';
   void site.submit(id, [{ tasks: 6, after: [] }], {
@@ -384,7 +384,7 @@
 });
 
 test('a step with speculative copies completes despite a hanging worker', async () => {
-  const site = smallSite(24);
+  const site = smallDeployment(24);
   const id = '0000000000000024';
   const w1 = site.fleet.at('w1');
   assert.ok(w1);
--- a/packages/daemon/src/job-host/late-claim-twice.test.ts
+++ b/packages/daemon/src/job-host/late-claim-twice.test.ts
@@ -17,7 +17,7 @@
 import type { Simulation } from './simulation.fixture.test.js';
 
 const HOSTS = ['h1', 'h2', 'h3'];
-const HAND_OVER_MS = 3_000;
+const HANDOVER_TIMEOUT_MS = 3_000;
 /** By then the leader has recorded that w1 is silent; the lease of w1 lasts longer. */
 const SILENCE_DURATIONS_MS: readonly Millis[] = [
   2_000, 2_200, 2_400, 2_600, 2_800, 3_000, 3_200, 3_400, 3_600, 3_800,
@@ -41,7 +41,7 @@
       }
       await site.time.advance(silent);
       site.log.appendMs = APPEND_MS;
-      void site.hosts.get(name)?.host.handOver(HAND_OVER_MS);
+      void site.hosts.get(name)?.host.handOver(HANDOVER_TIMEOUT_MS);
       site.time.schedule(lead, () => {
         site.fleet.cuts.delete(`${name}>w1`);
       });
--- a/packages/daemon/src/job-host/relay/full-link.test.ts
+++ b/packages/daemon/src/job-host/relay/full-link.test.ts
@@ -21,10 +21,10 @@
 const LONG_RUNNING_JOB = '00000000000000a1';
 const LONG_RUNNING_TASKS = 24;
 const JOBS = 40;
-const JOB_EVERY_MS = 500;
+const JOB_INTERVAL_MS = 500;
 /** Four jobs in two seconds: 48 starts a second, beside the long-running tasks. */
 const JOB_TASKS = 24;
-const QUICK_MS = 300;
+const RUN_MS = 300;
 
 async function runBusy(site: Simulation): Promise<void> {
   site.history.faults = new FaultTimes();
@@ -39,15 +39,15 @@
   const script = { runMs: 10_000_000, failures: 0, payload: PAYLOAD };
   void site.submit(LONG_RUNNING_JOB, longRunning, script);
   void submitJobs(site);
-  await site.time.advance(JOBS * JOB_EVERY_MS + 10_000);
+  await site.time.advance(JOBS * JOB_INTERVAL_MS + 10_000);
 }
 
 async function submitJobs(site: Simulation): Promise<void> {
   for (let at = 0; at < JOBS; at += 1) {
     const steps = [{ tasks: JOB_TASKS, after: [] }];
-    const script = { runMs: QUICK_MS, failures: 0, payload: PAYLOAD };
+    const script = { runMs: RUN_MS, failures: 0, payload: PAYLOAD };
     void site.submit(idOf(at), steps, script);
-    await site.wait(JOB_EVERY_MS);
+    await site.wait(JOB_INTERVAL_MS);
   }
 }
 
--- a/packages/daemon/src/job-host/relay/overload-recovery.test.ts
+++ b/packages/daemon/src/job-host/relay/overload-recovery.test.ts
@@ -26,7 +26,9 @@
 const LONG_RECOVERY_MS = 12_000;
 const FREEZE_MS = 1_500;
 
-async function settled(linkBytesPerS?: number): Promise<OverloadedDeployment> {
+async function settledDeployment(
+  linkBytesPerS?: number,
+): Promise<OverloadedDeployment> {
   const site = new OverloadedDeployment(SEED, linkBytesPerS);
   await site.settle();
   return site;
@@ -45,7 +47,7 @@
 }
 
 test('a deployment carries the steady load that follows a peak', async () => {
-  const site = await settled();
+  const site = await settledDeployment();
   await site.load([BEFORE]);
   const from = await site.load([AFTER]);
   await site.recover();
@@ -54,13 +56,13 @@
 });
 
 test('jobs start in time again soon after a peak', async () => {
-  const site = await settled();
+  const site = await settledDeployment();
   await site.load([BEFORE, { jobsPerS: PEAK_JOBS_PER_S, ms: 2_000 }]);
   await assertRecovers(site);
 });
 
 test('jobs start in time again soon after no standby answered', async () => {
-  const site = await settled();
+  const site = await settledDeployment();
   await site.load([BEFORE]);
   for (const name of site.others()) {
     site.freeze(name, FREEZE_MS);
@@ -69,14 +71,14 @@
 });
 
 test('jobs start in time again soon after another host took over with a backlog', async () => {
-  const site = await settled();
+  const site = await settledDeployment();
   await site.load([BEFORE]);
   site.replaceLeader();
   await assertRecovers(site);
 });
 
 test('jobs start in time again soon after a long overload', async () => {
-  const site = await settled();
+  const site = await settledDeployment();
   await site.load([BEFORE, { jobsPerS: OVERLOAD_JOBS_PER_S, ms: 15_000 }]);
   const light = { jobsPerS: LIGHT_JOBS_PER_S, ms: 20_000 };
   await assertRecovers(site, light, LONG_RECOVERY_MS);
@@ -85,14 +87,14 @@
 // Otherwise one slow host of many would keep the number of starts in flight at its minimum on an
 // idle link.
 test('jobs start in time again soon after a peak although one other host is slow', async () => {
-  const site = await settled();
+  const site = await settledDeployment();
   await site.load([BEFORE, { jobsPerS: PEAK_JOBS_PER_S, ms: 2_000 }]);
   site.delayOneStandby(250);
   await assertRecovers(site);
 });
 
 test('jobs begin in time again soon after a peak in which the leader is lost, on a link that is full', async () => {
-  const site = await settled(FULL_LINK_BYTES_PER_S);
+  const site = await settledDeployment(FULL_LINK_BYTES_PER_S);
   await site.load([BEFORE, { jobsPerS: PEAK_JOBS_PER_S, ms: 1_000 }]);
   site.replaceLeader();
   await site.load([{ jobsPerS: PEAK_JOBS_PER_S, ms: 1_000 }]);
--- a/packages/daemon/src/job-host/relay/relaying-hosts.test.ts
+++ b/packages/daemon/src/job-host/relay/relaying-hosts.test.ts
@@ -20,23 +20,23 @@
 } from './relay-site.fixture.test.js';
 
 const SEEDS = [1, 2, 3, 4];
-const EVERY_MS = 2_500;
-const TIMES = 6;
+const DISTURBANCE_INTERVAL_MS = 2_500;
+const DISTURBANCES = 6;
 const CANCELLED_JOB = '00000000000000c2';
-const LONG = { runMs: 6_000, failures: 0 };
+const LONG_RUN = { runMs: 6_000, failures: 0 };
 
 /** Disturbs the deployment repeatedly. */
 async function disturbRepeatedly(
   site: Simulation,
   act: (turn: number) => void,
 ): Promise<void> {
-  for (let turn = 0; turn < TIMES; turn += 1) {
+  for (let turn = 0; turn < DISTURBANCES; turn += 1) {
     act(turn);
-    await site.wait(EVERY_MS);
+    await site.wait(DISTURBANCE_INTERVAL_MS);
   }
 }
 
-function restart(site: Simulation, name: string, awayMs: Millis): void {
+function killAndRestart(site: Simulation, name: string, awayMs: Millis): void {
   recordFault(site, name, awayMs);
   site.kill(name);
   site.time.schedule(awayMs, () => site.startHost(name));
@@ -54,7 +54,7 @@
     const site = await runWithRelays(seed, playing =>
       disturbRepeatedly(playing, turn => {
         const relays = relaysOf(playing);
-        restart(playing, relays[turn % relays.length] ?? '', 1_500);
+        killAndRestart(playing, relays[turn % relays.length] ?? '', 1_500);
       }),
     );
     assertAllServed(site, `seed ${seed}`);
@@ -66,7 +66,7 @@
     const site = await runWithRelays(seed, async playing => {
       await playing.wait(4_000);
       for (const name of relaysOf(playing)) {
-        restart(playing, name, 6_000);
+        killAndRestart(playing, name, 6_000);
       }
     });
     assertAllServed(site, `seed ${seed}`);
@@ -111,7 +111,7 @@
     site.peers.startDelays.set(name, 4_000);
   }
   const before = site.peers.relays;
-  void site.submit(CANCELLED_JOB, [{ tasks: 6, after: [] }], LONG);
+  void site.submit(CANCELLED_JOB, [{ tasks: 6, after: [] }], LONG_RUN);
   await site.time.until(() => site.peers.relays > before, 2_000);
   for (const worker of RELAY_WORKERS) {
     site.fleet.cuts.add(`${leader}>${worker}`);
@@ -163,7 +163,7 @@
           playing.peers.startDelays.set(name, 150);
         }
         playing.time.schedule(100, () => {
-          restart(playing, leader, 700);
+          killAndRestart(playing, leader, 700);
         });
       }),
     );
--- a/packages/daemon/src/job-host/restarts-deployment.fixture.test.ts
+++ b/packages/daemon/src/job-host/restarts-deployment.fixture.test.ts
@@ -58,16 +58,17 @@
   });
   HOSTS.forEach(name => site.startHost(name));
   const step = { tasks: LONG_RUNNING_TASKS, after: [], lasting: true };
-  void site.submit(LONG_RUNNING_JOB, [step], { runMs: 10_000_000, failures: 0 });
+  void site.submit(LONG_RUNNING_JOB, [step], {
+    runMs: 10_000_000,
+    failures: 0,
+  });
   await site.time.advance(SETTLE_MS);
   assert.equal(site.history.runningOf(LONG_RUNNING_JOB), LONG_RUNNING_TASKS);
   return site;
 }
 
 /** Runs restarts while jobs are submitted; returns the deployment once all jobs should be done. */
-export async function runRestarts(
-  play: RestartsScenario,
-): Promise<Simulation> {
+export async function runRestarts(play: RestartsScenario): Promise<Simulation> {
   const site = await deploymentWithRestarts(play);
   void submitShortJobs(site);
   for (let turn = 0; turn < RESTART_ROUNDS; turn += 1) {
@@ -94,7 +95,7 @@
 }
 
 /** Returns the short jobs that are not done. */
-export function unfinished(site: Simulation): string[] {
+export function unfinishedShortJobs(site: Simulation): string[] {
   const all = Array.from({ length: SHORT_JOBS }, (_, at) => shortJob(at));
   return all.filter(id => !site.history.isDone(id));
 }
@@ -139,7 +140,11 @@
 }
 
 /** Disconnects a worker from all hosts for `span`. */
-export function disconnectWorker(site: Simulation, machine: string, span: Millis): void {
+export function disconnectWorker(
+  site: Simulation,
+  machine: string,
+  span: Millis,
+): void {
   const from = site.time.clock();
   site.history.faults?.add({ from, until: from + span, of: 'workers' });
   const pairs = HOSTS.map(host => `${host}>${machine}`);
@@ -152,7 +157,7 @@
 /** Asserts that every guarantee was kept, all short jobs are done and the long-running tasks run. */
 export function assertNothingLost(site: Simulation, note: string): void {
   assert.deepEqual(site.history.check(), [], note);
-  assert.deepEqual(unfinished(site), [], note);
+  assert.deepEqual(unfinishedShortJobs(site), [], note);
   const running = site.history.runningOf(LONG_RUNNING_JOB);
   assert.equal(running, LONG_RUNNING_TASKS, note);
 }
--- a/packages/daemon/src/job-host/start-job-host.test.ts
+++ b/packages/daemon/src/job-host/start-job-host.test.ts
@@ -4,7 +4,7 @@
 import { Simulation } from './simulation.fixture.test.js';
 
 /** Starts two hosts with a configuration. */
-async function siteOfTwo(seed: number): Promise<Simulation> {
+async function deploymentOfTwoHosts(seed: number): Promise<Simulation> {
   const site = new Simulation(seed);
   site.configured = true;
   site.startHost('h1');
@@ -14,7 +14,7 @@
 }
 
 test('hosts that have read everything and have a configuration are ready', async () => {
-  const site = await siteOfTwo(1);
+  const site = await deploymentOfTwoHosts(1);
   for (const { host } of site.hosts.values()) {
     assert.ok(host.ready());
   }
@@ -29,7 +29,7 @@
 
 for (const stream of ['inbox', 'journal'] as const) {
   test(`a host that has not read the ${stream} is not ready`, async () => {
-    const site = await siteOfTwo(3);
+    const site = await deploymentOfTwoHosts(3);
     site.log.hostStreamModes.set(`h3 ${stream}`, 'unreadable');
     const host = site.startHost('h3');
     for (let at = 0; at < 3_000; at += 50) {
@@ -43,7 +43,7 @@
 }
 
 test('a host that has read the inbox and not the journal is not ready', async () => {
-  const site = await siteOfTwo(5);
+  const site = await deploymentOfTwoHosts(5);
   site.log.hostStreamModes.set('h3 journal', 'unreadable');
   const host = site.startHost('h3');
   await site.time.advance(50);
@@ -59,7 +59,7 @@
 });
 
 test('a host that loses the leadership is ready again once it has read everything', async () => {
-  const site = await siteOfTwo(4);
+  const site = await deploymentOfTwoHosts(4);
   const name = site.leader();
   const host = site.hosts.get(name)?.host;
   assert.ok(host);
--- a/packages/daemon/src/job-host/unreadable-entries.test.ts
+++ b/packages/daemon/src/job-host/unreadable-entries.test.ts
@@ -10,10 +10,10 @@
 
 import { Simulation } from './simulation.fixture.test.js';
 
-const LONG = { runMs: 8_000, failures: 0 };
+const LONG_RUN = { runMs: 8_000, failures: 0 };
 
 /** Starts two workers; the entry of the second can't be read while `foreign` returns true. */
-function siteOf(foreign: () => boolean): Simulation {
+function deploymentOfTwoWorkers(foreign: () => boolean): Simulation {
   const site = new Simulation(1);
   site.history.faults = new FaultTimes();
   const feed = site.fleet.feed();
@@ -41,9 +41,9 @@
 
 test('a run on a worker whose entry cannot be read completes', async () => {
   let foreign = false;
-  const site = siteOf(() => foreign);
+  const site = deploymentOfTwoWorkers(() => foreign);
   const id = '00000000000000e1';
-  void site.submit(id, [{ tasks: 2, after: [], maxPerWorker: 1 }], LONG);
+  void site.submit(id, [{ tasks: 2, after: [], maxPerWorker: 1 }], LONG_RUN);
   await site.time.advance(4_000);
   foreign = true;
   await site.time.advance(9_000);
@@ -53,10 +53,10 @@
 
 test('a worker whose entry cannot be read gets no new runs', async () => {
   let foreign = true;
-  const site = siteOf(() => foreign);
+  const site = deploymentOfTwoWorkers(() => foreign);
   const id = '00000000000000e2';
   const spread = [{ tasks: 2, after: [], maxPerWorker: 1 }];
-  void site.submit(id, spread, LONG);
+  void site.submit(id, spread, LONG_RUN);
   await site.time.advance(6_000);
   assert.equal(site.history.runningOf(id), 1);
   foreign = false;
