--- a/packages/daemon/src/job-host/restarts-deployment.fixture.test.ts
+++ b/packages/daemon/src/job-host/restarts-deployment.fixture.test.ts
@@ -95,7 +95,7 @@
 }
 
 /** Returns the short jobs that are not done. */
-export function unfinished(site: Simulation): string[] {
+export function unfinishedShortJobs(site: Simulation): string[] {
   const all = Array.from({ length: SHORT_JOBS }, (_, at) => shortJob(at));
   return all.filter(id => !site.history.isDone(id));
 }
@@ -157,7 +157,7 @@
 /** Asserts that every guarantee was kept, all short jobs are done and the long-running tasks run. */
 export function assertNothingLost(site: Simulation, note: string): void {
   assert.deepEqual(site.history.check(), [], note);
-  assert.deepEqual(unfinished(site), [], note);
+  assert.deepEqual(unfinishedShortJobs(site), [], note);
   const running = site.history.runningOf(LONG_RUNNING_JOB);
   assert.equal(running, LONG_RUNNING_TASKS, note);
 }
