--- a/packages/bench/src/reference/metrics.ts
+++ b/packages/bench/src/reference/metrics.ts
@@ -3,7 +3,7 @@
 import {
   createJobMeters,
   registerJobGauges,
-  registerLinkUse,
+  registerLinkMetrics,
 } from '@paddlewind/daemon/job-host';
 import { startHostListServer, startLogServer } from '@paddlewind/stand-ins';
 import { pino } from 'pino';
@@ -50,7 +50,7 @@
     openJobs: () => 0,
     openRuns: () => 0,
   });
-  registerLinkUse(registry, [], () => ({ sent: 0, received: 0 }));
+  registerLinkMetrics(registry, [], () => ({ sent: 0, received: 0 }));
   return registry.metrics();
 }
 
--- a/packages/daemon/src/job-host/adviser.ts
+++ b/packages/daemon/src/job-host/adviser.ts
@@ -38,7 +38,7 @@
 
   private nextQuestion(input: PlanInput): AdviceRequest | undefined {
     const { state, workers, times, time } = input;
-    const jobsWithAdvice = [...state.open].filter(
+    const jobsWithAdvice = [...state.openJobs].filter(
       ({ spec }) => spec.terms.advice !== undefined,
     );
     for (const { step } of orderedCandidates(jobsWithAdvice, times, time)) {
--- a/packages/daemon/src/job-host/answers-from-replica.test.ts
+++ b/packages/daemon/src/job-host/answers-from-replica.test.ts
@@ -121,7 +121,7 @@
 test('a job whose only start was never carried out is counted as waiting', async () => {
   const site = await deploymentWithWaitingJobs(5);
   site.addWorker('w1');
-  site.fleet.refusesStarts = true;
+  site.fleet.rejectsStarts = true;
   await site.time.advance(3_000);
   for (const name of site.hosts.keys()) {
     await assertUnknownOrCorrect(site, name);
@@ -144,7 +144,9 @@
   }
   await site.time.advance(5_000);
   for (const { host } of site.hosts.values()) {
-    const waiting = ids.filter(id => site.history.runningOf(id) === 0).length;
+    const waiting = ids.filter(
+      id => site.history.countActiveRuns(id) === 0,
+    ).length;
     const pending = host.service.queueLength('checks');
     await site.time.advance(200);
     const length: number | undefined = await pending;
@@ -176,7 +178,7 @@
   const site = await deploymentWithWaitingJobs(6);
   await site.time.advance(15_000);
   // Only the leader's restatement of the jobs is left.
-  site.log.trimTo(4);
+  site.log.trimJournalAndInbox(4);
   const name = follower(site);
   site.kill(name);
   site.log.streamModes.set('journal', 'refusing');
@@ -225,7 +227,7 @@
   // The job finishes while the host is cut off from the log, and the records of that are dropped.
   site.addWorker('w1');
   await site.time.advance(4_000);
-  site.log.trimTo(site.log.recordsOf('journal').length);
+  site.log.trimJournalAndInbox(site.log.recordsOf('journal').length);
   await site.time.advance(12_000);
   site.log.hostModes.delete(name);
   await site.time.advance(6_000);
@@ -257,7 +259,7 @@
   await site.time.advance(2_000);
   const dropped = site.log.recordsOf('journal').length;
   await site.time.advance(12_000);
-  site.log.trimTo(dropped);
+  site.log.trimJournalAndInbox(dropped);
   site.log.hostStreamModes.clear();
   await site.time.advance(3_000);
   for (const other of site.hosts.keys()) {
@@ -289,7 +291,7 @@
   await site.time.advance(100);
   assert.deepEqual(await cancelled, { kind: 'recorded' });
   await site.time.advance(12_000);
-  site.log.trimTo(0);
+  site.log.trimJournalAndInbox(0);
   site.log.hostStreamModes.clear();
   await site.time.advance(3_000);
   const pending = service?.status(id);
--- a/packages/daemon/src/job-host/caller-server.ts
+++ b/packages/daemon/src/job-host/caller-server.ts
@@ -42,9 +42,9 @@
   readonly address: string;
   readonly maxBodyBytes: () => number;
   readonly handle: Handler;
-  readonly failed: (err: unknown) => void;
+  readonly onError: (err: unknown) => void;
   /** Called after each response with the time since the head of the request was read. */
-  readonly answered?: (method: string, status: number, span: Millis) => void;
+  readonly onAnswered?: (method: string, status: number, span: Millis) => void;
   /** Monotonic. */
   readonly clock: Clock;
 }
@@ -70,7 +70,7 @@
     const answer = (found: CallerAnswer, last: boolean): void => {
       send(res, found, last);
       const span = options.clock() - begunAt;
-      options.answered?.(req.method ?? '', found.status, span);
+      options.onAnswered?.(req.method ?? '', found.status, span);
     };
     try {
       const body = await readBody(req, options.maxBodyBytes());
@@ -80,7 +80,7 @@
           : await options.handle(toRequest(req, body));
       answer(found, closing);
     } catch (err) {
-      options.failed(err);
+      options.onError(err);
       answer({ status: 500 }, true);
     }
   }
--- a/packages/daemon/src/job-host/claims-read-late.test.ts
+++ b/packages/daemon/src/job-host/claims-read-late.test.ts
@@ -59,7 +59,7 @@
   for (const ends of [claimer, reader]) {
     ends.applyRecord({ kind: 'reached', worker: 'w' }, 1, 1_450);
     ends.applyRecord(delayedClaim, 2, 1_500);
-    const end = ends.endFor('w', 1);
+    const end = ends.leaseEndFor('w', 1);
     assert.ok(end >= 1_450 + TASK_LEASE_MS, `ended at ${end}`);
   }
 });
@@ -75,7 +75,7 @@
     3_300,
   );
   reader.applyRecord(delayedClaim, 2, 3_400);
-  const end = reader.endFor('w', 1);
+  const end = reader.leaseEndFor('w', 1);
   assert.ok(end >= 3_300 + MAX_LEASE_AFTER_LAST_RECORD_MS, `ended at ${end}`);
 });
 
@@ -87,7 +87,7 @@
   reader.applyRecord(claim(2), 2, 1_410);
   reader.applyRecord({ kind: 'reached', worker: 'w' }, 2, 1_500);
   reader.applyRecord(delayedClaim, 5, 1_600);
-  const end = reader.endFor('w', 2);
+  const end = reader.leaseEndFor('w', 2);
   assert.ok(end >= 1_500 + TASK_LEASE_MS, `ended at ${end}`);
 });
 
@@ -98,7 +98,7 @@
   // leader 5 hands over nothing.
   ends.noteGap();
   ends.applyRecord(claim(5), 5, 90_000);
-  const end = ends.endFor('w', 4);
+  const end = ends.leaseEndFor('w', 4);
   assert.ok(end >= 90_000 + TASK_LEASE_MS, `ended at ${end}`);
 });
 
@@ -139,7 +139,7 @@
     return call;
   };
   await settle(port.append('journal', [encodeRecord(claim(5))]));
-  log.trimTo(1);
+  log.trimJournalAndInbox(1);
   const replica = new Replica(testContext(time), port);
   for (const record of records) {
     await settle(port.append('journal', [encodeRecord(record)]));
--- a/packages/daemon/src/job-host/crashing-deployment.fixture.test.ts
+++ b/packages/daemon/src/job-host/crashing-deployment.fixture.test.ts
@@ -13,12 +13,12 @@
 /** Seeds of each scenario. */
 export const SEEDS = [1, 2, 3];
 /** How long the deployment is observed after such a job was submitted. */
-export const WATCHED_MS = 60_000;
+export const OBSERVATION_MS = 60_000;
 /** Maximum number of workers that a task may crash: three, and two further starts. */
 export const MAX_CRASHES = 5;
 /** Time from a crash until the worker is back. */
-export const REVIVAL_MS = 2_500;
-export const LONG_REVIVAL_MS = 6_000;
+export const WORKER_RESTART_MS = 2_500;
+export const LONG_WORKER_RESTART_MS = 6_000;
 /** A job of many short tasks. */
 export const SHORT_TASKS_JOB = '00000000000000f3';
 
@@ -39,7 +39,9 @@
 ): Promise<Simulation> {
   const site = new Simulation(
     seed,
-    revivalMs === undefined ? { keepsIds } : { revivalMs, keepsIds },
+    revivalMs === undefined
+      ? { keepsIds }
+      : { workerRestartMs: revivalMs, keepsIds },
   );
   site.history.faults = new FaultTimes();
   WORKERS.forEach(name => {
@@ -67,7 +69,7 @@
       void found.host.service.status(id).then(result => {
         if (result.kind !== 'unavailable') {
           const state = result.kind === 'known' ? result.status : result.kind;
-          site.history.told(id, askedAt, state);
+          site.history.recordStatus(id, askedAt, state);
         }
       });
     }
@@ -75,7 +77,7 @@
 }
 
 /** A job whose tasks crash their workers. */
-export interface Crasher {
+export interface CrashingJob {
   readonly steps: TestStep[];
   readonly script: TaskScript;
 }
@@ -84,7 +86,7 @@
 export function crashingJob(
   afterMs: Millis,
   step: Partial<TestStep> = {},
-): Crasher {
+): CrashingJob {
   return {
     steps: [{ tasks: 1, after: [], ...step }],
     script: { runMs: 6_000, failures: 0, crash: { afterMs } },
--- a/packages/daemon/src/job-host/crashing-shapes.test.ts
+++ b/packages/daemon/src/job-host/crashing-shapes.test.ts
@@ -7,10 +7,10 @@
 
 import {
   SEEDS,
-  WATCHED_MS,
+  OBSERVATION_MS,
   MAX_CRASHES,
-  REVIVAL_MS,
-  LONG_REVIVAL_MS,
+  WORKER_RESTART_MS,
+  LONG_WORKER_RESTART_MS,
   SHORT_TASKS_JOB,
   CRASHING_JOB,
   crashingJob,
@@ -19,7 +19,7 @@
   NEIGHBOUR_JOB,
   NEIGHBOUR_TASKS,
   deploymentWithNeighbours,
-  type Crasher,
+  type CrashingJob,
 } from './crashing-deployment.fixture.test.js';
 import type { Simulation } from './simulation.fixture.test.js';
 
@@ -28,7 +28,7 @@
 
 interface Variation {
   readonly name: string;
-  readonly crasher: Crasher;
+  readonly crasher: CrashingJob;
   readonly revivalMs?: number;
   /** Number of tasks of the job that crash their workers. */
   readonly crashingTasks?: number;
@@ -40,7 +40,7 @@
   {
     name: 'workers stay down for long',
     crasher: crashingJob(10),
-    revivalMs: LONG_REVIVAL_MS,
+    revivalMs: LONG_WORKER_RESTART_MS,
   },
   {
     name: 'leaders are killed',
@@ -93,13 +93,13 @@
 ): Promise<string[]> {
   const site = await deploymentWithNeighbours(
     seed,
-    shape.revivalMs ?? REVIVAL_MS,
+    shape.revivalMs ?? WORKER_RESTART_MS,
     keepsIds,
   );
   shape.runBeside?.(site);
   const { steps, script } = shape.crasher;
   void site.submit(CRASHING_JOB, steps, script);
-  await site.time.advance(WATCHED_MS);
+  await site.time.advance(OBSERVATION_MS);
   const { history } = site;
   const found = history
     .check()
@@ -115,8 +115,10 @@
   if (states.at(-1) !== 'failed') {
     found.push(`shown as ${states.join(', ')}`);
   }
-  if (history.runningOf(NEIGHBOUR_JOB) !== NEIGHBOUR_TASKS) {
-    found.push(`${history.runningOf(NEIGHBOUR_JOB)} long-running tasks run`);
+  if (history.countActiveRuns(NEIGHBOUR_JOB) !== NEIGHBOUR_TASKS) {
+    found.push(
+      `${history.countActiveRuns(NEIGHBOUR_JOB)} long-running tasks run`,
+    );
   }
   if (history.jobs.has(SHORT_TASKS_JOB) && !history.isDone(SHORT_TASKS_JOB)) {
     found.push('the short tasks are not done');
--- a/packages/daemon/src/job-host/crashing-tasks.test.ts
+++ b/packages/daemon/src/job-host/crashing-tasks.test.ts
@@ -12,10 +12,10 @@
 
 import {
   SEEDS,
-  WATCHED_MS,
+  OBSERVATION_MS,
   MAX_CRASHES,
-  REVIVAL_MS,
-  LONG_REVIVAL_MS,
+  WORKER_RESTART_MS,
+  LONG_WORKER_RESTART_MS,
   SHORT_TASKS_JOB,
   CRASHING_JOB,
   crashingJob,
@@ -37,13 +37,13 @@
     await crashAtRandom(site);
     await time.advance(RECOVERY_MS);
     assert.deepEqual(history.check(), []);
-    assert.equal(history.runningOf(NEIGHBOUR_JOB), NEIGHBOUR_TASKS);
+    assert.equal(history.countActiveRuns(NEIGHBOUR_JOB), NEIGHBOUR_TASKS);
   }
 });
 
 test('only the crashing task is abandoned, although others arrived and were lost with it', async () => {
   for (const seed of SEEDS) {
-    const site = await deploymentWithNeighbours(seed, REVIVAL_MS);
+    const site = await deploymentWithNeighbours(seed, WORKER_RESTART_MS);
     const { history } = site;
     const others = ['00000000000000e1', '00000000000000e2', '00000000000000e3'];
     const { steps, script } = crashingJob(10);
@@ -52,24 +52,24 @@
       void site.submit(id, steps, healthy);
     }
     void site.submit(CRASHING_JOB, steps, script);
-    await site.time.advance(WATCHED_MS);
+    await site.time.advance(OBSERVATION_MS);
     assert.deepEqual(history.check(), []);
     assert.ok(history.reportedStates(CRASHING_JOB).includes('failed'));
     for (const id of others) {
       assert.ok(history.isDone(id), `seed ${seed}: ${id} is not done`);
     }
-    assert.equal(history.runningOf(NEIGHBOUR_JOB), NEIGHBOUR_TASKS);
+    assert.equal(history.countActiveRuns(NEIGHBOUR_JOB), NEIGHBOUR_TASKS);
   }
 });
 
 test('few neighbours are lost with a task that crashes its workers, however full these are', async () => {
   for (const seed of SEEDS) {
-    const site = await deploymentWithNeighbours(seed, REVIVAL_MS);
+    const site = await deploymentWithNeighbours(seed, WORKER_RESTART_MS);
     const crowd = [{ tasks: 80, after: [] }];
     void site.submit(SHORT_TASKS_JOB, crowd, { runMs: 2_000, failures: 0 });
     const { steps, script } = crashingJob(10);
     void site.submit(CRASHING_JOB, steps, script);
-    await site.time.advance(WATCHED_MS);
+    await site.time.advance(OBSERVATION_MS);
     assert.deepEqual(site.history.check(), []);
     // Three neighbours at each of its first two workers, which have four cores; later workers are reserved
     // for it.
@@ -79,16 +79,16 @@
 });
 
 test('callers of all hosts get the reason for the failure, also from hosts that read the summary', async () => {
-  const site = await deploymentWithNeighbours(1, REVIVAL_MS);
+  const site = await deploymentWithNeighbours(1, WORKER_RESTART_MS);
   for (let at = 1; at <= 8; at += 1) {
     site.startHost(`s${at}`, 0.5);
   }
-  await site.time.advance(REVIVAL_MS);
+  await site.time.advance(WORKER_RESTART_MS);
   const { steps, script } = crashingJob(10);
   void site.submit(CRASHING_JOB, steps, script);
   await site.time.until(
     () => site.history.firstReportedAt(CRASHING_JOB, 'failed') < Infinity,
-    WATCHED_MS,
+    OBSERVATION_MS,
   );
   const asked = [...site.hosts.values()].map(({ host }) =>
     host.service.status(CRASHING_JOB),
@@ -102,19 +102,19 @@
 
 test('losses are still counted after the journal was trimmed and all hosts were replaced', async () => {
   for (const seed of SEEDS) {
-    const site = await deploymentWithNeighbours(seed, LONG_REVIVAL_MS);
+    const site = await deploymentWithNeighbours(seed, LONG_WORKER_RESTART_MS);
     const { steps, script } = crashingJob(10);
     void site.submit(CRASHING_JOB, steps, script);
-    await site.time.until(() => restatedWithLoss(site), WATCHED_MS);
+    await site.time.until(() => restatedWithLoss(site), OBSERVATION_MS);
     const kept = [CRASHING_JOB, NEIGHBOUR_JOB].map(id =>
       lastRestated(site, id),
     );
-    site.log.trimTo(Math.min(...kept));
+    site.log.trimJournalAndInbox(Math.min(...kept));
     for (const name of [...site.hosts.keys()]) {
       site.kill(name);
       site.startHost(name);
     }
-    await site.time.advance(WATCHED_MS);
+    await site.time.advance(OBSERVATION_MS);
     const { history } = site;
     assert.deepEqual(history.check(), []);
     assert.ok(history.reportedStates(CRASHING_JOB).includes('failed'));
@@ -146,20 +146,20 @@
 
 test('no task of a job starts after it is cancelled between two crashes', async () => {
   for (const seed of SEEDS) {
-    const site = await deploymentWithNeighbours(seed, REVIVAL_MS);
+    const site = await deploymentWithNeighbours(seed, WORKER_RESTART_MS);
     const { steps, script } = crashingJob(10);
     const { history, time } = site;
     void site.submit(CRASHING_JOB, steps, script);
     await time.until(
       () => history.workersCrashedBy(CRASHING_JOB) === 2,
-      WATCHED_MS,
+      OBSERVATION_MS,
     );
     void site.cancel(CRASHING_JOB);
-    await time.advance(WATCHED_MS);
+    await time.advance(OBSERVATION_MS);
     assert.deepEqual(history.check(), []);
     assert.equal(history.workersCrashedBy(CRASHING_JOB), 2);
     assert.equal(history.firstReportedAt(CRASHING_JOB, 'failed'), Infinity);
-    assert.equal(history.runningOf(NEIGHBOUR_JOB), NEIGHBOUR_TASKS);
+    assert.equal(history.countActiveRuns(NEIGHBOUR_JOB), NEIGHBOUR_TASKS);
   }
 });
 
@@ -170,7 +170,7 @@
   spreadMs = 5_000,
 ): Promise<void> {
   const { fleet, time, random } = site;
-  const endsAt = time.clock() + 2 * WATCHED_MS;
+  const endsAt = time.clock() + 2 * OBSERVATION_MS;
   while (time.clock() < endsAt) {
     const name = WORKERS[Math.floor(random() * WORKERS.length)] ?? '';
     if (fleet.at(name) !== undefined) {
--- a/packages/daemon/src/job-host/fenced-leader.test.ts
+++ b/packages/daemon/src/job-host/fenced-leader.test.ts
@@ -29,7 +29,7 @@
     assert.equal(site.hosts.get(first)?.host.gauges.epoch(), 0);
     site.log.hostModes.clear();
     await site.time.advance(10_000);
-    assert.equal(site.history.runningOf(job), 2);
+    assert.equal(site.history.countActiveRuns(job), 2);
     assert.deepEqual(site.history.check(), []);
   }
 });
--- a/packages/daemon/src/job-host/fleet-account.ts
+++ b/packages/daemon/src/job-host/fleet-account.ts
@@ -1,6 +1,6 @@
 /** Reports how the fleet's processors are used and why tasks wait, while this host leads. */
 import {
-  accountFleet,
+  snapshotFleet,
   type PlanInput,
   type WorkerInfo,
 } from '@paddlewind/domain/jobs';
@@ -28,7 +28,7 @@
     if (ended()) {
       return;
     }
-    const account = accountFleet({
+    const account = snapshotFleet({
       plan: planInput(),
       registered: registeredWorkers(),
     });
--- a/packages/daemon/src/job-host/handed-over-leases.test.ts
+++ b/packages/daemon/src/job-host/handed-over-leases.test.ts
@@ -77,13 +77,13 @@
 /** Crashes w1 together with all tasks. */
 function crash(site: Simulation): void {
   site.fleet.crash('w1');
-  assert.equal(site.history.runningOf(LONG_RUNNING_JOB), 0);
+  assert.equal(site.history.countActiveRuns(LONG_RUNNING_JOB), 0);
 }
 
 /** Cuts w1 off from `hosts`; it continues under its lease. */
 function cutOff(site: Simulation, hosts: readonly string[]): void {
   for (const host of hosts) {
-    site.fleet.cuts.add(`${host}>w1`);
+    site.fleet.brokenLinks.add(`${host}>w1`);
   }
 }
 
@@ -135,7 +135,7 @@
 async function timeUntilAllRun(site: Simulation): Promise<Millis> {
   const from = site.time.clock();
   const back = (): boolean =>
-    site.history.runningOf(LONG_RUNNING_JOB) === LONG_RUNNING_TASKS;
+    site.history.countActiveRuns(LONG_RUNNING_JOB) === LONG_RUNNING_TASKS;
   await site.time.until(back, MAX_UNAVAILABLE_MS);
   return Math.round(site.time.clock() - from);
 }
@@ -159,7 +159,10 @@
 /** Fails if a task runs in two places, or does not run in the end. */
 async function assertNoneTwice(site: Simulation): Promise<void> {
   await site.time.advance(RECOVERY_MS);
-  assert.equal(site.history.runningOf(LONG_RUNNING_JOB), LONG_RUNNING_TASKS);
+  assert.equal(
+    site.history.countActiveRuns(LONG_RUNNING_JOB),
+    LONG_RUNNING_TASKS,
+  );
   assert.deepEqual(site.history.check(), []);
 }
 
@@ -290,7 +293,7 @@
       const name = site.leader();
       cutOff(site, HOSTS);
       await site.time.advance(UNRESPONSIVE_MS);
-      site.fleet.cuts.delete(`${name}>w1`);
+      site.fleet.brokenLinks.delete(`${name}>w1`);
       await site.time.advance(lead);
       site.log.hostModes.set(name, 'silent');
       await assertNoneTwice(site);
--- a/packages/daemon/src/job-host/inbox-sender.test.ts
+++ b/packages/daemon/src/job-host/inbox-sender.test.ts
@@ -13,7 +13,7 @@
 
 import type { CallerView } from './caller-view.js';
 import { testContext } from './context.fixture.test.js';
-import { AppendBatcher } from './group-append.js';
+import { AppendBatcher } from './append-batcher.js';
 import { InboxSender } from './inbox-sender.js';
 import { jobOf, Simulation } from './simulation.fixture.test.js';
 
--- a/packages/daemon/src/job-host/index.ts
+++ b/packages/daemon/src/job-host/index.ts
@@ -5,7 +5,7 @@
 export * from './loop-delay.js';
 export * from './meters.js';
 export * from './start-job-host.js';
-export { registerLinkMetrics as registerLinkUse } from './link-meters.js';
+export { registerLinkMetrics } from './link-meters.js';
 export { linkSharesOf } from './relay/link-shares.js';
 export { startAdmin } from '../admin/server.js';
 export { splitAddress } from '../listening.js';
--- a/packages/daemon/src/job-host/planted-faults.test.ts
+++ b/packages/daemon/src/job-host/injected-faults.test.ts
@@ -107,7 +107,7 @@
 
 test('workers that refuse all starts leave long-running tasks without a run', async () => {
   const site = faultyDeployment(7);
-  site.fleet.refusesStarts = true;
+  site.fleet.rejectsStarts = true;
   void site.submit(ID, [{ tasks: 1, after: [], lasting: true }], ENDLESS);
   await site.time.advance(12_000);
   assert.deepEqual(brokenGuarantees(site), ['lasting_runs']);
--- a/packages/daemon/src/job-host/job-host.fuzz.test.ts
+++ b/packages/daemon/src/job-host/job-host.fuzz.test.ts
@@ -61,8 +61,8 @@
       return;
     case 'cut': {
       const pair = `${found.host}>${found.worker}`;
-      fleet.cuts.add(pair);
-      time.schedule(found.span, () => fleet.cuts.delete(pair));
+      fleet.brokenLinks.add(pair);
+      time.schedule(found.span, () => fleet.brokenLinks.delete(pair));
       return;
     }
     case 'crash':
@@ -156,7 +156,7 @@
           if (result.kind !== 'unavailable') {
             const { kind } = result;
             const state = kind === 'known' ? result.status : kind;
-            site.history.told(id, askedAt, state);
+            site.history.recordStatus(id, askedAt, state);
           }
         });
       }
--- a/packages/daemon/src/job-host/job-host.test.ts
+++ b/packages/daemon/src/job-host/job-host.test.ts
@@ -270,7 +270,7 @@
   await site.time.advance(13_000);
   const dropped = site.log.recordsOf('journal').length;
   await site.time.advance(11_000);
-  site.log.trimTo(dropped);
+  site.log.trimJournalAndInbox(dropped);
   restartAll(site);
   await site.time.advance(60_000);
   assert.deepEqual(site.history.check(), []);
@@ -291,7 +291,7 @@
   assert.ok(site.history.isDone(id));
   const dropped = site.log.recordsOf('journal').length;
   await site.time.advance(11_000);
-  site.log.trimTo(dropped);
+  site.log.trimJournalAndInbox(dropped);
   restartAll(site);
   await site.time.advance(4_000);
   const pending = site.hosts.get('h2')?.host.service.status(id);
@@ -316,7 +316,7 @@
     site.kill(name);
   }
   await site.time.advance(1_000);
-  site.log.trimTo(site.log.recordsOf('journal').length);
+  site.log.trimJournalAndInbox(site.log.recordsOf('journal').length);
   site.startHost('h1');
   await site.time.advance(5_000);
   assert.equal(site.leader(), 'h1');
@@ -419,7 +419,7 @@
   site.freeze(first, 9_000);
   // The next leader can't reach the worker and abandons its runs 9.2 s after its claim.
   for (const name of names.filter(other => other !== first)) {
-    site.fleet.cuts.add(`${name}>w1`);
+    site.fleet.brokenLinks.add(`${name}>w1`);
   }
   site.addWorker('w2');
   await site.time.advance(30_000);
@@ -440,9 +440,9 @@
   });
   await site.time.advance(2_000);
   // The worker's registry entry stays, since it can reach the store.
-  names.forEach(name => site.fleet.cuts.add(`${name}>w1`));
+  names.forEach(name => site.fleet.brokenLinks.add(`${name}>w1`));
   await site.time.advance(12_000);
-  site.fleet.cuts.clear();
+  site.fleet.brokenLinks.clear();
   await site.time.advance(10_000);
   assert.deepEqual(site.history.check(), []);
   assert.ok(site.history.isDone(id));
@@ -454,7 +454,7 @@
   site.addWorker('w2');
   site.startHost('h1');
   await site.time.advance(2_500);
-  site.fleet.cuts.add('h1>w1');
+  site.fleet.brokenLinks.add('h1>w1');
   void site.submit('0000000000000027', [{ tasks: 8, after: [] }], SHORT_RUN);
   await site.time.advance(1_800);
   const done = site.log
--- a/packages/daemon/src/job-host/job-service.ts
+++ b/packages/daemon/src/job-host/job-service.ts
@@ -1,7 +1,7 @@
 /** The operations that a host offers to callers: submit, status, cancel and queue length. */
 import type { Instant } from '@paddlewind/domain';
 import {
-  askedSizeOf,
+  estimatedSizeOf,
   encodeRecord,
   type InboxRecord,
   type JobSpec,
@@ -126,5 +126,5 @@
 
 /** Returns the fields that the log line shows for a submitted job. */
 function logFieldsOf(job: JobSpec): Record<string, unknown> {
-  return { queue: job.terms.queue, ...askedSizeOf(job) };
+  return { queue: job.terms.queue, ...estimatedSizeOf(job) };
 }
--- a/packages/daemon/src/job-host/late-claim-horizon.test.ts
+++ b/packages/daemon/src/job-host/late-claim-horizon.test.ts
@@ -18,7 +18,7 @@
     for (const host of HOSTS.filter(other => other !== name)) {
       // Claims get no answer and are carried out at once or up to 6 s later.
       site.log.hostStreamModes.set(`${host} journal`, 'losing');
-      site.fleet.cuts.add(`${host}>w1`);
+      site.fleet.brokenLinks.add(`${host}>w1`);
     }
     site.freeze(name, 1_450);
     const claims = (): number =>
--- a/packages/daemon/src/job-host/late-claim-twice.test.ts
+++ b/packages/daemon/src/job-host/late-claim-twice.test.ts
@@ -37,13 +37,13 @@
       const site = await deploymentWithLongRunningJob(seed, HOSTS);
       const name = site.leader();
       for (const host of HOSTS) {
-        site.fleet.cuts.add(`${host}>w1`);
+        site.fleet.brokenLinks.add(`${host}>w1`);
       }
       await site.time.advance(silent);
       site.log.appendMs = APPEND_MS;
       void site.hosts.get(name)?.host.handOver(HANDOVER_TIMEOUT_MS);
       site.time.schedule(lead, () => {
-        site.fleet.cuts.delete(`${name}>w1`);
+        site.fleet.brokenLinks.delete(`${name}>w1`);
       });
       await site.time.until(() => claims(site) > 1, 5_000);
       // This leader does not see the claim and continues until its own leases end.
@@ -51,7 +51,7 @@
       site.log.appendMs = 0;
       await site.time.advance(RECOVERY_MS);
       assert.equal(
-        site.history.runningOf(LONG_RUNNING_JOB),
+        site.history.countActiveRuns(LONG_RUNNING_JOB),
         LONG_RUNNING_TASKS,
       );
       const found = site.history.check();
--- a/packages/daemon/src/job-host/leader-leases.ts
+++ b/packages/daemon/src/job-host/leader-leases.ts
@@ -69,7 +69,7 @@
   report(): LeaseHandover | undefined {
     const { replica, claim, ctx, fleet } = this.options;
     const now = ctx.clock();
-    const handed = replica.handedLeases(
+    const handed = replica.leasesToHandOver(
       claim.epoch,
       this.maxLeaseAfterRecordMs(),
     );
--- a/packages/daemon/src/job-host/leader-log.ts
+++ b/packages/daemon/src/job-host/leader-log.ts
@@ -1,7 +1,7 @@
 /** Log lines of a leader about runs and jobs. */
 import {
   workersLostUnder,
-  objectiveOf,
+  objectiveMsOf,
   refOf,
   statusOf,
   taskName,
@@ -79,7 +79,7 @@
       queue: job.spec.terms.queue,
       status: statusOf(job),
       tookMs: Math.round(tookMs),
-      objectiveMs: Math.round(objectiveOf(occurrence, times)),
+      objectiveMs: Math.round(objectiveMsOf(occurrence, times)),
       tasks: tasks.length,
       runs: tasks.reduce((sum, { lastRun }) => sum + lastRun, 0),
       coreMs: Math.round(expectedWorkOf(occurrence, times)),
--- a/packages/daemon/src/job-host/leader-records.ts
+++ b/packages/daemon/src/job-host/leader-records.ts
@@ -63,7 +63,7 @@
     health.noteFailure(worker, task, now);
   }
   if (how === 'done' && progress !== undefined && task.checkpoint === '') {
-    times.learn(task.step, now - progress.since);
+    times.recordRun(task.step, now - progress.since);
   }
 }
 
--- a/packages/daemon/src/job-host/leader.ts
+++ b/packages/daemon/src/job-host/leader.ts
@@ -3,7 +3,7 @@
 import {
   AdviceTickets,
   createRunTimes,
-  EMPTY_ACCOUNT,
+  EMPTY_FLEET_SNAPSHOT,
   Interference,
   planSpeculativeCopies,
   planStarts,
@@ -83,8 +83,8 @@
   constructor(private readonly options: LeaderOptions) {
     const { ctx, replica, claim } = options;
     this.state = replica.state;
-    const earlier = this.state.learnt;
-    this.times = createRunTimes(earlier?.learnt.runTimes);
+    const earlier = this.state.learnedEstimates;
+    this.times = createRunTimes(earlier?.estimates.runTimes);
     this.interference = new Interference(earlier);
     this.wakeSignal = new WakeSignal(ctx.schedule);
     this.adviser = new Adviser(
@@ -308,7 +308,7 @@
         this.recordLearned();
         learnedAt = now;
       }
-      const cut = this.summary.cut();
+      const cut = this.summary.takeChanges();
       if (!this.decisions.isEmpty) {
         if (!(await this.decisions.write())) {
           this.resign();
@@ -364,7 +364,7 @@
       time: { now: ctx.clock(), nowWall: ctx.wallClock() },
       leadsSince: this.options.claim.wonAt,
       maxStarts: this.startWindow.available(starts.maxStarts),
-      isLinkBusy: starts.isBusy,
+      isLinkBusy: starts.hasWaitingStarts,
       movingTasks: this.supervisor.evacuatingTasks(),
     };
   }
@@ -424,7 +424,7 @@
     }
     this.hasEnded = true;
     this.runs.close();
-    this.options.ctx.meters.accounted(EMPTY_ACCOUNT);
+    this.options.ctx.meters.accounted(EMPTY_FLEET_SNAPSHOT);
     this.decisions.close();
     this.summary.close();
     this.options.starts.close();
--- a/packages/daemon/src/job-host/leadership.ts
+++ b/packages/daemon/src/job-host/leadership.ts
@@ -49,7 +49,7 @@
   readonly ctx: HostContext;
   readonly jobLog: JobLog;
   readonly replica: Replica;
-  readonly duty: HostRole;
+  readonly role: HostRole;
   /** Processors of this host. */
   readonly cores: number;
   readonly stopped: () => boolean;
@@ -60,7 +60,7 @@
   ctx,
   jobLog,
   replica,
-  duty,
+  role: duty,
   cores,
   stopped,
 }: CandidateOptions): Promise<WonClaim | undefined> {
--- a/packages/daemon/src/job-host/lease-ends.test.ts
+++ b/packages/daemon/src/job-host/lease-ends.test.ts
@@ -59,13 +59,13 @@
   applyLeader(ends, 1, 100);
   ends.applyRecord(LEARNED, 1, 900);
   applyLeader(ends, 2, 2_400, { epochs: [[1, 9_000]], workers: [] });
-  assert.equal(ends.endFor('w', 1), 900 + MAX_LEASE_MS);
+  assert.equal(ends.leaseEndFor('w', 1), 900 + MAX_LEASE_MS);
 });
 
 test('leases of the newest leader have no end', () => {
   const ends = endsFromBeginning();
   applyLeader(ends, 1, 100);
-  assert.equal(ends.endFor('w', 1), Infinity);
+  assert.equal(ends.leaseEndFor('w', 1), Infinity);
 });
 
 test('leases of a leader that releases the lead end with those that it granted last', () => {
@@ -74,7 +74,7 @@
   ends.applyRecord({ kind: 'release', heldMs: 5_200 }, 1, 1_000);
   ends.applyRecord(LEARNED, 1, 1_400);
   applyLeader(ends, 2, 1_500, { epochs: [[1, 9_000]], workers: [] });
-  assert.equal(ends.endFor('w', 1), 6_200);
+  assert.equal(ends.leaseEndFor('w', 1), 6_200);
 });
 
 test('a release without a time ends no lease sooner', () => {
@@ -83,7 +83,7 @@
   ends.applyRecord({ kind: 'release', heldMs: undefined }, 1, 1_000);
   ends.applyRecord(LEARNED, 1, 1_400);
   applyLeader(ends, 2, 1_500, { epochs: [[1, 9_000]], workers: [] });
-  assert.equal(ends.endFor('w', 1), 1_400 + MAX_LEASE_MS);
+  assert.equal(ends.leaseEndFor('w', 1), 1_400 + MAX_LEASE_MS);
 });
 
 test('a restarted host takes over the remaining times', () => {
@@ -96,7 +96,7 @@
   restarted.applyRecord(claim(2), 2, 10_000);
   restarted.applyRecord(heartbeat(2, handed), 2, 10_000);
   const left = 100.7 + MAX_LEASE_MS - 3_000;
-  const end = restarted.endFor('w', 1);
+  const end = restarted.leaseEndFor('w', 1);
   assert.ok(end >= 10_000 + left && end < 10_001 + left, String(end));
 });
 
@@ -104,7 +104,7 @@
   const ends = endsFromBeginning();
   applyLeader(ends, 1, 100);
   applyLeader(ends, 2, 200, { epochs: [[1, 20_000]], workers: [] });
-  assert.equal(ends.endFor('w', 1), 100 + MAX_LEASE_MS);
+  assert.equal(ends.leaseEndFor('w', 1), 100 + MAX_LEASE_MS);
 });
 
 test('reported ends are never too early, however late they are read', () => {
@@ -118,7 +118,7 @@
         2,
         reportedAt + delayMs,
       );
-      assert.ok(restarted.endFor('w', 1) >= running.endFor('w', 1));
+      assert.ok(restarted.leaseEndFor('w', 1) >= running.leaseEndFor('w', 1));
     }
   }
 });
@@ -126,8 +126,8 @@
 test('leases of leaders that are not reported have expired', () => {
   const ends = new LeaseEnds();
   applyLeader(ends, 7, 1_000, { epochs: [[6, 3_000]], workers: [] });
-  assert.equal(ends.endFor('w', 6), 4_000);
-  assert.ok(ends.endFor('w', 5) <= 1_000);
+  assert.equal(ends.leaseEndFor('w', 6), 4_000);
+  assert.ok(ends.leaseEndFor('w', 5) <= 1_000);
 });
 
 test('a host that may not know all leaders hands nothing over', () => {
@@ -136,7 +136,7 @@
   ends.applyRecord(claim(7), 7, 1_000);
   assert.equal(ends.leasesToHandOver(8, 0, 1_000), undefined);
   assert.equal(
-    ends.endFor('w', 6),
+    ends.leaseEndFor('w', 6),
     1_000 + DEFAULT_MAX_LEASE_AFTER_LAST_RECORD_MS,
   );
   assert.ok(
@@ -149,7 +149,7 @@
   ends.applyRecord(claim(1), 1, 100);
   applyLeader(ends, 2, 200, { epochs: [[1, 20_000]], workers: [] });
   assert.equal(
-    ends.endFor('w', 1),
+    ends.leaseEndFor('w', 1),
     100 + DEFAULT_MAX_LEASE_AFTER_LAST_RECORD_MS,
   );
 });
@@ -158,7 +158,7 @@
   const ends = endsFromBeginning();
   applyLeader(ends, 1, 100);
   ends.applyRecord(claim(2), 2, 200);
-  assert.equal(ends.endFor('w', 1), 100 + MAX_LEASE_MS);
+  assert.equal(ends.leaseEndFor('w', 1), 100 + MAX_LEASE_MS);
 });
 
 test('the lease of an unresponsive worker ends as reported, whoever leads next', () => {
@@ -167,8 +167,8 @@
   const workers = [['w', 3_000]] as const;
   ends.applyRecord(heartbeat(1, { epochs: [[1, 7_700]], workers }), 1, 1_000);
   applyLeader(ends, 2, 2_000, { epochs: [[1, 7_700]], workers });
-  assert.equal(ends.endFor('w', 1), 4_000);
-  assert.equal(ends.endFor('v', 1), 8_700);
+  assert.equal(ends.leaseEndFor('w', 1), 4_000);
+  assert.equal(ends.leaseEndFor('v', 1), 8_700);
 });
 
 test('a worker that was reached since is no longer unresponsive', () => {
@@ -178,7 +178,7 @@
   ends.applyRecord(heartbeat(1, { epochs: [], workers }), 1, 1_000);
   ends.applyRecord({ kind: 'reached', worker: 'w' }, 1, 1_500);
   applyLeader(ends, 2, 1_600, { epochs: [[1, 9_000]], workers: [] });
-  assert.equal(ends.endFor('w', 1), 1_500 + MAX_LEASE_MS);
+  assert.equal(ends.leaseEndFor('w', 1), 1_500 + MAX_LEASE_MS);
 });
 
 test('a worker that the leader no longer reports answers it', () => {
@@ -188,7 +188,7 @@
   ends.applyRecord(heartbeat(1, { epochs: [], workers }), 1, 1_000);
   ends.applyRecord(heartbeat(1, NOBODY), 1, 2_000);
   applyLeader(ends, 2, 2_100, { epochs: [[1, 9_000]], workers: [] });
-  assert.equal(ends.endFor('w', 1), 2_000 + MAX_LEASE_MS);
+  assert.equal(ends.leaseEndFor('w', 1), 2_000 + MAX_LEASE_MS);
 });
 
 test('reading the journal again changes nothing', () => {
@@ -198,8 +198,8 @@
   applyLeader(ends, 3, 300, { epochs: [[2, 9_700]], workers: [] });
   applyLeader(ends, 1, 9_000);
   applyLeader(ends, 2, 9_000);
-  assert.equal(ends.endFor('w', 2), 200 + MAX_LEASE_MS);
-  assert.ok(ends.endFor('w', 1) <= 300);
+  assert.equal(ends.leaseEndFor('w', 2), 200 + MAX_LEASE_MS);
+  assert.ok(ends.leaseEndFor('w', 1) <= 300);
 });
 
 test('ends are reported in whole milliseconds, never too early', () => {
@@ -226,5 +226,5 @@
   const claimed = ends.leasesToHandOver(2, MAX_LEASE_MS, 3_000);
   assert.deepEqual(claimed?.workers, [['w', 0]]);
   applyLeader(ends, 2, 3_000, claimed);
-  assert.equal(ends.endFor('w', 1), 1_500);
+  assert.equal(ends.leaseEndFor('w', 1), 1_500);
 });
--- a/packages/daemon/src/job-host/lease-ends.ts
+++ b/packages/daemon/src/job-host/lease-ends.ts
@@ -91,7 +91,7 @@
    * `reachedIn` is the epoch of the last leader that reached the worker, or undefined if unknown. Returns
    * infinity if that is the newest epoch.
    */
-  endFor(worker: string, reachedIn: number | undefined): Instant {
+  leaseEndFor(worker: string, reachedIn: number | undefined): Instant {
     if (reachedIn === undefined) {
       return this.latestEnd();
     }
--- a/packages/daemon/src/job-host/lease.ts
+++ b/packages/daemon/src/job-host/lease.ts
@@ -61,7 +61,7 @@
   }
 
   /** Whether the lease has certainly expired. */
-  hasLapsed(now: Instant): boolean {
+  hasExpired(now: Instant): boolean {
     return now > this.endsBy;
   }
 }
--- a/packages/daemon/src/job-host/leaving-log.test.ts
+++ b/packages/daemon/src/job-host/leaving-log.test.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import type { Run, StayReason } from '@paddlewind/domain/jobs';
+import type { Run, NotMovedReason } from '@paddlewind/domain/jobs';
 import { pino } from 'pino';
 
 import { LeavingLog } from './leaving-log.js';
 
 /** Logs rounds in which runs on worker `w` stay for the given reasons; returns the contents of the lines. */
-function linesOf(rounds: readonly (readonly StayReason[])[]): unknown[] {
+function linesOf(rounds: readonly (readonly NotMovedReason[])[]): unknown[] {
   const lines: unknown[] = [];
   const write = (line: string): void => {
     const { worker, why } = JSON.parse(line) as Record<string, unknown>;
@@ -28,7 +28,7 @@
 });
 
 test('logs again only after a change', () => {
-  const full: StayReason[] = ['no_room'];
+  const full: NotMovedReason[] = ['no_room'];
   const rounds = [full, full, ['stopping'], ['stopping'], [], [], full];
-  assert.equal(linesOf(rounds as StayReason[][]).length, 3);
+  assert.equal(linesOf(rounds as NotMovedReason[][]).length, 3);
 });
--- a/packages/daemon/src/job-host/leaving-log.ts
+++ b/packages/daemon/src/job-host/leaving-log.ts
@@ -1,10 +1,10 @@
 /** Logs which long-running tasks remain on workers that are about to leave, and why. */
-import type { Run, StayReason } from '@paddlewind/domain/jobs';
+import type { Run, NotMovedReason } from '@paddlewind/domain/jobs';
 
 import type { HostContext } from './context.js';
 
 /** Numbers of long-running tasks on one worker, by the reason why they remain there. */
-type ReasonCounts = Partial<Record<StayReason, number>>;
+type ReasonCounts = Partial<Record<NotMovedReason, number>>;
 
 /** Logs a line for each worker whose numbers have changed, which limits the lines to a few per task. */
 export class LeavingLog {
@@ -14,7 +14,7 @@
   constructor(private readonly log: HostContext['log']) {}
 
   /** Logs the tasks that remain after a planning round. */
-  logChanges(stay: ReadonlyMap<Run, StayReason>): void {
+  logChanges(stay: ReadonlyMap<Run, NotMovedReason>): void {
     const logged = new Map<string, string>();
     for (const [worker, why] of countByWorker(stay)) {
       const text = JSON.stringify(why);
@@ -31,7 +31,7 @@
 }
 
 function countByWorker(
-  stay: ReadonlyMap<Run, StayReason>,
+  stay: ReadonlyMap<Run, NotMovedReason>,
 ): Map<string, ReasonCounts> {
   const found = new Map<string, ReasonCounts>();
   for (const [{ worker }, reason] of stay) {
--- a/packages/daemon/src/job-host/leaving-workers.test.ts
+++ b/packages/daemon/src/job-host/leaving-workers.test.ts
@@ -28,14 +28,14 @@
   }
   void site.submit(ID, [LONG_RUNNING], ENDLESS);
   await site.time.advance(3_500);
-  assert.equal(site.history.runningOf(ID), 4);
+  assert.equal(site.history.countActiveRuns(ID), 4);
   return site;
 }
 
 /** Advances until all four tasks run; fails if that takes longer than `withinMs`. */
 async function assertAllRun(site: Simulation, withinMs: Millis): Promise<void> {
   const endBy = site.time.clock() + withinMs;
-  while (site.history.runningOf(ID) < 4) {
+  while (site.history.countActiveRuns(ID) < 4) {
     assert.ok(site.time.clock() < endBy, 'a long-running task does not run');
     await site.time.advance(50);
   }
@@ -96,7 +96,7 @@
   }
   site.fleet.announceLeave('w1');
   await site.time.advance(6_000);
-  assert.equal(site.history.runningOf(ID), 4);
+  assert.equal(site.history.countActiveRuns(ID), 4);
 });
 
 test('only as many long-running tasks move off a worker as there is capacity elsewhere', async () => {
@@ -105,15 +105,15 @@
   const other = '00000000000000f2';
   void site.submit(other, [{ ...LONG_RUNNING, tasks: 2 }], ENDLESS);
   await site.time.advance(2_000);
-  assert.equal(site.history.runningOf(other), 2);
+  assert.equal(site.history.countActiveRuns(other), 2);
   site.fleet.announceLeave('w1');
   await site.time.advance(1_500);
   for (let at = 0; at < 4_000; at += 50) {
-    assert.equal(site.history.runningOf(ID), 4);
+    assert.equal(site.history.countActiveRuns(ID), 4);
     await site.time.advance(50);
   }
   site.fleet.crash('w1');
-  assert.equal(site.history.runningOf(ID), 2);
+  assert.equal(site.history.countActiveRuns(ID), 2);
 });
 
 for (let delay = 0; delay <= 480; delay += 80) {
@@ -125,7 +125,7 @@
     const other = '00000000000000f3';
     void site.submit(other, [{ ...LONG_RUNNING, lasting: false }], ENDLESS);
     await site.time.advance(5_000);
-    assert.equal(site.history.runningOf(ID), 4);
+    assert.equal(site.history.countActiveRuns(ID), 4);
   });
 }
 
@@ -190,7 +190,7 @@
   site.fleet.crash('w3');
   void site.submit(other, [LONG_RUNNING], ENDLESS);
   await site.time.advance(1_000);
-  assert.equal(site.history.runningOf(other), 4);
+  assert.equal(site.history.countActiveRuns(other), 4);
   // Those of `other` are on the second worker, which leaves first.
   site.fleet.announceLeave('w2');
   await site.time.advance(900);
@@ -199,5 +199,5 @@
   site.addWorker('w4');
   await site.time.advance(2_000);
   site.fleet.crash('w2');
-  assert.equal(site.history.runningOf(other), 4);
+  assert.equal(site.history.countActiveRuns(other), 4);
 });
--- a/packages/daemon/src/job-host/long-running-deployment.fixture.test.ts
+++ b/packages/daemon/src/job-host/long-running-deployment.fixture.test.ts
@@ -37,6 +37,9 @@
   const script = { runMs: 10_000_000, failures: 0 };
   void site.submit(LONG_RUNNING_JOB, [step], script);
   await site.time.advance(settleMs);
-  assert.equal(site.history.runningOf(LONG_RUNNING_JOB), LONG_RUNNING_TASKS);
+  assert.equal(
+    site.history.countActiveRuns(LONG_RUNNING_JOB),
+    LONG_RUNNING_TASKS,
+  );
   return site;
 }
--- a/packages/daemon/src/job-host/long-running-tasks.test.ts
+++ b/packages/daemon/src/job-host/long-running-tasks.test.ts
@@ -21,7 +21,7 @@
   const once = { tasks: 1, after: [], lasting: true };
   void site.submit(LONG_RUNNING_JOB, [once], { runMs: 2_000, failures: 0 });
   await site.time.advance(1_000);
-  assert.equal(site.history.runningOf(LONG_RUNNING_JOB), 1);
+  assert.equal(site.history.countActiveRuns(LONG_RUNNING_JOB), 1);
   // Four places, and always some tasks waiting for one.
   for (let number = 1; number <= 40; number += 1) {
     const id = number.toString(16).padStart(16, '0');
@@ -31,9 +31,9 @@
     });
   }
   await site.time.advance(2_000);
-  assert.equal(site.history.runningOf(LONG_RUNNING_JOB), 0);
+  assert.equal(site.history.countActiveRuns(LONG_RUNNING_JOB), 0);
   const endBy = site.time.clock() + 6_000;
-  while (site.history.runningOf(LONG_RUNNING_JOB) === 0) {
+  while (site.history.countActiveRuns(LONG_RUNNING_JOB) === 0) {
     assert.ok(site.time.clock() < endBy, 'it does not run again in 6 s');
     await site.time.advance(50);
   }
--- a/packages/daemon/src/job-host/loop-delay.test.ts
+++ b/packages/daemon/src/job-host/loop-delay.test.ts
@@ -40,7 +40,7 @@
           },
         },
       ),
-      delayed: delay => {
+      onSample: delay => {
         this.delays.push(delay);
       },
     });
--- a/packages/daemon/src/job-host/loop-delay.ts
+++ b/packages/daemon/src/job-host/loop-delay.ts
@@ -19,7 +19,7 @@
   readonly schedule: Schedule;
   readonly log: Logger;
   /** Called with each sample: how late the timer fired. */
-  readonly delayed: (delay: Millis) => void;
+  readonly onSample: (delay: Millis) => void;
 }
 
 /** Schedules `task` with a timer that doesn't keep the process alive. */
@@ -38,7 +38,7 @@
  * the time for which the loop was blocked, by at most `LOOP_SAMPLE_INTERVAL_MS`.
  */
 export function monitorEventLoop(options: LoopMonitorOptions): () => void {
-  const { clock, schedule, log, delayed } = options;
+  const { clock, schedule, log, onSample: delayed } = options;
   let warnedAt = -Infinity;
   let suppressed = 0;
   let cancel = scheduleSample();
--- a/packages/daemon/src/job-host/lost-standbys.test.ts
+++ b/packages/daemon/src/job-host/lost-standbys.test.ts
@@ -36,7 +36,8 @@
     }
     const from = site.time.clock();
     await site.time.until(
-      () => site.history.runningOf(LONG_RUNNING_JOB) === LONG_RUNNING_TASKS,
+      () =>
+        site.history.countActiveRuns(LONG_RUNNING_JOB) === LONG_RUNNING_TASKS,
       25_000,
     );
     const unavailableMs = Math.round(site.time.clock() - from);
--- a/packages/daemon/src/job-host/metered-ports.ts
+++ b/packages/daemon/src/job-host/metered-ports.ts
@@ -51,8 +51,8 @@
     poll: (worker, order, takeLate) =>
       time('look', port.poll(worker, order, takeLate)),
     isConnected: worker => port.isConnected(worker),
-    forget: worker => {
-      port.forget(worker);
+    disconnect: worker => {
+      port.disconnect(worker);
     },
   };
 }
--- a/packages/daemon/src/job-host/meters.ts
+++ b/packages/daemon/src/job-host/meters.ts
@@ -1,7 +1,7 @@
 /** Metrics of a job host; docs/OPERATIONS.md explains how to read them. */
 import type { Millis } from '@paddlewind/domain';
 import type {
-  FleetAccount,
+  FleetSnapshot,
   JournalRecord,
   RunEnd,
 } from '@paddlewind/domain/jobs';
@@ -88,7 +88,7 @@
   /** A loop of the host failed and is run again. */
   readonly loopFailed: (loop: string) => void;
   /** The leader has computed the account of its fleet; the account is empty on hosts that do not lead. */
-  readonly accounted: (account: FleetAccount) => void;
+  readonly accounted: (account: FleetSnapshot) => void;
 }
 
 /** Values read when the metrics are scraped. */
@@ -193,7 +193,7 @@
     labelNames: ['queue', 'size'],
     registers: [registry],
   });
-  const setWaitingBySize = ({ sizes }: FleetAccount): void => {
+  const setWaitingBySize = ({ sizes }: FleetSnapshot): void => {
     jobs.reset();
     oldest.reset();
     for (const [queue, groups] of Object.entries(sizes)) {
--- a/packages/daemon/src/job-host/model/explore.fixture.test.ts
+++ b/packages/daemon/src/job-host/model/explore.fixture.test.ts
@@ -12,7 +12,7 @@
   type State,
 } from './states.fixture.test.js';
 import { stepsFrom, type Bounds, type Step } from './steps.fixture.test.js';
-import { normalize } from './tidy.fixture.test.js';
+import { normalize } from './normalize.fixture.test.js';
 import { GuaranteeViolation } from './worker-steps.fixture.test.js';
 
 /** Result of an exploration. */
--- a/packages/daemon/src/job-host/model/leader-steps.fixture.test.ts
+++ b/packages/daemon/src/job-host/model/leader-steps.fixture.test.ts
@@ -455,7 +455,7 @@
   }
   const hasExpired =
     fault === 'early_abandonment' ||
-    leaseOf(state, host, silent, worker).hasLapsed(state.now);
+    leaseOf(state, host, silent, worker).hasExpired(state.now);
   if (hasExpired && fault !== 'never_abandoned') {
     return decideEnd(silent, 'lapsed');
   }
--- a/packages/daemon/src/job-host/model/states.fixture.test.ts
+++ b/packages/daemon/src/job-host/model/states.fixture.test.ts
@@ -6,7 +6,7 @@
   emptyJobsState,
   findTask,
   isFinished,
-  PLAIN_STEP,
+  DEFAULT_STEP,
   type JobSpec,
   type JobsState,
   type JournalRecord,
@@ -213,7 +213,7 @@
 const JOB: JobSpec = {
   id: 'j',
   payload: '',
-  steps: [PLAIN_STEP],
+  steps: [DEFAULT_STEP],
   repetition: undefined,
   terms: {
     queue: 'q',
@@ -383,7 +383,7 @@
   const name = WORKER_NAMES[worker] ?? '';
   const { reachedIn } = taskViewOf(lead.copy, lead.cancelKnown);
   const ends = leaseEndsOf(host, state);
-  const earlierEnd = ends.endFor(name, reachedIn.get(name));
+  const earlierEnd = ends.leaseEndFor(name, reachedIn.get(name));
   const lease = new Lease(earlierEnd, TASK_LEASE_MS, false);
   if (link.firstClock >= 0) {
     lease.noteClock(link.firstClock, link.firstClock);
--- a/packages/daemon/src/job-host/waiting-orders.test.ts
+++ b/packages/daemon/src/job-host/queued-orders.test.ts
@@ -49,13 +49,13 @@
   site.fleet.orderDelays.clear();
   void site.submit(other, [few], { runMs: 60_000, failures: 0 });
   await site.time.advance(1_000);
-  assert.equal(site.history.runningOf(other), 5);
+  assert.equal(site.history.countActiveRuns(other), 5);
   site.fleet.orderDelays.set('w1', SLOW_MS);
   void site.submit(ID, [MANY], { runMs: 60_000, failures: 0 });
   await site.time.advance(300);
   void site.cancel(other);
   await site.time.advance(3_900);
-  assert.equal(site.history.runningOf(other), 0);
+  assert.equal(site.history.countActiveRuns(other), 0);
 });
 
 test('a queued start is not sent while cancellations cannot be read', async () => {
@@ -86,7 +86,7 @@
   await site.time.advance(5_000);
   void site.submit(ID, [{ ...MANY, tasks: 1 }], { runMs: 100, failures: 0 });
   await site.time.advance(1_000);
-  assert.equal(site.history.runningOf(ID), 0);
+  assert.equal(site.history.countActiveRuns(ID), 0);
 });
 
 test('starts do not wait for a slow worker while another has capacity', async () => {
@@ -94,7 +94,7 @@
   const longRunning = { ...MANY, tasks: 18, lasting: true };
   void site.submit(ID, [longRunning], { runMs: 10_000_000, failures: 0 });
   await site.time.advance(6_000);
-  assert.equal(site.history.runningOf(ID), 18);
+  assert.equal(site.history.countActiveRuns(ID), 18);
 });
 
 for (const stops of [0, 1, 5]) {
@@ -106,7 +106,7 @@
     const long = { runMs: 60_000, failures: 0 };
     void site.submit(other, [{ ...MANY, tasks: first }], long);
     await site.time.advance(1_000);
-    assert.equal(site.history.runningOf(other), first);
+    assert.equal(site.history.countActiveRuns(other), first);
     site.fleet.orderDelays.set('w1', SLOW_MS);
     void site.submit(ID, [{ ...MANY, tasks: 10 }], long);
     await site.time.advance(600);
@@ -115,11 +115,11 @@
     }
     await site.time.advance(100);
     for (const host of site.hosts.keys()) {
-      site.fleet.cuts.add(`${host}>w1`);
+      site.fleet.brokenLinks.add(`${host}>w1`);
     }
     await site.time.advance(4_000);
     // All but one, whose order got no answer.
-    assert.ok(site.history.runningOf(ID) >= 9);
+    assert.ok(site.history.countActiveRuns(ID) >= 9);
   });
 }
 
--- a/packages/daemon/src/job-host/relay/full-link.test.ts
+++ b/packages/daemon/src/job-host/relay/full-link.test.ts
@@ -67,7 +67,7 @@
     const unfinished = ids.filter(id => !history.isDone(id));
     assert.deepEqual(unfinished, [], `seed ${seed}`);
     assert.equal(
-      history.runningOf(LONG_RUNNING_JOB),
+      history.countActiveRuns(LONG_RUNNING_JOB),
       LONG_RUNNING_TASKS,
       `seed ${seed}`,
     );
@@ -95,7 +95,7 @@
       `seed ${seed}`,
     );
     assert.equal(
-      history.runningOf(LONG_RUNNING_JOB),
+      history.countActiveRuns(LONG_RUNNING_JOB),
       LONG_RUNNING_TASKS,
       `seed ${seed}`,
     );
@@ -107,5 +107,8 @@
   const site = new Simulation(1, { relayAllStarts: false });
   await runBusy(site);
   assert.equal(site.peers.relays, 0);
-  assert.equal(site.history.runningOf(LONG_RUNNING_JOB), LONG_RUNNING_TASKS);
+  assert.equal(
+    site.history.countActiveRuns(LONG_RUNNING_JOB),
+    LONG_RUNNING_TASKS,
+  );
 });
--- a/packages/daemon/src/job-host/relay/link-pace.test.ts
+++ b/packages/daemon/src/job-host/relay/link-pacer.test.ts
@@ -4,7 +4,7 @@
 import { createVirtualTime, type VirtualTime } from '@paddlewind/stand-ins';
 
 import { testContext } from '../context.fixture.test.js';
-import { LinkPacer } from './link-pace.js';
+import { LinkPacer } from './link-pacer.js';
 
 /** Ten bytes a millisecond. */
 const BYTES_PER_S = 10_000;
--- a/packages/daemon/src/job-host/relay/overload-site.fixture.test.ts
+++ b/packages/daemon/src/job-host/relay/overload-deployment.fixture.test.ts
@@ -153,7 +153,11 @@
       .unfinished()
       .filter(id => id !== LONG_RUNNING_JOB);
     assert.deepEqual(unfinished, [], note);
-    assert.equal(history.runningOf(LONG_RUNNING_JOB), LONG_RUNNING_TASKS, note);
+    assert.equal(
+      history.countActiveRuns(LONG_RUNNING_JOB),
+      LONG_RUNNING_TASKS,
+      note,
+    );
     assert.deepEqual(history.check(), [], note);
     assert.ok(this.site.peers.relays > 0, note);
   }
--- a/packages/daemon/src/job-host/relay/overload-recovery.test.ts
+++ b/packages/daemon/src/job-host/relay/overload-recovery.test.ts
@@ -15,7 +15,7 @@
   PEAK_JOBS_PER_S,
   STEADY_JOBS_PER_S,
   type Load,
-} from './overload-site.fixture.test.js';
+} from './overload-deployment.fixture.test.js';
 
 const SEED = 1;
 const BEFORE = { jobsPerS: STEADY_JOBS_PER_S, ms: 4_000 };
--- a/packages/daemon/src/job-host/relay/relay-site.fixture.test.ts
+++ b/packages/daemon/src/job-host/relay/relay-deployment.fixture.test.ts
@@ -97,6 +97,10 @@
   const expected = all.filter(at => at % CANCEL_EACH !== 0).map(shortJob);
   const unfinished = expected.filter(id => !history.isDone(id));
   assert.deepEqual(unfinished, [], note);
-  assert.equal(history.runningOf(LONG_RUNNING_JOB), LONG_RUNNING_TASKS, note);
+  assert.equal(
+    history.countActiveRuns(LONG_RUNNING_JOB),
+    LONG_RUNNING_TASKS,
+    note,
+  );
   assert.ok(site.peers.relays > 0, note);
 }
--- a/packages/daemon/src/job-host/relay/relayed-starts.test.ts
+++ b/packages/daemon/src/job-host/relay/relayed-starts.test.ts
@@ -84,7 +84,7 @@
     throttle: () => Promise.resolve(ACCEPTED),
     poll: () => Promise.resolve({ kind: 'fenced' }),
     isConnected: () => false,
-    forget: () => undefined,
+    disconnect: () => undefined,
   };
 
   private readonly peers: PeerPort = {
--- a/packages/daemon/src/job-host/relay/relayed-starts.ts
+++ b/packages/daemon/src/job-host/relay/relayed-starts.ts
@@ -20,7 +20,7 @@
 
 import { pause, type HostContext } from '../context.js';
 import { LinkBudget } from './link-budget.js';
-import { LinkPacer } from './link-pace.js';
+import { LinkPacer } from './link-pacer.js';
 import type { LinkShares } from './link-shares.js';
 import { RelayBatches, type RelayedResult } from './relay-batches.js';
 import { RelayHost, type RelayResult } from './relay-host.js';
@@ -95,7 +95,7 @@
   }
 
   /** Whether starts wait for the link. */
-  get isBusy(): boolean {
+  get hasWaitingStarts(): boolean {
     return this.batches.hasUsableHost
       ? this.window.isNarrow(this.options.ctx.clock())
       : this.directPacer.hasWaitingStarts;
--- a/packages/daemon/src/job-host/relay/relaying-hosts.test.ts
+++ b/packages/daemon/src/job-host/relay/relaying-hosts.test.ts
@@ -17,7 +17,7 @@
   RELAY_HOSTS,
   RELAY_WORKERS,
   relaysOf,
-} from './relay-site.fixture.test.js';
+} from './relay-deployment.fixture.test.js';
 
 const SEEDS = [1, 2, 3, 4];
 const DISTURBANCE_INTERVAL_MS = 2_500;
@@ -114,12 +114,12 @@
   void site.submit(CANCELLED_JOB, [{ tasks: 6, after: [] }], LONG_RUN);
   await site.time.until(() => site.peers.relays > before, 2_000);
   for (const worker of RELAY_WORKERS) {
-    site.fleet.cuts.add(`${leader}>${worker}`);
+    site.fleet.brokenLinks.add(`${leader}>${worker}`);
   }
   void site.cancel(CANCELLED_JOB);
   await site.time.advance(5_000);
   assert.deepEqual(site.history.check(), []);
-  assert.equal(site.history.runningOf(CANCELLED_JOB), 0);
+  assert.equal(site.history.countActiveRuns(CANCELLED_JOB), 0);
 });
 
 test('all jobs are done although hosts that send starts are cut off from the leader', async () => {
@@ -144,11 +144,11 @@
     const site = await runWithRelays(seed, async playing => {
       for (const worker of RELAY_WORKERS) {
         for (const name of relaysOf(playing)) {
-          playing.fleet.cuts.add(`${name}>${worker}`);
+          playing.fleet.brokenLinks.add(`${name}>${worker}`);
         }
       }
       await playing.wait(10_000);
-      playing.fleet.cuts.clear();
+      playing.fleet.brokenLinks.clear();
     });
     assertAllServed(site, `seed ${seed}`);
   }
--- a/packages/daemon/src/job-host/relay/start-relay.test.ts
+++ b/packages/daemon/src/job-host/relay/start-relay.test.ts
@@ -84,7 +84,7 @@
     throttle: () => Promise.resolve(ACCEPTED),
     poll: () => Promise.resolve({ kind: 'fenced' }),
     isConnected: () => false,
-    forget: ({ id }) => {
+    disconnect: ({ id }) => {
       this.forgotten.push(id);
     },
   };
--- a/packages/daemon/src/job-host/relay/start-relay.ts
+++ b/packages/daemon/src/job-host/relay/start-relay.ts
@@ -97,7 +97,7 @@
     for (const [id, { worker, usedAt }] of this.usedWorkers) {
       if (now - usedAt > IDLE_CONNECTION_MS) {
         this.usedWorkers.delete(id);
-        this.port?.forget(worker);
+        this.port?.disconnect(worker);
       }
     }
   }
--- a/packages/daemon/src/job-host/relay/start-sender.ts
+++ b/packages/daemon/src/job-host/relay/start-sender.ts
@@ -29,7 +29,7 @@
   /** Stops keeping the sender ready. */
   close(): void;
   /** Whether starts wait for their turn. */
-  readonly isBusy: boolean;
+  readonly hasWaitingStarts: boolean;
   /** Maximum number of starts in flight; more would wait too long. */
   readonly maxStarts: number;
   /** Sends a start, retrying within its limits. */
--- a/packages/daemon/src/job-host/replica-view.ts
+++ b/packages/daemon/src/job-host/replica-view.ts
@@ -42,7 +42,7 @@
 
   /** Number of unfinished jobs. */
   get openJobs(): number {
-    return this.replica.state.open.size;
+    return this.replica.state.openJobs.size;
   }
 
   /** Monotonic time up to which the inbox is known. */
@@ -86,7 +86,7 @@
       return undefined;
     }
     let count = 0;
-    for (const job of this.replica.state.open) {
+    for (const job of this.replica.state.openJobs) {
       if (!job.hasStarted && job.spec.terms.queue === queue) {
         count += 1;
       }
--- a/packages/daemon/src/job-host/replica.ts
+++ b/packages/daemon/src/job-host/replica.ts
@@ -211,14 +211,17 @@
     const id = workerIdOf(worker);
     const reachedIn = this.state.reachedInEpoch.get(id);
     // Epoch 0: the claim of that leader was dropped, so it is unknown which leader it was.
-    return this.leaseEnds.endFor(id, reachedIn === 0 ? undefined : reachedIn);
+    return this.leaseEnds.leaseEndFor(
+      id,
+      reachedIn === 0 ? undefined : reachedIn,
+    );
   }
 
   /**
    * Returns the ends of leases that this host, which leads or claims in `epoch`, hands over; its
    * own leases hold for `heldMs`. Undefined if it may not know of all leaders.
    */
-  handedLeases(epoch: number, heldMs: Millis): LeaseHandover | undefined {
+  leasesToHandOver(epoch: number, heldMs: Millis): LeaseHandover | undefined {
     return this.leaseEnds.leasesToHandOver(epoch, heldMs, this.ctx.clock());
   }
 
--- a/packages/daemon/src/job-host/restarted-workers.test.ts
+++ b/packages/daemon/src/job-host/restarted-workers.test.ts
@@ -55,7 +55,10 @@
 test('a run that starts late and is not open is stopped', async () => {
   const restart = withDelayedCalls(restartOneByOne(0));
   const site = await runRestarts({ seed: 34, restart, maxLeaseMs: 10_000 });
-  assert.equal(site.history.runningOf(LONG_RUNNING_JOB), LONG_RUNNING_TASKS);
+  assert.equal(
+    site.history.countActiveRuns(LONG_RUNNING_JOB),
+    LONG_RUNNING_TASKS,
+  );
 });
 
 // A worker refuses calls meant for its previous incarnation only after it has seen a higher fence, which
@@ -93,7 +96,10 @@
     });
     await site.time.advance(25_000);
     assert.deepEqual(site.history.check(), [], `seed ${seed}`);
-    assert.equal(site.history.runningOf(LONG_RUNNING_JOB), LONG_RUNNING_TASKS);
+    assert.equal(
+      site.history.countActiveRuns(LONG_RUNNING_JOB),
+      LONG_RUNNING_TASKS,
+    );
   }
 });
 
@@ -108,6 +114,9 @@
   }
   await site.time.advance(10_000);
   assert.notEqual(site.leader(), first);
-  assert.equal(site.history.runningOf(LONG_RUNNING_JOB), LONG_RUNNING_TASKS);
+  assert.equal(
+    site.history.countActiveRuns(LONG_RUNNING_JOB),
+    LONG_RUNNING_TASKS,
+  );
   assert.deepEqual(site.history.check(), []);
 });
--- a/packages/daemon/src/job-host/restarts-deployment.fixture.test.ts
+++ b/packages/daemon/src/job-host/restarts-deployment.fixture.test.ts
@@ -63,7 +63,10 @@
     failures: 0,
   });
   await site.time.advance(SETTLE_MS);
-  assert.equal(site.history.runningOf(LONG_RUNNING_JOB), LONG_RUNNING_TASKS);
+  assert.equal(
+    site.history.countActiveRuns(LONG_RUNNING_JOB),
+    LONG_RUNNING_TASKS,
+  );
   return site;
 }
 
@@ -148,9 +151,9 @@
   const from = site.time.clock();
   site.history.faults?.add({ from, until: from + span, of: 'workers' });
   const pairs = HOSTS.map(host => `${host}>${machine}`);
-  pairs.forEach(pair => site.fleet.cuts.add(pair));
+  pairs.forEach(pair => site.fleet.brokenLinks.add(pair));
   site.time.schedule(span, () => {
-    pairs.forEach(pair => site.fleet.cuts.delete(pair));
+    pairs.forEach(pair => site.fleet.brokenLinks.delete(pair));
   });
 }
 
@@ -158,6 +161,6 @@
 export function assertNothingLost(site: Simulation, note: string): void {
   assert.deepEqual(site.history.check(), [], note);
   assert.deepEqual(unfinishedShortJobs(site), [], note);
-  const running = site.history.runningOf(LONG_RUNNING_JOB);
+  const running = site.history.countActiveRuns(LONG_RUNNING_JOB);
   assert.equal(running, LONG_RUNNING_TASKS, note);
 }
--- a/packages/daemon/src/job-host/run-supervisor.test.ts
+++ b/packages/daemon/src/job-host/run-supervisor.test.ts
@@ -8,7 +8,11 @@
   WorkerHealth,
 } from '@paddlewind/domain/jobs';
 
-import { openLink, ORDERED_WORKER, StubWorker } from './orders.fixture.test.js';
+import {
+  openLink,
+  ORDERED_WORKER,
+  StubWorker,
+} from './stub-worker.fixture.test.js';
 import { RunSupervisor } from './run-supervisor.js';
 import { jobOf } from './simulation.fixture.test.js';
 
--- a/packages/daemon/src/job-host/run-supervisor.ts
+++ b/packages/daemon/src/job-host/run-supervisor.ts
@@ -15,7 +15,7 @@
   type PlanInput,
   type Run,
   type Task,
-  type Urgency,
+  type EvacuationUrgency,
   type WorkerHealth,
   type WorkerInfo,
 } from '@paddlewind/domain/jobs';
@@ -47,14 +47,14 @@
 /** A task that exceeds its target for this long is logged: half of what its users tolerate. */
 const LOGGED_OVER_TARGET_MS: Millis = 2_000;
 
-function urgencyOf(leavingSince: Instant, now: Instant): Urgency {
+function urgencyOf(leavingSince: Instant, now: Instant): EvacuationUrgency {
   return now - leavingSince > SHORT_TASK_PRECEDENCE_MS ? 'urgent' : 'patient';
 }
 
 /** Acts on open runs. */
 export class RunSupervisor {
   private readonly evacuatedRuns = new Set<Run>();
-  private readonly leavingLogs: Readonly<Record<Urgency, LeavingLog>>;
+  private readonly leavingLogs: Readonly<Record<EvacuationUrgency, LeavingLog>>;
 
   /** Creates a supervisor of the runs in `state`. */
   constructor(private readonly options: SupervisorOptions) {
@@ -115,7 +115,7 @@
    * Stops the long-running tasks of one urgency on leaving workers if there is room for them elsewhere, and
    * reserves that room for the rest of the round.
    */
-  evacuateLeaving(input: PlanInput, urgency: Urgency): void {
+  evacuateLeaving(input: PlanInput, urgency: EvacuationUrgency): void {
     const onLeaving = this.runsOnLeaving(urgency, input.time.now);
     const { stop, stay } = planEvacuation(input, onLeaving);
     for (const run of stop) {
@@ -129,7 +129,7 @@
   /**
    * Returns the runs on leaving workers; those of the worker that announced its departure first come first.
    */
-  private runsOnLeaving(urgency: Urgency, now: Instant): Run[] {
+  private runsOnLeaving(urgency: EvacuationUrgency, now: Instant): Run[] {
     const found: { since: Instant; runs: Iterable<Run> }[] = [];
     for (const [worker, { runs }] of this.options.state.workers) {
       const since = this.options.leavingSince(worker);
@@ -183,7 +183,7 @@
       return;
     }
     const { cpuMilli } = link.info.capacity;
-    const shares = interference.shares(load, cpuMilli, ctx.clock());
+    const shares = interference.speedLimits(load, cpuMilli, ctx.clock());
     for (const [run, share] of shares) {
       if (
         run.progress?.confirmed === true &&
--- a/packages/daemon/src/job-host/simulation.fixture.test.ts
+++ b/packages/daemon/src/job-host/simulation.fixture.test.ts
@@ -2,7 +2,7 @@
 import { seededRandom, type Millis, type Random } from '@paddlewind/domain';
 import {
   decodeJournal,
-  PLAIN_STEP,
+  DEFAULT_STEP,
   type JobSpec,
   type StepSpec,
 } from '@paddlewind/domain/jobs';
@@ -82,7 +82,7 @@
   /** Longest lease that workers accept. */
   readonly maxLeaseMs?: Millis;
   /** Time until a worker that was crashed by a task is back. */
-  readonly revivalMs?: Millis;
+  readonly workerRestartMs?: Millis;
   /** Whether a worker that restarts keeps its id. */
   readonly keepsIds?: boolean;
   /** Capacity of each host's outgoing link; unlimited by default. */
@@ -130,7 +130,7 @@
     seed: number,
     {
       maxLeaseMs = MAX_LEASE_MS,
-      revivalMs = WORKER_RESTART_MS,
+      workerRestartMs: revivalMs = WORKER_RESTART_MS,
       keepsIds = false,
       linkBytesPerS = Infinity,
       relayAllStarts = process.env.TEST_RELAYS !== undefined,
@@ -374,7 +374,7 @@
   return {
     id,
     payload: JSON.stringify(script),
-    steps: steps.map(step => ({ ...PLAIN_STEP, ...step })),
+    steps: steps.map(step => ({ ...DEFAULT_STEP, ...step })),
     repetition: undefined,
     terms: QUEUE,
   };
--- a/packages/daemon/src/job-host/skipped-epochs.test.ts
+++ b/packages/daemon/src/job-host/skipped-epochs.test.ts
@@ -33,7 +33,7 @@
     site.log.appendMs = 0;
     void site.submit(ID, [LONG_RUNNING], ENDLESS);
     await site.time.advance(5_000);
-    assert.equal(site.history.runningOf(ID), 4);
+    assert.equal(site.history.countActiveRuns(ID), 4);
     const isRestated = (): boolean => offsetOfRestate(site) > 0;
     await site.time.until(isRestated, RESTATED_MS);
     const leader = site.leader();
@@ -43,7 +43,7 @@
     await site.time.advance(5_000);
     const cutAt = site.log.recordsOf('journal').length;
     await site.time.until(() => offsetOfRestate(site) > cutAt, RESTATED_MS);
-    site.log.trimTo(offsetOfRestate(site));
+    site.log.trimJournalAndInbox(offsetOfRestate(site));
     site.log.hostModes.delete(other);
     await site.time.advance(5_000);
     site.kill(leader);
--- a/packages/daemon/src/job-host/start-job-host.ts
+++ b/packages/daemon/src/job-host/start-job-host.ts
@@ -19,7 +19,7 @@
 import { ConfigFollower } from './config-follower.js';
 import { pause, type HostContext } from './context.js';
 import { HostRole } from './host-role.js';
-import { AppendBatcher } from './group-append.js';
+import { AppendBatcher } from './append-batcher.js';
 import { InboxSender, type Appender } from './inbox-sender.js';
 import { JobService } from './job-service.js';
 import { keepRunning } from './keep-running.js';
@@ -259,7 +259,7 @@
         ctx: options.ctx,
         jobLog,
         replica,
-        duty: role,
+        role: role,
         cores: options.cores,
         stopped: () => this.stopping,
       });
--- a/packages/daemon/src/job-host/start-window.test.ts
+++ b/packages/daemon/src/job-host/start-window.test.ts
@@ -3,7 +3,7 @@
 
 import type { Run } from '@paddlewind/domain/jobs';
 
-import { StubWorker } from './orders.fixture.test.js';
+import { StubWorker } from './stub-worker.fixture.test.js';
 import { StartWindow } from './start-window.js';
 
 const MAX_STARTS = 200;
--- a/packages/daemon/src/job-host/stray-ends.test.ts
+++ b/packages/daemon/src/job-host/stray-ends.test.ts
@@ -22,7 +22,7 @@
 const UNREACHABLE_MS: Millis = 9_000;
 
 function disconnect(site: Simulation, worker: string): void {
-  HOSTS.forEach(name => site.fleet.cuts.add(`${name}>${worker}`));
+  HOSTS.forEach(name => site.fleet.brokenLinks.add(`${name}>${worker}`));
 }
 
 /** Returns a simulated deployment whose only worker has done a task that the leader has abandoned. */
@@ -37,7 +37,7 @@
   const script = { runMs: RUN_MS, failures: 0, ...gang };
   void site.submit(JOB, [{ ...step, after: [] }], script);
   await site.time.until(
-    () => site.history.runningOf(JOB) === step.tasks,
+    () => site.history.countActiveRuns(JOB) === step.tasks,
     6_000,
   );
   await site.time.advance(300);
@@ -53,7 +53,7 @@
   test(`tasks are not run again once they are known to be done: ${name}`, async () => {
     for (const seed of [1, 2, 3]) {
       const site = await deploymentWithStrayEnd(seed, step);
-      site.fleet.cuts.clear();
+      site.fleet.brokenLinks.clear();
       await site.time.advance(6_000);
       assert.equal(site.recordedStarts(), step.tasks, `seed ${seed}`);
       assert.ok(site.history.isDone(JOB));
@@ -70,10 +70,10 @@
 test('a second run is stopped once the first one is known to be done', async () => {
   const site = await deploymentWithStrayEnd(4, { tasks: 1 });
   site.addWorker('w2');
-  await site.time.until(() => site.history.runningOf(JOB) === 1, 3_000);
-  site.fleet.cuts.clear();
+  await site.time.until(() => site.history.countActiveRuns(JOB) === 1, 3_000);
+  site.fleet.brokenLinks.clear();
   await site.time.advance(1_500);
-  assert.equal(site.history.runningOf(JOB), 0);
+  assert.equal(site.history.countActiveRuns(JOB), 0);
   const asked = site.hosts.get('h1')?.host.service.status(JOB);
   await site.time.advance(100);
   assert.deepEqual(await asked, { kind: 'known', status: 'completed' });
--- a/packages/daemon/src/job-host/orders.fixture.test.ts
+++ b/packages/daemon/src/job-host/stub-worker.fixture.test.ts
@@ -78,12 +78,12 @@
       this.answerOrder('throttle', order, order.percent),
     poll: (_to, order) => this.answerPoll(order),
     isConnected: () => this.connected,
-    forget: () => undefined,
+    disconnect: () => undefined,
   };
 
   readonly starts: StartSender = {
     maxStarts: Infinity,
-    isBusy: false,
+    hasWaitingStarts: false,
     begin: () => Promise.resolve(),
     close: () => undefined,
     send: (to, order) => this.port.start(to, order),
--- a/packages/daemon/src/job-host/summary-view.ts
+++ b/packages/daemon/src/job-host/summary-view.ts
@@ -36,7 +36,7 @@
 
   /** Number of unfinished jobs. */
   get openJobs(): number {
-    return this.follower.summary.open;
+    return this.follower.summary.openJobs;
   }
 
   /** Monotonic time up to which all submissions are known. */
--- a/packages/daemon/src/job-host/summary-writer.ts
+++ b/packages/daemon/src/job-host/summary-writer.ts
@@ -74,17 +74,17 @@
    * Returns what has changed since the last cut. These decisions are not recorded yet: publish the
    * cut only once they are.
    */
-  cut(): SummaryChanges | undefined {
+  takeChanges(): SummaryChanges | undefined {
     const { state, inboxUpTo } = this.options;
-    if (state.changed === undefined) {
+    if (state.changedJobs === undefined) {
       if (!hasMoreHostsThanStandbys(state)) {
         return undefined;
       }
       // Start with all jobs, since earlier leaders may not have published their last records.
-      state.changed = new Set(state.jobs.values());
+      state.changedJobs = new Set(state.jobs.values());
     }
-    const rows = [...state.changed].map(summaryRowOf);
-    state.changed.clear();
+    const rows = [...state.changedJobs].map(summaryRowOf);
+    state.changedJobs.clear();
     return { rows, inboxUpTo: inboxUpTo() };
   }
 
@@ -103,7 +103,7 @@
     const { ctx, state } = this.options;
     while (!this.closed) {
       await this.wakeSignal.wait(CLAIM_INTERVAL_MS);
-      if (state.changed !== undefined) {
+      if (state.changedJobs !== undefined) {
         await this.write();
         await this.writeSnapshot();
         await pause(ctx, SUMMARY_WRITE_INTERVAL_MS);
--- a/packages/daemon/src/job-host/suspended-hosts.test.ts
+++ b/packages/daemon/src/job-host/suspended-hosts.test.ts
@@ -54,7 +54,7 @@
     }
     await time.advance(RECOVERY_MS);
     assert.deepEqual(history.check(), []);
-    assert.equal(history.runningOf(NEIGHBOUR_JOB), NEIGHBOUR_TASKS);
+    assert.equal(history.countActiveRuns(NEIGHBOUR_JOB), NEIGHBOUR_TASKS);
     for (const id of ids) {
       assert.ok(history.isDone(id), `seed ${seed}: ${id} is not done`);
     }
@@ -69,14 +69,14 @@
       const leader = site.leader();
       for (const name of site.hosts.keys()) {
         if (name !== leader) {
-          site.fleet.cuts.add(`${name}>w1`);
+          site.fleet.brokenLinks.add(`${name}>w1`);
         }
       }
       site.suspend(leader, span);
       await site.time.advance(RECOVERY_MS);
       assert.deepEqual(site.history.check(), []);
       assert.equal(
-        site.history.runningOf(LONG_RUNNING_JOB),
+        site.history.countActiveRuns(LONG_RUNNING_JOB),
         LONG_RUNNING_TASKS,
       );
     }
--- a/packages/daemon/src/job-host/unreadable-entries.test.ts
+++ b/packages/daemon/src/job-host/unreadable-entries.test.ts
@@ -58,8 +58,8 @@
   const spread = [{ tasks: 2, after: [], maxPerWorker: 1 }];
   void site.submit(id, spread, LONG_RUN);
   await site.time.advance(6_000);
-  assert.equal(site.history.runningOf(id), 1);
+  assert.equal(site.history.countActiveRuns(id), 1);
   foreign = false;
   await site.time.advance(1_000);
-  assert.equal(site.history.runningOf(id), 2);
+  assert.equal(site.history.countActiveRuns(id), 2);
 });
--- a/packages/daemon/src/job-host/worker-link.test.ts
+++ b/packages/daemon/src/job-host/worker-link.test.ts
@@ -3,7 +3,11 @@
 
 import { refOf } from '@paddlewind/domain/jobs';
 
-import { openLink, ORDERED_WORKER, StubWorker } from './orders.fixture.test.js';
+import {
+  openLink,
+  ORDERED_WORKER,
+  StubWorker,
+} from './stub-worker.fixture.test.js';
 import { SLOW_WORKER_PAUSE_MS } from './timing.js';
 
 /** Below the timeout of an order. */
--- a/packages/daemon/src/job-host/worker-link.ts
+++ b/packages/daemon/src/job-host/worker-link.ts
@@ -239,7 +239,7 @@
     this.closed = true;
     this.wakeSignal.notify();
     this.orders.close();
-    this.options.port.forget(this.info);
+    this.options.port.disconnect(this.info);
   }
 
   /** Sends the start order of a recorded run that was decided on at `decidedAt`. */
--- a/packages/daemon/src/job-host/worker-orders.test.ts
+++ b/packages/daemon/src/job-host/worker-orders.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { ORDERED_WORKER, StubWorker } from './orders.fixture.test.js';
+import { ORDERED_WORKER, StubWorker } from './stub-worker.fixture.test.js';
 import type { StartResult } from './relay/start-sender.js';
 import { MAX_START_WAIT_MS } from './timing.js';
 import { WorkerOrders } from './worker-orders.js';
--- a/packages/domain/src/jobs/disturbance.fuzz.test.ts
+++ b/packages/domain/src/jobs/disturbance.fuzz.test.ts
@@ -176,7 +176,7 @@
       }
     });
     model.learnFromReport(load, CPU_MILLI, now);
-    for (const [run, percent] of model.shares(load, CPU_MILLI, now)) {
+    for (const [run, percent] of model.speedLimits(load, CPU_MILLI, now)) {
       if (run.progress?.allowedPercent !== percent) {
         this.orders.push({
           at: now + ORDER_DELAY_MS + EXTRA_ORDER_DELAY_MS * this.random(),
--- a/packages/domain/src/jobs/evacuation.test.ts
+++ b/packages/domain/src/jobs/evacuation.test.ts
@@ -3,7 +3,7 @@
 
 import { planEvacuation } from './evacuation.js';
 import type { Run } from './job.js';
-import { planStarts, type Urgency } from './plan.js';
+import { planStarts, type EvacuationUrgency } from './plan.js';
 import {
   applyDecision,
   planInput,
@@ -43,7 +43,7 @@
 
 /** Evacuates the first long-running task with `urgency`; returns `job.index` of the starts on a worker for two. */
 function startsWhileLeaving(
-  urgency: Urgency,
+  urgency: EvacuationUrgency,
   moving: readonly number[],
 ): string[] {
   const state = stateOf(...JOBS);
--- a/packages/domain/src/jobs/evacuation.ts
+++ b/packages/domain/src/jobs/evacuation.ts
@@ -6,14 +6,14 @@
  * Why a long-running task is still on a leaving worker: no other worker has capacity for it; its start is not
  * confirmed yet; its stop was already ordered; it is a gang member, and a single member is not moved.
  */
-export type StayReason = 'no_room' | 'not_confirmed' | 'stopping' | 'gang';
+export type NotMovedReason = 'no_room' | 'not_confirmed' | 'stopping' | 'gang';
 
 /** Decisions on the long-running tasks on workers that are about to leave. */
 export interface Evacuation {
   /** Runs to stop, so that their tasks restart elsewhere. */
   readonly stop: readonly Run[];
   /** Runs that stay for now, with the reason. */
-  readonly stay: ReadonlyMap<Run, StayReason>;
+  readonly stay: ReadonlyMap<Run, NotMovedReason>;
 }
 
 /**
@@ -29,7 +29,7 @@
 ): Evacuation {
   const reservations = reservationsOf(input);
   const stop: Run[] = [];
-  const stay = new Map<Run, StayReason>();
+  const stay = new Map<Run, NotMovedReason>();
   for (const run of runsOnLeaving.filter(
     ({ task }) => task.step.spec.lasting,
   )) {
@@ -45,7 +45,7 @@
   return { stop, stay };
 }
 
-function stayReasonOf({ task, progress }: Run): StayReason | undefined {
+function stayReasonOf({ task, progress }: Run): NotMovedReason | undefined {
   if (task.step.spec.gang) {
     return 'gang';
   }
--- a/packages/domain/src/jobs/account.test.ts
+++ b/packages/domain/src/jobs/fleet-snapshot.test.ts
@@ -1,7 +1,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { accountFleet, OTHER_QUEUES, type FleetAccount } from './account.js';
+import {
+  snapshotFleet,
+  OTHER_QUEUES,
+  type FleetSnapshot,
+} from './fleet-snapshot.js';
 import type { JobsState } from './jobs-state.js';
 import type { PlanWorker } from './placement.js';
 import type { StepSpec } from './spec.js';
@@ -19,8 +23,8 @@
 function snapshot(
   state: JobsState,
   workers: readonly PlanWorker[],
-): FleetAccount {
-  return accountFleet({
+): FleetSnapshot {
+  return snapshotFleet({
     plan: planInput(state, workers),
     registered: workers.map(({ info }) => info),
   });
--- a/packages/domain/src/jobs/account.ts
+++ b/packages/domain/src/jobs/fleet-snapshot.ts
@@ -12,7 +12,7 @@
 } from './placement.js';
 import { placementInputOf, type PlanInput } from './plan.js';
 import { sizeGroupsOf, type SizeGroup } from './size-groups.js';
-import { expectedWorkOf } from './worth.js';
+import { expectedWorkOf } from './job-value.js';
 
 /**
  * Why a task waits. An obstacle: what the task lacks on the worker that passed the most checks of `OBSTACLES`;
@@ -58,7 +58,7 @@
 export type WaitingBySize = Readonly<Partial<Record<SizeGroup, WaitingJobs>>>;
 
 /** Snapshot of the use of a fleet. */
-export interface FleetAccount {
+export interface FleetSnapshot {
   readonly workers: number;
   readonly usableWorkers: number;
   readonly processors: Readonly<ProcessorUsage>;
@@ -82,9 +82,9 @@
 export const OTHER_QUEUES = '(others)';
 
 /** Returns a snapshot of the fleet. */
-export function accountFleet(input: FleetSnapshotInput): FleetAccount {
+export function snapshotFleet(input: FleetSnapshotInput): FleetSnapshot {
   const { plan, registered } = input;
-  const ordered = orderedCandidates(plan.state.open, plan.times, plan.time);
+  const ordered = orderedCandidates(plan.state.openJobs, plan.times, plan.time);
   return {
     workers: registered.length,
     usableWorkers: plan.workers.length,
@@ -245,7 +245,7 @@
 }
 
 /** Snapshot of a host that is not the leader. */
-export const EMPTY_ACCOUNT: FleetAccount = {
+export const EMPTY_FLEET_SNAPSHOT: FleetSnapshot = {
   workers: 0,
   usableWorkers: 0,
   processors: emptyProcessorUsage(),
--- a/packages/domain/src/jobs/fold.ts
+++ b/packages/domain/src/jobs/fold.ts
@@ -61,8 +61,8 @@
   }
   const job = newJob(record.job, record.atWall, state.now, state.jobs.size);
   state.jobs.set(job.spec.id, job);
-  state.open.add(job);
-  state.changed?.add(job);
+  state.openJobs.add(job);
+  state.changedJobs?.add(job);
   if (record.job.repetition === undefined) {
     occurrenceOf(job, 0);
   }
@@ -101,7 +101,7 @@
       applyImage(state, record.image);
       return true;
     case 'learnt':
-      state.learnt = { learnt: record.learnt, readAt: state.now };
+      state.learnedEstimates = { estimates: record.learnt, readAt: state.now };
       return true;
     case 'release':
       state.released = true;
@@ -318,14 +318,14 @@
 function noteStarted(state: JobsState, job: Job): void {
   if (!job.hasStarted) {
     job.hasStarted = true;
-    state.changed?.add(job);
+    state.changedJobs?.add(job);
   }
 }
 
 /** Notes that a job is finished, or that the reason why it finished has changed. */
 function noteFinished(state: JobsState, job: Job): void {
-  state.open.delete(job);
-  state.changed?.add(job);
+  state.openJobs.delete(job);
+  state.changedJobs?.add(job);
 }
 
 /** Applies to long-running tasks as well: each start costs a worker and everything that runs there. */
--- a/packages/domain/src/jobs/index.ts
+++ b/packages/domain/src/jobs/index.ts
@@ -1,4 +1,4 @@
-export * from './account.js';
+export * from './fleet-snapshot.js';
 export * from './advice.js';
 export * from './suspect-tasks.js';
 export * from './speculative-copies.js';
@@ -27,4 +27,4 @@
 export * from './loss-attribution.js';
 export * from './task-ref.js';
 export * from './worker-health.js';
-export * from './worth.js';
+export * from './job-value.js';
--- a/packages/domain/src/jobs/interference.test.ts
+++ b/packages/domain/src/jobs/interference.test.ts
@@ -55,7 +55,7 @@
     scenario.serving.progress.reading = FLOOR_MS / (1 - total);
     scenario.model.learnFromReport(load, CPU_MILLI, scenario.now);
     const limit = scenario.model
-      .shares(load, CPU_MILLI, scenario.now)
+      .speedLimits(load, CPU_MILLI, scenario.now)
       .get(scenario.filler);
     progress.allowedPercent = limit ?? 100;
   }
@@ -105,7 +105,7 @@
   scenario.model.learnFromReport(load, CPU_MILLI, 1_000);
   scenario.model.learnFromReport(load, CPU_MILLI, 3_500);
   assert.equal(
-    scenario.model.shares(load, CPU_MILLI, 3_500).get(scenario.filler),
+    scenario.model.speedLimits(load, CPU_MILLI, 3_500).get(scenario.filler),
     0,
   );
 });
--- a/packages/domain/src/jobs/interference.ts
+++ b/packages/domain/src/jobs/interference.ts
@@ -112,7 +112,7 @@
   /** Creates a model that starts from the estimates of an earlier one, if any. */
   constructor(earlier?: ReceivedEstimates) {
     if (earlier !== undefined) {
-      const { learnt, readAt } = earlier;
+      const { estimates: learnt, readAt } = earlier;
       for (const [pair, mean, variance] of learnt.pressures) {
         this.pressures.seed(pair, { mean, variance }, readAt);
       }
@@ -211,7 +211,11 @@
   }
 
   /** Returns speed limits of fillers, in percent, that keep every serving task of the worker below its target. */
-  shares(load: WorkerRuns, cpuMilli: number, now: Instant): Map<Run, number> {
+  speedLimits(
+    load: WorkerRuns,
+    cpuMilli: number,
+    now: Instant,
+  ): Map<Run, number> {
     const fillers = fillersOf(load);
     const limits = new Map(fillers.map(run => [run, 100]));
     for (const run of servingRuns(load.runs)) {
--- a/packages/domain/src/jobs/worth.test.ts
+++ b/packages/domain/src/jobs/job-value.test.ts
@@ -19,7 +19,7 @@
   testJob,
   testWorker,
 } from './test-support.js';
-import { valuePerWork } from './worth.js';
+import { valuePerWork } from './job-value.js';
 
 function valuePerWorkOf(state: JobsState, job: string): number {
   const { occurrence } = taskOf(state, job, 0, 0).step;
--- a/packages/domain/src/jobs/jobs-state.test.ts
+++ b/packages/domain/src/jobs/jobs-state.test.ts
@@ -30,7 +30,7 @@
   assert.equal(statusOf(job), 'running');
   endRun(state, run, 'done');
   assert.equal(statusOf(job), 'completed');
-  assert.equal(state.open.size, 0);
+  assert.equal(state.openJobs.size, 0);
 });
 
 test('a job counts as started once a worker has confirmed a run', () => {
@@ -118,5 +118,5 @@
   applyInbox(state, { kind: 'cancel', job: 'b' });
   assert.equal(statusOf(getJob(state, 'a')), 'cancelled');
   assert.equal(statusOf(getJob(state, 'b')), 'completed');
-  assert.equal(state.open.size, 0);
+  assert.equal(state.openJobs.size, 0);
 });
--- a/packages/domain/src/jobs/jobs-state.ts
+++ b/packages/domain/src/jobs/jobs-state.ts
@@ -39,7 +39,7 @@
   /** All jobs by id. */
   readonly jobs: Map<string, Job>;
   /** Jobs that are not finished. */
-  readonly open: Set<Job>;
+  readonly openJobs: Set<Job>;
   /** Open runs by incarnation of the worker. */
   readonly workers: Map<string, WorkerRuns>;
   /** Keys of `workers` by id of the worker. */
@@ -56,11 +56,11 @@
   /** Address at which the leader accepts records for the inbox; undefined until it has reported one. */
   leaderAddress: string | undefined;
   /** Jobs whose reported state has changed; undefined if nobody collects them. */
-  changed: Set<Job> | undefined;
+  changedJobs: Set<Job> | undefined;
   /** Monotonic time at which records are applied, set by the caller that applies them. */
   now: Instant;
   /** Estimates of the newest leader that has recorded any. */
-  learnt: ReceivedEstimates | undefined;
+  learnedEstimates: ReceivedEstimates | undefined;
   /** Whether the leader has asked to be replaced. */
   released: boolean;
   /** Clock of the journal. */
@@ -77,7 +77,7 @@
 export function emptyJobsState(): JobsState {
   return {
     jobs: new Map(),
-    open: new Set(),
+    openJobs: new Set(),
     workers: new Map(),
     incarnations: new Map(),
     claim: { epoch: 0, host: '', nonce: 0 },
@@ -86,9 +86,9 @@
     volunteers: new Map(),
     standbys: undefined,
     leaderAddress: undefined,
-    changed: undefined,
+    changedJobs: undefined,
     now: 0,
-    learnt: undefined,
+    learnedEstimates: undefined,
     released: false,
     journalTime: new JournalTime(),
     unresponsiveSince: new Map(),
@@ -128,7 +128,7 @@
   if (known !== undefined) {
     return known;
   }
-  const created = emptyRuns();
+  const created = emptyWorkerRuns();
   state.workers.set(worker, created);
   state.incarnations.set(workerIdOf(worker), [
     ...dropIdleIncarnations(state, otherIncarnations(state, worker)),
@@ -173,7 +173,7 @@
 }
 
 /** Returns the load of a worker without runs. */
-export function emptyRuns(): WorkerRuns {
+export function emptyWorkerRuns(): WorkerRuns {
   return {
     runs: new Map(),
     cpuMilli: 0,
--- a/packages/domain/src/jobs/learned-estimates.test.ts
+++ b/packages/domain/src/jobs/learned-estimates.test.ts
@@ -11,7 +11,13 @@
 import { MAX_LEARNED_ENTRIES } from './learned-estimates.js';
 import { decodeJournal } from './record-rows.js';
 import { createRunTimes } from './run-times.js';
-import { apply, startOn, stateOf, taskOf, testJob } from './test-support.js';
+import {
+  applyRecord,
+  startOn,
+  stateOf,
+  taskOf,
+  testJob,
+} from './test-support.js';
 
 const CPU_MILLI = 10_000;
 const SIZE = { cpuMilli: 1_000, memoryMiB: 1, accelerators: 0 };
@@ -52,13 +58,13 @@
   const model = new Interference();
   learnPressure(state, model);
   const times = createRunTimes();
-  times.learn(taskOf(state, 'f', 0, 0).step, 1_700);
+  times.recordRun(taskOf(state, 'f', 0, 0).step, 1_700);
   const learnt = { runTimes: times.learnt(), ...model.learnt() };
-  apply(state, { kind: 'learnt', learnt });
-  const next = new Interference(state.learnt);
+  applyRecord(state, { kind: 'learnt', learnt });
+  const next = new Interference(state.learnedEstimates);
   assert.ok(pressureOf(model) > 2);
   assert.equal(pressureOf(next), pressureOf(model));
-  const nextTimes = createRunTimes(state.learnt?.learnt.runTimes);
+  const nextTimes = createRunTimes(state.learnedEstimates?.estimates.runTimes);
   const { step } = taskOf(state, 'f', 0, 1);
   assert.equal(nextTimes.expectedMs(step), times.expectedMs(step));
 });
@@ -69,7 +75,7 @@
     (_, at) => [`s/${at}`, 1, 1] as const,
   );
   const learnt = { runTimes: [], pressures, lowTails: [] };
-  const model = new Interference({ learnt, readAt: 0 });
+  const model = new Interference({ estimates: learnt, readAt: 0 });
   assert.equal(model.learnt().pressures.length, MAX_LEARNED_ENTRIES);
 });
 
@@ -92,11 +98,14 @@
   const record = decodeJournal(bytes);
   assert.ok(record !== undefined);
   const state = busyState();
-  apply(state, record);
-  const model = new Interference(state.learnt);
+  applyRecord(state, record);
+  const model = new Interference(state.learnedEstimates);
   assert.deepEqual(model.learnt(), {
     pressures: [['s/i', 3, 1]],
     lowTails: [],
   });
-  assert.deepEqual(createRunTimes(state.learnt?.learnt.runTimes).learnt(), []);
+  assert.deepEqual(
+    createRunTimes(state.learnedEstimates?.estimates.runTimes).learnt(),
+    [],
+  );
 });
--- a/packages/domain/src/jobs/learned-estimates.ts
+++ b/packages/domain/src/jobs/learned-estimates.ts
@@ -25,7 +25,7 @@
 
 /** Learned estimates and the time at which this host read them. */
 export interface ReceivedEstimates {
-  readonly learnt: LearnedEstimates;
+  readonly estimates: LearnedEstimates;
   /** Monotonic. */
   readonly readAt: Instant;
 }
--- a/packages/domain/src/jobs/objective.ts
+++ b/packages/domain/src/jobs/objective.ts
@@ -30,7 +30,7 @@
   time: PlanTime,
 ): ObjectiveStatus {
   const since = objectiveStartOf(occurrence, time);
-  const allowedMs = objectiveOf(occurrence, times);
+  const allowedMs = objectiveMsOf(occurrence, times);
   const remainingMs = criticalPathMs(
     occurrence,
     times,
@@ -42,7 +42,7 @@
 }
 
 /** Returns the time in which an occurrence has to end to meet its objective. */
-export function objectiveOf(occurrence: Occurrence, times: RunTimes): Millis {
+export function objectiveMsOf(occurrence: Occurrence, times: RunTimes): Millis {
   const { deadlineFactor, targetLatencyMs } = occurrence.job.spec.terms;
   const pathMs = criticalPathMs(occurrence, times, () => true);
   return deadlineFactor * pathMs + targetLatencyMs;
--- a/packages/domain/src/jobs/order.ts
+++ b/packages/domain/src/jobs/order.ts
@@ -10,7 +10,7 @@
 } from './job.js';
 import { objectiveStatusOf, type Outlook, type PlanTime } from './objective.js';
 import type { RunTimes } from './run-times.js';
-import { MeanWork, expectedWorkOf, valuePerWork } from './worth.js';
+import { MeanWork, expectedWorkOf, valuePerWork } from './job-value.js';
 
 const OUTLOOK_ORDER: Readonly<Record<Outlook, number>> = {
   in_time: 0,
--- a/packages/domain/src/jobs/overloaded-deployment.fixture.test.ts
+++ b/packages/domain/src/jobs/overloaded-deployment.fixture.test.ts
@@ -4,9 +4,9 @@
 import { applyInbox } from './fold.js';
 import { isFinished, type Run } from './job.js';
 import { emptyJobsState } from './jobs-state.js';
-import { objectiveOf } from './objective.js';
+import { objectiveMsOf } from './objective.js';
 import { planStarts } from './plan.js';
-import { PLAIN_STEP, type JobSpec } from './spec.js';
+import { DEFAULT_STEP, type JobSpec } from './spec.js';
 import {
   applyDecision,
   endRun,
@@ -15,7 +15,7 @@
   testJob,
   testWorker,
 } from './test-support.js';
-import { expectedWorkOf } from './worth.js';
+import { expectedWorkOf } from './job-value.js';
 
 const MILLI = 1_000;
 const ROUND_MS: Millis = 100;
@@ -129,7 +129,7 @@
         return [];
       }
       const tookMs = (this.finishedAt.get(id) ?? Infinity) - submittedAt;
-      const ratio = tookMs / objectiveOf(occurrence, times);
+      const ratio = tookMs / objectiveMsOf(occurrence, times);
       const kind =
         ratio <= 1 ? 'in_time' : ratio <= LATE_FACTOR ? 'late' : 'unserved';
       const taskCores = coresOf(job.spec);
@@ -176,7 +176,7 @@
     const count = 1 + Math.floor(this.random() * (2 * MEAN_STEPS - 1));
     const kinds = this.taskCores;
     const cores = kinds[this.submittedAt.size % kinds.length] ?? 1;
-    const size = { ...PLAIN_STEP.size, cpuMilli: cores * MILLI };
+    const size = { ...DEFAULT_STEP.size, cpuMilli: cores * MILLI };
     const steps = Array.from({ length: count }, (_, at) => ({
       tasks: this.drawTasks(),
       size,
--- a/packages/domain/src/jobs/plan-choice.test.ts
+++ b/packages/domain/src/jobs/plan-choice.test.ts
@@ -101,7 +101,7 @@
 }
 
 function waitingThatFit(state: JobsState, input: PlanInput): string[] {
-  return orderedCandidates(state.open, input.times, input.time)
+  return orderedCandidates(state.openJobs, input.times, input.time)
     .filter(({ step }) => !isFinished(step.occurrence.job))
     .flatMap(({ step }) => step.tasks.filter(task => task.status === 'waiting'))
     .filter(task => findWorker(input, task) !== undefined)
@@ -133,7 +133,7 @@
   for (let seed = 1; seed <= SEEDS; seed += 1) {
     const input = createBusyRound(seededRandom(seed));
     for (const { step } of orderedCandidates(
-      input.state.open,
+      input.state.openJobs,
       input.times,
       input.time,
     )) {
--- a/packages/domain/src/jobs/plan.ts
+++ b/packages/domain/src/jobs/plan.ts
@@ -6,7 +6,7 @@
 import { placeGang } from './gang.js';
 import type { Interference } from './interference.js';
 import { isWaiting, type Run, type Step, type Task } from './job.js';
-import { emptyRuns, workerRuns, type JobsState } from './jobs-state.js';
+import { emptyWorkerRuns, workerRuns, type JobsState } from './jobs-state.js';
 import type { PlanTime } from './objective.js';
 import { orderedCandidates } from './order.js';
 import {
@@ -53,10 +53,10 @@
  * When capacity is reserved for the long-running tasks of a leaving worker. `urgent`: before all waiting tasks;
  * `patient`: after waiting batch tasks (those that end by themselves) and before waiting long-running ones.
  */
-export type Urgency = 'urgent' | 'patient';
+export type EvacuationUrgency = 'urgent' | 'patient';
 
 /** Reserves capacity for long-running tasks on leaving workers. */
-export type ReserveCapacity = (urgency: Urgency) => void;
+export type ReserveCapacity = (urgency: EvacuationUrgency) => void;
 
 /**
  * Decides the starts of one round and returns their number. Moving tasks, suspected tasks and long-running tasks
@@ -91,7 +91,7 @@
   const reservePatientOnce = once(() => {
     reserveCapacity('patient');
   });
-  const steps = orderedCandidates(state.open, times, time).map(
+  const steps = orderedCandidates(state.openJobs, times, time).map(
     ({ step }) => step,
   );
   reserveForLargeTasks(placement, state, steps);
@@ -153,7 +153,7 @@
         .filter(
           worker =>
             staticObstacleAt(placement, worker, task) === undefined &&
-            hasCapacity(worker.info, emptyRuns(), task.step.spec),
+            hasCapacity(worker.info, emptyWorkerRuns(), task.step.spec),
         )
         .map(({ info }) => info.id),
     );
@@ -211,7 +211,7 @@
 }: PlanInput): Task[] {
   const overdueBefore = Math.max(time.now - LONG_RUNNING_WAIT_MS, leadsSince);
   const overdue: { readonly task: Task; readonly since: Instant }[] = [];
-  for (const { occurrences, seenAt = Infinity } of state.open) {
+  for (const { occurrences, seenAt = Infinity } of state.openJobs) {
     for (const { steps } of occurrences.values()) {
       const longRunning = steps.filter(
         ({ spec }) => spec.lasting && !spec.gang,
--- a/packages/domain/src/jobs/quarantine.test.ts
+++ b/packages/domain/src/jobs/quarantine.test.ts
@@ -8,7 +8,7 @@
 import { planStarts, type PlanInput } from './plan.js';
 import type { PlanWorker } from './placement.js';
 import {
-  apply,
+  applyRecord,
   applyDecision,
   planInput,
   startOn,
@@ -25,7 +25,7 @@
 function startAndLose(state: JobsState, task: Task): void {
   const { number } = startOn(state, task, `lost${task.lastRun}`);
   const lost = { task: refOf(task), run: number, checkpoint: '' };
-  apply(state, {
+  applyRecord(state, {
     kind: 'lost',
     ...lost,
     suspicion: 'shared',
@@ -111,7 +111,7 @@
   const [, , onReserved] = busy;
   assert.ok(onReserved);
   const end = { task: refOf(onReserved.task), run: 1, checkpoint: '' };
-  apply(state, { kind: 'end', ...end, how: 'done' });
+  applyRecord(state, { kind: 'end', ...end, how: 'done' });
   assert.deepEqual(planRound(state, WORKERS, 1_999), ['a0 w2']);
 });
 
--- a/packages/domain/src/jobs/reservations.ts
+++ b/packages/domain/src/jobs/reservations.ts
@@ -1,6 +1,6 @@
 /** Tentative placement of several tasks, before any of them is started. */
 import type { Step, Task } from './job.js';
-import { addLoad, emptyRuns, type WorkerRuns } from './jobs-state.js';
+import { addLoad, emptyWorkerRuns, type WorkerRuns } from './jobs-state.js';
 import { chooseWorker, type PlacementInput } from './placement.js';
 
 /** Reserves capacity for tasks one by one, each within what the earlier reservations leave. */
@@ -33,7 +33,7 @@
     if (worker === undefined) {
       return undefined;
     }
-    const reserved = this.reserved.get(worker) ?? emptyRuns();
+    const reserved = this.reserved.get(worker) ?? emptyWorkerRuns();
     addLoad(reserved, task.step, 1);
     this.reserved.set(worker, reserved);
     this.countPlaced(task.step, worker);
--- a/packages/domain/src/jobs/restate.ts
+++ b/packages/domain/src/jobs/restate.ts
@@ -161,7 +161,7 @@
   job.hasStarted = image.begun;
   job.remaining = image.remaining;
   state.jobs.set(id, job);
-  state.changed?.add(job);
+  state.changedJobs?.add(job);
   for (const [number, rows] of image.occurrences) {
     const occurrence = occurrenceOf(job, number);
     occurrence.steps.forEach((step, at) => {
@@ -175,7 +175,7 @@
     ).length;
   }
   if (!isFinished(job)) {
-    state.open.add(job);
+    state.openJobs.add(job);
   }
 }
 
--- a/packages/domain/src/jobs/round-cost.test.ts
+++ b/packages/domain/src/jobs/round-cost.test.ts
@@ -14,7 +14,7 @@
 import type { PlanWorker } from './placement.js';
 import { findWorker, planStarts, type PlanInput } from './plan.js';
 import {
-  apply,
+  applyRecord,
   planInput,
   startOn,
   stateOf,
@@ -97,7 +97,7 @@
     for (const worker of ['lost1', 'lost2']) {
       const { number: run } = startOn(state, task, worker);
       const lost = { task: refOf(task), run, checkpoint: '' };
-      apply(state, {
+      applyRecord(state, {
         kind: 'lost',
         ...lost,
         suspicion: 'shared',
--- a/packages/domain/src/jobs/run-times.ts
+++ b/packages/domain/src/jobs/run-times.ts
@@ -17,7 +17,7 @@
   /** Returns the expected run time of a task of the step on a healthy worker. */
   expectedMs(step: Step): Millis;
   /** Records a run that completed after `runTimeMs` without having resumed from a checkpoint. */
-  learn(step: Step, runTimeMs: Millis): void;
+  recordRun(step: Step, runTimeMs: Millis): void;
   /** Returns the learned averages, from which another instance can start. */
   learnt(): LearnedEstimates['runTimes'];
 }
@@ -37,7 +37,7 @@
         : estimate * CALLER_ESTIMATE_WEIGHT +
             average * (1 - CALLER_ESTIMATE_WEIGHT);
     },
-    learn: (step, runTimeMs) => {
+    recordRun: (step, runTimeMs) => {
       const key = keyOf(step);
       const average = averages.get(key);
       averages.set(
--- a/packages/domain/src/jobs/size-class-shares.ts
+++ b/packages/domain/src/jobs/size-class-shares.ts
@@ -5,7 +5,7 @@
  * use in proportion to its demand. While a waiting class has less, workers are reserved for it from smaller tasks.
  */
 import { waitingTasks, type Run, type Step, type Task } from './job.js';
-import { addLoad, emptyRuns, type WorkerRuns } from './jobs-state.js';
+import { addLoad, emptyWorkerRuns, type WorkerRuns } from './jobs-state.js';
 import type { TaskSize } from './spec.js';
 
 /** Processors requested by the waiting tasks of a size class, and in use by its running ones. */
@@ -233,7 +233,7 @@
 
 /** Returns the part of a load that long-running tasks cause. */
 function longRunningLoadOf(load: WorkerRuns): WorkerRuns {
-  const result = emptyRuns();
+  const result = emptyWorkerRuns();
   for (const [key, run] of load.runs) {
     if (run.task.step.spec.lasting) {
       result.runs.set(key, run);
--- a/packages/domain/src/jobs/spec.ts
+++ b/packages/domain/src/jobs/spec.ts
@@ -46,7 +46,7 @@
 }
 
 /** Defaults for building steps: one task of one core without further requirements. */
-export const PLAIN_STEP: StepSpec = {
+export const DEFAULT_STEP: StepSpec = {
   tasks: 1,
   size: { cpuMilli: 1_000, memoryMiB: 1_000, accelerators: 0 },
   estimateMs: 1_000,
@@ -121,7 +121,7 @@
 }
 
 /** Returns the size of one occurrence of a job by the caller's estimates. */
-export function askedSizeOf({ steps }: JobSpec): EstimatedSize {
+export function estimatedSizeOf({ steps }: JobSpec): EstimatedSize {
   const sum = (of: (step: StepSpec) => number): number =>
     steps.reduce((total, step) => total + of(step), 0);
   return {
--- a/packages/domain/src/jobs/speculative-copies.ts
+++ b/packages/domain/src/jobs/speculative-copies.ts
@@ -42,7 +42,7 @@
 
 /** Yields the runs that may get a copy and have none yet. */
 function* runsWithoutCopy({ state }: PlanInput): Iterable<Run> {
-  for (const job of state.open) {
+  for (const job of state.openJobs) {
     for (const { steps } of job.occurrences.values()) {
       for (const step of steps.filter(allowsCopies)) {
         // A copy of a task that may crash its worker could crash a second worker.
--- a/packages/domain/src/jobs/summary.ts
+++ b/packages/domain/src/jobs/summary.ts
@@ -169,7 +169,7 @@
   private readonly waiting = new Map<string, number>();
 
   /** Number of jobs that are not finished. */
-  get open(): number {
+  get openJobs(): number {
     let count = 0;
     for (const { finishedAt } of this.jobs.values()) {
       count += Number(finishedAt === Infinity);
--- a/packages/domain/src/jobs/suspect-tasks.test.ts
+++ b/packages/domain/src/jobs/suspect-tasks.test.ts
@@ -21,7 +21,7 @@
   type LossEvidence,
 } from './loss-attribution.js';
 import {
-  apply,
+  applyRecord,
   stateOf,
   startOn,
   taskOf,
@@ -63,7 +63,7 @@
   const { task, number } = run;
   const ref = refOf(task);
   const ended = { task: ref, run: number, checkpoint: '', suspicion, age };
-  apply(state, { kind: 'lost', ...ended });
+  applyRecord(state, { kind: 'lost', ...ended });
 }
 
 function startAndLose(
@@ -166,7 +166,7 @@
   startAndLose(state, task, 'sole');
   assert.equal(statusOf(job), 'failed');
   assert.deepEqual(workersLostUnder(task), ['w1', 'w2', 'w3']);
-  assert.equal(state.open.has(job), false);
+  assert.equal(state.openJobs.has(job), false);
 });
 
 test('the loss of a run that had been running for long clears its task', () => {
@@ -196,7 +196,7 @@
   startAndLose(state, task, 'sole');
   const reader = stateOf();
   const image = imageOf(task.step.occurrence.job, state);
-  apply(reader, { kind: 'restate', image });
+  applyRecord(reader, { kind: 'restate', image });
   const restored = taskOf(reader, 'a', 0, 0);
   assert.deepEqual(workersLostUnder(restored), ['w1', 'w2']);
   startAndLose(reader, restored, 'sole');
@@ -266,7 +266,7 @@
     const text = JSON.stringify(['e', 'a.0.0.0', run, 'lapsed']);
     const earlier = decodeJournal(new TextEncoder().encode(text));
     assert.ok(earlier);
-    apply(state, earlier);
+    applyRecord(state, earlier);
   }
   assert.equal(isAbandoned(task), false);
   startAndLose(state, task, 'sole');
@@ -364,7 +364,7 @@
   const read = decodeJournal(encodeRecord({ kind: 'restate', image }));
   assert.ok(read?.kind === 'restate');
   const reader = stateOf();
-  apply(reader, read);
+  applyRecord(reader, read);
   assert.deepEqual(taskOf(reader, 'a', 0, 0).lossHistory.losses, [
     {
       worker: 'w1',
--- a/packages/domain/src/jobs/test-support.ts
+++ b/packages/domain/src/jobs/test-support.ts
@@ -16,7 +16,7 @@
 import type { PlanInput, StartDecision } from './plan.js';
 import { createRunTimes } from './run-times.js';
 import {
-  PLAIN_STEP,
+  DEFAULT_STEP,
   type JobSpec,
   type QueueTerms,
   type StepSpec,
@@ -41,7 +41,7 @@
   return {
     id,
     payload: '',
-    steps: steps.map(step => ({ ...PLAIN_STEP, ...step })),
+    steps: steps.map(step => ({ ...DEFAULT_STEP, ...step })),
     repetition: undefined,
     terms: { ...TERMS, ...terms },
   };
@@ -97,7 +97,7 @@
   state: JobsState,
   { task, run, worker }: StartDecision,
 ): Run {
-  apply(state, { kind: 'start', task: refOf(task), run, worker });
+  applyRecord(state, { kind: 'start', task: refOf(task), run, worker });
   const found = task.runs.at(-1);
   if (found === undefined) {
     throw new Error('the start was not applied');
@@ -107,7 +107,7 @@
 }
 
 /** Encodes, decodes and applies a record of the journal. */
-export function apply(state: JobsState, record: JournalRecord): void {
+export function applyRecord(state: JobsState, record: JournalRecord): void {
   const decoded = decodeJournal(encodeRecord(record));
   if (decoded === undefined) {
     throw new Error(`not decoded: ${record.kind}`);
@@ -142,7 +142,7 @@
   how: Extract<JournalRecord, { kind: 'end' }>['how'],
   checkpoint = '',
 ): void {
-  apply(state, {
+  applyRecord(state, {
     kind: 'end',
     task: refOf(run.task),
     run: run.number,
--- a/packages/ports/src/jobs/worker-port.ts
+++ b/packages/ports/src/jobs/worker-port.ts
@@ -117,5 +117,5 @@
    */
   isConnected(worker: WorkerAddress): boolean;
   /** Closes the connections to a removed worker. */
-  forget(worker: WorkerAddress): void;
+  disconnect(worker: WorkerAddress): void;
 }
--- a/packages/stand-ins/src/jobs/job-history.ts
+++ b/packages/stand-ins/src/jobs/job-history.ts
@@ -161,7 +161,11 @@
   }
 
   /** Records the state of a job that was reported to a caller whose request was sent at `requestedAt`. */
-  told(job: string, requestedAt: Instant, state: StatusReport['state']): void {
+  recordStatus(
+    job: string,
+    requestedAt: Instant,
+    state: StatusReport['state'],
+  ): void {
     this.statusReports.push({
       job,
       requestedAt,
@@ -245,7 +249,7 @@
   }
 
   /** Returns the number of a job's runs that have not ended. */
-  runningOf(id: string): number {
+  countActiveRuns(id: string): number {
     return [...this.runs.values()].filter(
       ({ task, endedAt }) => task.job === id && endedAt === Infinity,
     ).length;
--- a/packages/stand-ins/src/jobs/memory-fleet.ts
+++ b/packages/stand-ins/src/jobs/memory-fleet.ts
@@ -35,9 +35,9 @@
   /** Whether the registry is unavailable. */
   registryUnavailable = false;
   /** Whether every start is rejected for lack of capacity. */
-  refusesStarts = false;
+  rejectsStarts = false;
   /** Broken network links, as `host>worker`. */
-  readonly cuts = new Set<string>();
+  readonly brokenLinks = new Set<string>();
   /** Delay of poll responses by machine, in milliseconds; may exceed the timeout. */
   readonly pollDelays = new Map<string, number>();
   /** Additional response time of orders by machine, in milliseconds; must be below the timeout. */
@@ -157,7 +157,7 @@
     return {
       start: (to, order) =>
         this.order(host, to, worker =>
-          this.refusesStarts
+          this.rejectsStarts
             ? { kind: 'rejected', why: 'no_room', clock: worker.clock }
             : worker.start(order),
         ),
@@ -182,7 +182,7 @@
           worker !== undefined && worker === this.reachableWorker(host, to)
         );
       },
-      forget: () => undefined,
+      disconnect: () => undefined,
     };
   }
 
@@ -292,7 +292,7 @@
     host: string,
     to: WorkerAddress,
   ): MemoryWorker | undefined {
-    if (this.cuts.has(`${host}>${to.address}`)) {
+    if (this.brokenLinks.has(`${host}>${to.address}`)) {
       return undefined;
     }
     return this.at(to.address);
--- a/packages/stand-ins/src/jobs/memory-job-log.ts
+++ b/packages/stand-ins/src/jobs/memory-job-log.ts
@@ -98,7 +98,7 @@
   }
 
   /** Removes the journal records before `offset` and all current inbox records. */
-  trimTo(offset: number): void {
+  trimJournalAndInbox(offset: number): void {
     this.streams.journal.firstOffset = offset;
     this.streams.inbox.firstOffset = this.streams.inbox.records.length;
   }
--- a/packages/stand-ins/src/jobs/response-guarantees.test.ts
+++ b/packages/stand-ins/src/jobs/response-guarantees.test.ts
@@ -16,7 +16,7 @@
 
 test('a job reported as completed before all its tasks are done is a violation', () => {
   const scenario = scenarioOfTwoTasks();
-  scenario.history.told(JOB, 2_000, 'completed');
+  scenario.history.recordStatus(JOB, 2_000, 'completed');
   scenario.endRun(4_000, task(1), 1, 'done');
   assert.deepEqual(scenario.violatedGuarantees(), ['completed_when_done']);
 });
@@ -24,10 +24,10 @@
 test('a job may be reported as completed once all tasks, or one member of a gang, are done', () => {
   const scenario = scenarioOfTwoTasks();
   scenario.endRun(4_000, task(1), 1, 'done');
-  scenario.history.told(JOB, 3_000, 'completed');
+  scenario.history.recordStatus(JOB, 3_000, 'completed');
   assert.deepEqual(scenario.violatedGuarantees(), []);
   const gang = scenarioOfTwoTasks(true);
-  gang.history.told(JOB, 2_000, 'completed');
+  gang.history.recordStatus(JOB, 2_000, 'completed');
   assert.deepEqual(gang.violatedGuarantees(), []);
 });
 
@@ -39,7 +39,7 @@
   scenario.endRun(400, task(0), 2, 'lapsed');
   scenario.startRun(300, task(1), 1);
   scenario.endRun(400, task(1), 1, 'failed');
-  scenario.history.told(JOB, 400, 'failed');
+  scenario.history.recordStatus(JOB, 400, 'failed');
   assert.deepEqual(scenario.violatedGuarantees(), ['failed_when_spent']);
 });
 
@@ -49,7 +49,7 @@
     scenario.startRun(100, task(index), 1);
     scenario.endRun(200, task(index), 1, 'failed');
   }
-  scenario.history.told(JOB, 400, 'failed');
+  scenario.history.recordStatus(JOB, 400, 'failed');
   assert.deepEqual(scenario.violatedGuarantees(), ['failed_when_spent']);
 });
 
@@ -60,7 +60,7 @@
       scenario.startRun(run * 100, task(0), run);
       scenario.endRun(run * 100 + 50, task(0), run, 'failed');
     }
-    scenario.history.told(JOB, 250, 'failed');
+    scenario.history.recordStatus(JOB, 250, 'failed');
     assert.deepEqual(scenario.violatedGuarantees(), []);
   }
 });
@@ -71,37 +71,37 @@
     cancelledAt: 2_000,
   });
   scenario.now = 1_000;
-  scenario.history.told(JOB, 900, 'cancelled');
+  scenario.history.recordStatus(JOB, 900, 'cancelled');
   assert.deepEqual(scenario.violatedGuarantees(), []);
   scenario.now = 999;
-  scenario.history.told(JOB, 900, 'cancelled');
+  scenario.history.recordStatus(JOB, 900, 'cancelled');
   assert.deepEqual(scenario.violatedGuarantees(), ['cancelled_when_asked']);
 });
 
 test('an accepted job reported as unknown is a violation', () => {
   const scenario = new Scenario([PAIR]);
   scenario.now = 3_002;
-  scenario.history.told(JOB, 3_001, 'no_such_job');
+  scenario.history.recordStatus(JOB, 3_001, 'no_such_job');
   assert.deepEqual(scenario.violatedGuarantees(), ['known_once_accepted']);
 });
 
 test('a job may be unknown soon after its acceptance, after a cancel, or long after its end', () => {
   const early = new Scenario([PAIR]);
   early.now = 3_100;
-  early.history.told(JOB, 3_000, 'no_such_job');
+  early.history.recordStatus(JOB, 3_000, 'no_such_job');
   assert.deepEqual(early.violatedGuarantees(), []);
   const cancelled = new Scenario([PAIR], { cancelRequestedAt: 2_000 });
   cancelled.now = 4_000;
-  cancelled.history.told(JOB, 3_500, 'no_such_job');
+  cancelled.history.recordStatus(JOB, 3_500, 'no_such_job');
   assert.deepEqual(cancelled.violatedGuarantees(), []);
   const finished = scenarioOfTwoTasks();
   finished.history.statusMs = 20_000;
   finished.endRun(4_000, task(1), 1, 'done');
   finished.now = 24_000;
-  finished.history.told(JOB, 23_000, 'no_such_job');
+  finished.history.recordStatus(JOB, 23_000, 'no_such_job');
   assert.deepEqual(finished.violatedGuarantees(), []);
   finished.now = 23_999;
-  finished.history.told(JOB, 23_000, 'no_such_job');
+  finished.history.recordStatus(JOB, 23_000, 'no_such_job');
   assert.deepEqual(finished.violatedGuarantees(), ['known_once_accepted']);
 });
 
@@ -167,13 +167,13 @@
   const scenario = new Scenario([{ tasks: 1, after: [] }]);
   scenario.startRun(100, task(), 1, 'w1');
   scenario.crashWorker(110, task(), 1, 'w1');
-  scenario.history.told(JOB, 200, 'failed');
+  scenario.history.recordStatus(JOB, 200, 'failed');
   assert.deepEqual(scenario.violatedGuarantees(), ['failed_when_spent']);
   const abandoned = new Scenario([{ tasks: 1, after: [] }]);
   for (const run of [1, 2]) {
     abandoned.startRun(run * 100, task(), run, 'w1');
     abandoned.crashWorker(run * 100 + 10, task(), run, 'w1');
   }
-  abandoned.history.told(JOB, 300, 'failed');
+  abandoned.history.recordStatus(JOB, 300, 'failed');
   assert.deepEqual(abandoned.violatedGuarantees(), []);
 });
