--- a/packages/cli/src/app.test.ts
+++ b/packages/cli/src/app.test.ts
@@ -43,7 +43,7 @@
 const objects = new Map<ObjectKey, VersionedObject>();
 const applied: OperatorChange[][] = [];
 const released: string[][] = [];
-let verdict: AppError | undefined;
+let applyError: AppError | undefined;
 let notReady: string[] = [];
 let waitingFor: string[] = [];
 let folder = '';
@@ -55,7 +55,7 @@
     apply: (_, changes) => {
       applied.push([...changes]);
       return Promise.resolve(
-        verdict === undefined ? Result.ok(7) : Result.err(verdict),
+        applyError === undefined ? Result.ok(7) : Result.err(applyError),
       );
     },
     waitInForce: () => Promise.resolve(waitingFor),
@@ -105,7 +105,7 @@
   server.close();
 });
 
-function declare(name: string, value: unknown): string {
+function writeDeclaration(name: string, value: unknown): string {
   const file = join(folder, name);
   writeFileSync(
     file,
@@ -128,18 +128,18 @@
 function reset(): void {
   objects.clear();
   applied.length = 0;
-  verdict = undefined;
+  applyError = undefined;
   notReady = [];
   waitingFor = [];
 }
 
-function putInForce(declaration: unknown, version: number): void {
+function setInForce(declaration: unknown, version: number): void {
   const object = objectSchema.parse(declaration);
   objects.set(objectKey(object.kind, object.name), { object, version });
 }
 
-test('validate tells file, path, value and expectation of every fault', async () => {
-  const file = declare('bad.json', [
+test('validate reports file, path, value and expectation of every error', async () => {
+  const file = writeDeclaration('bad.json', [
     { ...TEAM, weight: -1 },
     { ...TEAM, colour: 'red' },
   ]);
@@ -149,32 +149,35 @@
   assert.match(err, /bad\.json\[1\].*colour/);
 });
 
-test('validate refuses broken JSON and doubled names', async () => {
-  assert.equal((await cli('validate', declare('broken.json', '{'))).code, 2);
+test('validate rejects malformed JSON and duplicate names', async () => {
+  assert.equal(
+    (await cli('validate', writeDeclaration('broken.json', '{'))).code,
+    2,
+  );
   const { code, err } = await cli(
     'validate',
-    declare('twice.json', [TEAM, TEAM]),
+    writeDeclaration('twice.json', [TEAM, TEAM]),
   );
   assert.equal(code, 2);
   assert.match(err, /team\/statements: is declared twice/);
 });
 
-test('diff exits 20 on differences and 0 without', async () => {
+test('diff exits with 20 if there are differences, otherwise with 0', async () => {
   reset();
-  const file = declare('team.json', TEAM);
+  const file = writeDeclaration('team.json', TEAM);
   const different = await cli('diff', file);
   assert.equal(different.code, 20);
   assert.equal(different.out, 'create team/statements');
-  putInForce(TEAM, 3);
+  setInForce(TEAM, 3);
   assert.equal((await cli('diff', file)).code, 0);
 });
 
-test('apply sends the version that it is based on', async () => {
+test('apply sends the base version of each change', async () => {
   reset();
-  putInForce({ ...TEAM, weight: 5 }, 3);
+  setInForce({ ...TEAM, weight: 5 }, 3);
   const { code, out } = await cli(
     'apply',
-    declare('team.json', TEAM),
+    writeDeclaration('team.json', TEAM),
     '--json',
   );
   assert.equal(code, 0);
@@ -193,11 +196,11 @@
   assert.equal(applied[0]?.[0]?.baseVersion, 3);
 });
 
-test('apply deletes what is not declared only with --prune', async () => {
+test('apply deletes undeclared objects only with --prune', async () => {
   reset();
-  putInForce({ ...TEAM, name: 'old' }, 2);
-  putInForce(TEAM, 3);
-  const file = declare('team.json', TEAM);
+  setInForce({ ...TEAM, name: 'old' }, 2);
+  setInForce(TEAM, 3);
+  const file = writeDeclaration('team.json', TEAM);
   assert.equal((await cli('apply', file)).out, 'nothing to change');
   await cli('apply', file, '--prune');
   assert.deepEqual(applied[0], [
@@ -205,35 +208,35 @@
   ]);
 });
 
-test('a conflict has its own exit code and says what to do', async () => {
+test('a conflict has its own exit code and prints advice', async () => {
   reset();
-  verdict = appError('conflict', 'team/statements is at version 5');
-  const { code, err } = await cli('apply', declare('team.json', TEAM));
+  applyError = appError('conflict', 'team/statements is at version 5');
+  const { code, err } = await cli('apply', writeDeclaration('team.json', TEAM));
   assert.equal(code, 5);
   assert.match(err, /version 5/);
   assert.match(err, /diff/);
 });
 
-test('apply --wait names the entry hosts that lag', async () => {
+test('apply --wait lists the entry hosts that lag behind', async () => {
   reset();
   waitingFor = ['entry-3'];
   const { code, err } = await cli(
     'apply',
-    declare('team.json', TEAM),
+    writeDeclaration('team.json', TEAM),
     '--wait',
   );
   assert.equal(code, 10);
   assert.match(err, /accepted at offset 7.*entry-3/);
 });
 
-test('a server that cannot be reached is passed over', async () => {
+test('calls fail over from an unreachable server to the next one', async () => {
   reset();
   const { code, out } = await cli('top', '--server', `127.0.0.1:1,${address}`);
   assert.equal(code, 0);
   assert.match(out, /entry-1/);
 });
 
-test('a host that is not ready says why', async () => {
+test('prints why a host is not ready', async () => {
   reset();
   notReady = ['configuration is behind'];
   const { code, err } = await cli('get');
@@ -243,13 +246,17 @@
 
 test('jobs are submitted by name', async () => {
   reset();
-  const { code, out } = await cli('job', 'submit', declare('job.json', JOB));
+  const { code, out } = await cli(
+    'job',
+    'submit',
+    writeDeclaration('job.json', JOB),
+  );
   assert.equal(code, 0);
   assert.equal(out, 'job november is accepted by shard salem');
   assert.equal((await cli('job', 'cancel', 'x')).code, 4);
 });
 
-test('a release carries the id of its request', async () => {
+test('job release sends its request id', async () => {
   reset();
   const { code, out } = await cli('job', 'release', 'november', '--id', 'r1');
   assert.equal(code, 0);
@@ -257,30 +264,32 @@
   assert.deepEqual(released, [['november', 'r1']]);
 });
 
-test('a job without a size is invalid', async () => {
-  const file = declare('job.json', { ...JOB, size: undefined });
+test('job submit rejects a job without a size', async () => {
+  const file = writeDeclaration('job.json', { ...JOB, size: undefined });
   const { code, err } = await cli('job', 'submit', file);
   assert.equal(code, 2);
   assert.match(err, /size/);
 });
 
-test('unknown commands and options are refused', async () => {
+test('unknown commands and options are rejected', async () => {
   assert.equal((await cli('frobnicate')).code, 2);
   assert.equal((await cli('top', '--colour')).code, 2);
   assert.equal((await cli('constructor')).code, 2);
 });
 
-test('a server that breaks off is told as not reached, with a hint on certificates', async t => {
-  const rude = createTcpServer(socket => socket.destroy());
-  t.after(() => rude.close());
-  await new Promise<void>(resolve => rude.listen(0, '127.0.0.1', resolve));
-  const { port } = rude.address() as AddressInfo;
+test('a connection reset is reported as unreachable, with a hint on certificates', async t => {
+  const resetServer = createTcpServer(socket => socket.destroy());
+  t.after(() => resetServer.close());
+  await new Promise<void>(resolve =>
+    resetServer.listen(0, '127.0.0.1', resolve),
+  );
+  const { port } = resetServer.address() as AddressInfo;
   const { code, err } = await cli('top', '--server', `127.0.0.1:${port}`);
   assert.equal(code, 8);
   assert.match(err, /cannot be reached.*certificate/);
 });
 
-test('the files of a certificate go together and must be there', async () => {
+test('certificate options are only valid together and need existing files', async () => {
   const alone = await cli('top', '--cert', 'host.pem');
   assert.equal(alone.code, 2);
   assert.match(alone.err, /go together/);
@@ -288,7 +297,7 @@
   assert.match(absent.err, /x: no such file/);
 });
 
-test('the reference names every command and every exit code', async () => {
+test('the CLI reference documents every command and exit code', async () => {
   const page = readFileSync(
     new URL('../../../docs/CLI.md', import.meta.url),
     'utf8',
--- a/packages/cli/src/app.ts
+++ b/packages/cli/src/app.ts
@@ -1,4 +1,4 @@
-/** The command line: flags, commands and their dispatch. */
+/** Parses the command line and dispatches to its commands. */
 import { randomUUID } from 'node:crypto';
 import { existsSync } from 'node:fs';
 
@@ -90,7 +90,7 @@
 
 type ParsedFlags = ReturnType<typeof parse>['flags'];
 
-/** Runs one command line; resolves to the exit code. */
+/** Runs one command and resolves to its exit code. */
 export async function runCli(
   argv: readonly string[],
   env: Readonly<Record<string, string | undefined>>,
@@ -115,7 +115,7 @@
       appError('invalid', `unknown command ${name}; see paddlewind --help`),
     ]);
   }
-  const tls = tlsOf(flags);
+  const tls = tlsFromFlags(flags);
   if (tls.isErr) {
     return fail(io, flags.json, [tls.error]);
   }
@@ -149,7 +149,9 @@
   return Object.keys(flags).filter(flag => !KNOWN_FLAGS.has(flag));
 }
 
-function tlsOf(flags: ParsedFlags): Result<ClientTls | undefined, AppError> {
+function tlsFromFlags(
+  flags: ParsedFlags,
+): Result<ClientTls | undefined, AppError> {
   const { cert, key, ca } = flags;
   if (cert === undefined && key === undefined && ca === undefined) {
     return Result.ok(undefined);
--- a/packages/cli/src/burn/burn.test.ts
+++ b/packages/cli/src/burn/burn.test.ts
@@ -4,7 +4,7 @@
 import { create } from '@bufbuild/protobuf';
 import { BurnResponseSchema, type BurnResponse } from '@paddlewind/protocol';
 
-import { reportOf, windowName } from './model.js';
+import { buildReport, windowName } from './model.js';
 import { burnPage } from './page.js';
 import { burnText } from './text.js';
 
@@ -26,7 +26,7 @@
   { withoutBatch: true, bad: 1 },
 ];
 
-function sample(): BurnResponse {
+function sampleResponse(): BurnResponse {
   return create(BurnResponseSchema, {
     windows: SERIES.flatMap(series =>
       WINDOWS.map(windowSeconds => ({
@@ -53,13 +53,13 @@
   });
 }
 
-test('windows have short names', () => {
+test('formats the lengths of windows', () => {
   const names = [90, ...WINDOWS].map(windowName);
   assert.deepEqual(names, ['90 s', '5 min', '30 min', '1 h', '6 h', '3 d']);
 });
 
-test('the report is grouped by service', () => {
-  const service = reportOf(sample()).services.at(0);
+test('the burn report is grouped by service', () => {
+  const service = buildReport(sampleResponse()).services.at(0);
   assert.ok(service !== undefined);
   assert.deepEqual(
     service.zones.map(zone => zone.name),
@@ -69,22 +69,22 @@
   assert.equal(service.all.cells[0]?.failed, 20);
 });
 
-test('the text names alerts, rates and missing hosts', () => {
-  const text = burnText(reportOf(sample()));
+test('the text report lists alerts, burn rates and missing hosts', () => {
+  const text = burnText(buildReport(sampleResponse()));
   assert.match(text, /^alert: memberlink burns its budget \(fast\)/);
   assert.match(text, /memberlink +salem( +38\.00){5} +1000 +19 +19 +407\.1 %/);
   assert.match(text, /missing: entry-3/);
 });
 
-test('the page is whole, needs nothing else and escapes names', () => {
-  const page = burnPage(reportOf(sample()), '2026-01-01');
+test('the HTML page is complete, self-contained and escapes names', () => {
+  const page = burnPage(buildReport(sampleResponse()), '2026-01-01');
   assert.equal(page.match(/<svg/g)?.length, 2);
   assert.ok(!page.includes('<b>archive'));
   assert.ok(!/<script|<link|src=|@import/.test(page));
   assert.match(page, /<\/html>\n$/);
 });
 
-test('a report without services is a page as well', () => {
-  const page = burnPage(reportOf(create(BurnResponseSchema, {})), 'now');
+test('renders a page for a report without services', () => {
+  const page = burnPage(buildReport(create(BurnResponseSchema, {})), 'now');
   assert.match(page, /No service has had a request/);
 });
--- a/packages/cli/src/burn/charts.ts
+++ b/packages/cli/src/burn/charts.ts
@@ -1,4 +1,4 @@
-/** Plots of burn, drawn to SVG without a browser. */
+/** Burn rate charts, rendered to SVG without a browser. */
 import { BarChart } from 'echarts/charts';
 import {
   GridComponent,
@@ -13,12 +13,12 @@
 use([BarChart, GridComponent, LegendComponent, MarkLineComponent, SVGRenderer]);
 
 const WIDTH = 880;
-const ZONES_HEIGHT = 320;
+const WINDOWS_CHART_HEIGHT = 320;
 const BAR_HEIGHT = 30;
 const MARGIN_HEIGHT = 70;
 const MAX_BARS = 16;
 
-/** Okabe and Ito's colours, told apart by colour-blind readers as well. */
+/** The Okabe-Ito palette, which colour-blind readers can distinguish. */
 const COLOURS = [
   '#0072b2',
   '#e69f00',
@@ -32,7 +32,7 @@
 
 const TEXT_STYLE = { fontFamily: 'sans-serif', fontSize: 13 };
 
-function draw(option: EChartsCoreOption, height: number): string {
+function renderSvg(option: EChartsCoreOption, height: number): string {
   const chart = init(null, null, {
     renderer: 'svg',
     ssr: true,
@@ -54,7 +54,7 @@
   return Number(rate.toPrecision(3));
 }
 
-/** A line at the rate that spends the budget in exactly its period. */
+/** Marks the burn rate 1, at which the budget lasts exactly its period. */
 function evenRateLine(axis: 'xAxis' | 'yAxis') {
   return {
     silent: true,
@@ -65,10 +65,10 @@
   };
 }
 
-/** Draws the burn rate of each series in each window. */
+/** Renders the burn rate of each series in each window. */
 export function windowsChart(series: readonly BurnSeries[]): string {
   const windows = series[0]?.cells ?? [];
-  return draw(
+  return renderSvg(
     {
       legend: { top: 0, itemGap: 28, textStyle: TEXT_STYLE },
       grid: { left: 70, right: 60, top: 40, bottom: 40 },
@@ -89,11 +89,11 @@
         ...(index === 0 ? { markLine: evenRateLine('yAxis') } : {}),
       })),
     },
-    ZONES_HEIGHT,
+    WINDOWS_CHART_HEIGHT,
   );
 }
 
-/** Draws the burn rate of the series with the highest rates in one window, highest first. */
+/** Renders the series with the highest burn rates in one window, highest first. */
 export function neighboursChart(
   series: readonly BurnSeries[],
   windowSeconds: number,
@@ -106,7 +106,7 @@
     })
     .sort((a, b) => a.rate - b.rate)
     .slice(-MAX_BARS);
-  return draw(
+  return renderSvg(
     {
       grid: {
         left: 16,
--- a/packages/cli/src/burn/model.ts
+++ b/packages/cli/src/burn/model.ts
@@ -1,25 +1,25 @@
-/** The report on burn as its renderings need it. */
+/** Model of the burn report, shared by its text and HTML renderers. */
 import type { BurnResponse, BurnWindow } from '@paddlewind/protocol';
 
-/** Burn of one series of requests in one window. */
+/** Error budget burn of one series in one window. */
 export interface BurnCell {
   readonly windowSeconds: number;
   readonly requests: number;
   readonly failed: number;
   readonly slow: number;
-  /** 1 spends the error budget in exactly its period. */
+  /** At a rate of 1 the error budget lasts exactly its period. */
   readonly burnRate: number;
-  /** Share of the period's budget. */
+  /** Fraction of the period's budget spent in this window. */
   readonly budgetSpent: number;
 }
 
-/** A series of requests, such as those of one zone, with a cell for each window, shortest first. */
+/** A group of requests, such as those of one zone, with a cell for each window, shortest first. */
 export interface BurnSeries {
   readonly name: string;
   readonly cells: readonly BurnCell[];
 }
 
-/** Burn of one service. */
+/** Error budget burn of one service. */
 export interface ServiceBurn {
   readonly service: string;
   readonly objective: string;
@@ -27,11 +27,11 @@
   readonly alerts: readonly string[];
   readonly all: BurnSeries;
   readonly zones: readonly BurnSeries[];
-  /** Series by batch job on the same worker; the one of workers without batch work first, where there is one. */
+  /** A series for each batch job on the same worker, after the series of workers without batch work, if any. */
   readonly neighbours: readonly BurnSeries[];
 }
 
-/** The report. */
+/** Burn of all services, with fleet-wide totals. */
 export interface BurnReport {
   readonly services: readonly ServiceBurn[];
   readonly evictions: number;
@@ -40,7 +40,7 @@
   readonly missing: readonly string[];
 }
 
-/** Name of the series of requests to workers without batch work. */
+/** Name of the series for requests to workers without batch work. */
 export const WITHOUT_BATCH = '(no batch work)';
 
 const ALL = 'all';
@@ -50,15 +50,15 @@
   { seconds: 60, unit: 'min' },
 ] as const;
 
-/** Names a window, such as `30 min`. */
+/** Formats the length of a window, such as `30 min`. */
 export function windowName(seconds: number): string {
-  const fitting = WINDOW_UNITS.find(each => seconds % each.seconds === 0);
-  return fitting === undefined
+  const exact = WINDOW_UNITS.find(each => seconds % each.seconds === 0);
+  return exact === undefined
     ? `${seconds} s`
-    : `${seconds / fitting.seconds} ${fitting.unit}`;
+    : `${seconds / exact.seconds} ${exact.unit}`;
 }
 
-/** Writes a share such as 0.125 as `12.5 %`. */
+/** Formats a fraction such as 0.125 as `12.5 %`. */
 export function percent(share: number): string {
   const digits = share > 0 && share < 0.001 ? 3 : 1;
   return `${(share * 100).toFixed(digits)} %`;
@@ -113,8 +113,8 @@
   }));
 }
 
-/** Groups the rows of a report by service. */
-export function reportOf(burn: BurnResponse): BurnReport {
+/** Groups the rows of a burn response by service. */
+export function buildReport(burn: BurnResponse): BurnReport {
   const names = [...new Set(burn.windows.map(row => row.service))].sort();
   const services = names.map((service): ServiceBurn => {
     const rows = burn.windows.filter(row => row.service === service);
--- a/packages/cli/src/burn/page.ts
+++ b/packages/cli/src/burn/page.ts
@@ -1,4 +1,4 @@
-/** The report on burn as one page of HTML that needs nothing else. */
+/** Renders the burn report as a self-contained HTML page. */
 import { neighboursChart, windowsChart } from './charts.js';
 import {
   type BurnReport,
@@ -130,8 +130,8 @@
   return `<p class="missing">Not in this report, since they did not answer: ${names}</p>`;
 }
 
-/** Returns the page; `madeAt` names the time of the report. */
-export function burnPage(report: BurnReport, madeAt: string): string {
+/** Returns the HTML page; `createdAt` is the report's time as shown on it. */
+export function burnPage(report: BurnReport, createdAt: string): string {
   const figures = [
     figure(String(report.evictions), 'evictions in 3 d'),
     figure(
@@ -146,7 +146,7 @@
 <head><meta charset="utf-8"><title>Service-level burn</title><style>${STYLE}</style></head>
 <body>
 <h1>Service-level burn</h1>
-<p class="note">${escapeHtml(madeAt)}. A burn rate of 1 spends the error budget in exactly its period.</p>
+<p class="note">${escapeHtml(createdAt)}. A burn rate of 1 spends the error budget in exactly its period.</p>
 ${missingBox(report)}
 <div class="figures">${figures.join('')}</div>
 ${sections.join('\n') || '<p>No service has had a request.</p>'}
--- a/packages/cli/src/burn/text.ts
+++ b/packages/cli/src/burn/text.ts
@@ -1,4 +1,4 @@
-/** The report on burn as text. */
+/** Renders the burn report as text. */
 import { table } from '../output.js';
 import {
   type BurnReport,
@@ -20,7 +20,7 @@
     : cell.burnRate.toFixed(2);
 }
 
-/** Burn rates by window, then the counts of the longest one. */
+/** Returns the burn rate in each window, followed by the counts of the longest one. */
 function rowOf(
   service: string,
   series: BurnSeries,
@@ -66,7 +66,7 @@
   );
 }
 
-/** Returns the report as lines for a person. */
+/** Returns the report as human-readable lines. */
 export function burnText(report: BurnReport): string {
   const missing =
     report.missing.length === 0
--- a/packages/cli/src/client.ts
+++ b/packages/cli/src/client.ts
@@ -1,4 +1,4 @@
-/** Connection to the entry hosts, with a fall-over between them. */
+/** Client of the entry hosts, with failover between them. */
 import { readFileSync } from 'node:fs';
 
 import {
@@ -24,24 +24,24 @@
 import { createConnectTransport } from '@connectrpc/connect-node';
 import { Result } from 'true-myth';
 
-/** The operators' calls. */
+/** Client of the operator service. */
 export type OperatorClient = Client<typeof OperatorService>;
 
-/** Files of the certificate that the command line presents. */
+/** Files of the client certificate that the command line presents. */
 export interface ClientTls {
   readonly certFile: string;
   readonly keyFile: string;
   readonly caFile: string;
 }
 
-/** Calls one entry host after another until one answers; every call is idempotent by its id. */
+/** Tries the entry hosts in order until one answers; each call is idempotent by its id. */
 export interface Operators {
   call<T>(
     run: (client: OperatorClient) => Promise<T>,
   ): Promise<Result<T, AppError>>;
 }
 
-/** Builds the calls to `servers`, each `ip:port`. */
+/** Creates the client for `servers`, each `ip:port`. */
 export function createOperators(
   servers: readonly string[],
   tls: ClientTls | undefined,
@@ -60,7 +60,7 @@
         try {
           return Result.ok(await run(client));
         } catch (err) {
-          last = fromConnectError(ConnectError.from(err), server);
+          last = toAppError(ConnectError.from(err), server);
           if (last.kind !== 'not_ready' && last.kind !== 'log_unavailable') {
             return Result.err(last);
           }
@@ -91,11 +91,11 @@
   return createClient(OperatorService, transport);
 }
 
-/** Turns a failed call into an error of the closed list. */
-export function fromConnectError(err: ConnectError, server: string): AppError {
+/** Converts a failed call to an application error. */
+export function toAppError(err: ConnectError, server: string): AppError {
   const kind = err.metadata.get(ERROR_KIND_HEADER);
   if (kind === null || !isErrorKind(kind)) {
-    return withoutKind(err, server);
+    return toTransportError(err, server);
   }
   const path = err.metadata.get(ERROR_PATH_HEADER);
   const retryAfterMs = Number(err.metadata.get(RETRY_AFTER_MS_HEADER) ?? NaN);
@@ -107,7 +107,7 @@
   });
 }
 
-function withoutKind(err: ConnectError, server: string): AppError {
+function toTransportError(err: ConnectError, server: string): AppError {
   if (err.code === Code.Unavailable || isBrokenConnection(err)) {
     return appError(
       'not_ready',
@@ -121,7 +121,7 @@
   return appError('internal', `${server}: ${err.rawMessage}`);
 }
 
-/** Codes of a connection that was refused or broke off without an answer. */
+/** Error codes of a connection that was refused or closed without a response. */
 const BROKEN_CONNECTION_CODES: ReadonlySet<unknown> = new Set([
   'ECONNREFUSED',
   'ECONNRESET',
--- a/packages/cli/src/command.ts
+++ b/packages/cli/src/command.ts
@@ -1,8 +1,8 @@
-/** What every command is given. */
+/** Interface of a command. */
 import type { Operators } from './client.js';
 import type { Io } from './output.js';
 
-/** A command's surroundings: operands, flags, calls and output. */
+/** Operands, flags, client and output passed to a command. */
 export interface CommandContext {
   readonly args: readonly string[];
   readonly flags: Flags;
@@ -12,7 +12,7 @@
   readonly newId: () => string;
 }
 
-/** Flags of the command line. */
+/** Parsed flags of the command line. */
 export interface Flags {
   readonly json: boolean;
   readonly wait: boolean;
@@ -23,5 +23,5 @@
   readonly id: string | undefined;
 }
 
-/** A command; resolves to its exit code. */
+/** Runs a command and resolves to its exit code. */
 export type Command = (ctx: CommandContext) => Promise<number>;
--- a/packages/cli/src/commands/apply.ts
+++ b/packages/cli/src/commands/apply.ts
@@ -5,7 +5,7 @@
 import { fail, succeed } from '../output.js';
 import { describeChanges, planChanges, summarize } from './changes.js';
 
-/** Publishes the differences atomically; with `--wait` returns when every live entry host has them in force. */
+/** Publishes the differences atomically; with `--wait`, returns once they are in force on every live entry host. */
 export async function apply(ctx: CommandContext): Promise<number> {
   const { io, flags, operators } = ctx;
   const changes = await planChanges(ctx, 'apply');
--- a/packages/cli/src/commands/changes.ts
+++ b/packages/cli/src/commands/changes.ts
@@ -1,4 +1,4 @@
-/** The changes that turn the configuration in force into a declared one. */
+/** Computes the changes that turn the configuration in force into the declared one. */
 import {
   appError,
   diffObjects,
@@ -17,7 +17,7 @@
 import type { CommandContext } from '../command.js';
 import { readTree } from '../declarations/read.js';
 
-/** Reads the tree named by the first operand and compares it with the configuration in force. */
+/** Reads the declarations at the first operand and compares them with the configuration in force. */
 export async function planChanges(
   ctx: CommandContext,
   command: string,
@@ -57,7 +57,7 @@
   return Result.ok({ offset: Number(answer.offset), objects });
 }
 
-/** Describes changes for a person: a line for each object and each field of an update. */
+/** Formats changes for people: a line for each object and each updated field. */
 export function describeChanges(changes: readonly ObjectDifference[]): string {
   if (changes.length === 0) {
     return 'no difference';
@@ -71,16 +71,16 @@
     return [line];
   }
   const details = fields.map(({ path, before, after }) => {
-    return `  ${path}: ${show(before)} -> ${show(after)}`;
+    return `  ${path}: ${formatValue(before)} -> ${formatValue(after)}`;
   });
   return [line, ...details];
 }
 
-function show(value: unknown): string {
+function formatValue(value: unknown): string {
   return value === undefined ? 'nothing' : JSON.stringify(value);
 }
 
-/** The changes without their declarations, for `--json`. */
+/** Returns the changes without their declarations, for `--json`. */
 export function summarize(changes: readonly ObjectDifference[]) {
   return changes.map(({ action, change, fields }) => ({
     action,
--- a/packages/cli/src/commands/diff.ts
+++ b/packages/cli/src/commands/diff.ts
@@ -3,7 +3,7 @@
 import { EXIT_DIFFERENT, EXIT_OK, fail, succeed } from '../output.js';
 import { describeChanges, planChanges, summarize } from './changes.js';
 
-/** Prints the differences; exits 20 when there are some. */
+/** Prints the differences; exits with 20 if there are any. */
 export async function diff(ctx: CommandContext): Promise<number> {
   const changes = await planChanges(ctx, 'diff');
   if (changes.isErr) {
--- a/packages/cli/src/commands/drain.ts
+++ b/packages/cli/src/commands/drain.ts
@@ -1,4 +1,4 @@
-/** `drain WORKER [--undo]`: takes a worker out of service gracefully, or puts it back. */
+/** `drain WORKER [--undo]`: takes a worker out of service gracefully, or returns it to service. */
 import { appError } from '@paddlewind/domain';
 
 import type { CommandContext } from '../command.js';
--- a/packages/cli/src/commands/get.ts
+++ b/packages/cli/src/commands/get.ts
@@ -27,7 +27,7 @@
   );
 }
 
-/** Shows one object with its version. */
+/** Prints one object with its version. */
 export async function describe(ctx: CommandContext): Promise<number> {
   const { io, flags } = ctx;
   const [kind, name] = ctx.args;
--- a/packages/cli/src/commands/job.ts
+++ b/packages/cli/src/commands/job.ts
@@ -9,7 +9,7 @@
 const USAGE =
   'usage: paddlewind job submit FILE | job status ID | job cancel ID | job release ID';
 
-/** Submits, shows, cancels or releases a job; the job's name is its id, so a retry is harmless. */
+/** Submits, shows, cancels or releases a job; the job's name is its id, which makes a retry safe. */
 export async function job(ctx: CommandContext): Promise<number> {
   const [action, operand] = ctx.args;
   if (operand === undefined) {
--- a/packages/cli/src/commands/losses.ts
+++ b/packages/cli/src/commands/losses.ts
@@ -1,13 +1,13 @@
-/** `losses [FILE…]`: where the time of jobs went, from the logs of all hosts. */
+/** `losses [FILE…]`: breaks down the time of late jobs by phase, from the logs of all hosts. */
 import type { CommandContext } from '../command.js';
 import { readLosses, type Losses } from '../losses/losses.js';
 import { fail, succeed } from '../output.js';
 import { readTexts } from '../read-texts.js';
 
-/** Most phases that are printed of a queue. */
-const SHOWN_PHASES = 6;
+/** Maximum number of phases printed for each queue. */
+const MAX_SHOWN_PHASES = 6;
 
-/** Prints where the time went of jobs that were not in time; reads standard input where no file is named. */
+/** Prints how late and unfinished jobs spent their time; reads standard input when no file is given. */
 export async function losses({
   io,
   flags,
@@ -18,18 +18,18 @@
     return fail(io, flags.json, [texts.error]);
   }
   const found = readLosses(texts.value);
-  return succeed(io, flags.json, found, textOfLosses(found));
+  return succeed(io, flags.json, found, lossesText(found));
 }
 
-function textOfLosses({ queues, windows, unread }: Losses): string {
-  const lines = queues.flatMap(({ queue, phases, sizes, ...of }) => [
-    `${queue}: ${of.jobs} jobs, ${of.inTime} in time, ${of.late} late, ${of.unfinished} unfinished, ${of.cancelled} cancelled`,
+function lossesText({ queues, windows, unread }: Losses): string {
+  const lines = queues.flatMap(({ queue, phases, sizes, ...totals }) => [
+    `${queue}: ${totals.jobs} jobs, ${totals.inTime} in time, ${totals.late} late, ${totals.unfinished} unfinished, ${totals.cancelled} cancelled`,
     ...sizes.map(
-      ({ size, asked, ...its }) =>
-        `  ${size}: ${asked} asked for, ${its.inTime} in time, ${its.late} late, ${its.unfinished} unfinished, ${its.notAccepted} not accepted`,
+      ({ size, asked, ...counts }) =>
+        `  ${size}: ${asked} asked for, ${counts.inTime} in time, ${counts.late} late, ${counts.unfinished} unfinished, ${counts.notAccepted} not accepted`,
     ),
     ...phases
-      .slice(0, SHOWN_PHASES)
+      .slice(0, MAX_SHOWN_PHASES)
       .map(({ phase, seconds }) => `  ${seconds.toFixed(1)} s ${phase}`),
   ]);
   const perWindow = windows.map(
@@ -37,9 +37,9 @@
       `from ${second} s: ${inTime} of ${jobs} in time${largest === '' ? '' : `, most lost: ${largest}`}`,
   );
   const [first] = unread;
-  const told =
+  const unreadNote =
     first === undefined
       ? []
       : [`${unread.length} lines are no line of a host, the first is ${first}`];
-  return [...lines, ...perWindow, ...told].join('\n');
+  return [...lines, ...perWindow, ...unreadNote].join('\n');
 }
--- a/packages/cli/src/commands/report.ts
+++ b/packages/cli/src/commands/report.ts
@@ -1,14 +1,14 @@
-/** `report burn`: how fast services spend their error budgets. */
+/** `report burn`: reports how fast services spend their error budgets. */
 import { writeFile } from 'node:fs/promises';
 
 import { appError } from '@paddlewind/domain';
 
-import { type BurnReport, reportOf } from '../burn/model.js';
+import { type BurnReport, buildReport } from '../burn/model.js';
 import { burnText } from '../burn/text.js';
 import type { CommandContext } from '../command.js';
 import { EXIT_OK, fail, succeed } from '../output.js';
 
-/** Prints the report on service-level burn, or writes it as a page with `--html`. */
+/** Prints the burn report, or writes it as an HTML page with `--html`. */
 export async function report(ctx: CommandContext): Promise<number> {
   const { io, flags } = ctx;
   if (ctx.args[0] !== 'burn') {
@@ -20,23 +20,23 @@
   if (burn.isErr) {
     return fail(io, flags.json, [burn.error]);
   }
-  const told = reportOf(burn.value);
+  const burnReport = buildReport(burn.value);
   if (flags.html !== undefined) {
-    return writePage(ctx, flags.html, told);
+    return writePage(ctx, flags.html, burnReport);
   }
-  return succeed(io, flags.json, burn.value, burnText(told));
+  return succeed(io, flags.json, burn.value, burnText(burnReport));
 }
 
 async function writePage(
   ctx: CommandContext,
   file: string,
-  told: BurnReport,
+  burnReport: BurnReport,
 ): Promise<number> {
   const { io, flags } = ctx;
   try {
-    // The plotting library takes a while to load, and only this needs it.
+    // Loaded on demand: the chart library is slow to load and only needed here.
     const { burnPage } = await import('../burn/page.js');
-    await writeFile(file, burnPage(told, new Date().toISOString()));
+    await writeFile(file, burnPage(burnReport, new Date().toISOString()));
   } catch (err) {
     const reason = err instanceof Error ? err.message : String(err);
     return fail(io, flags.json, [
--- a/packages/cli/src/commands/top.ts
+++ b/packages/cli/src/commands/top.ts
@@ -1,4 +1,4 @@
-/** `top`: hosts, shards and entry hosts as one entry host sees them. */
+/** `top`: shows workers, shards and entry hosts as seen by one entry host. */
 import type { TopResponse } from '@paddlewind/protocol';
 
 import type { CommandContext } from '../command.js';
@@ -6,11 +6,11 @@
 
 /** Prints the state of the fleet. */
 export async function top(ctx: CommandContext): Promise<number> {
-  const seen = await ctx.operators.call(client => client.top({}));
-  if (seen.isErr) {
-    return fail(ctx.io, ctx.flags.json, [seen.error]);
+  const fleet = await ctx.operators.call(client => client.top({}));
+  if (fleet.isErr) {
+    return fail(ctx.io, ctx.flags.json, [fleet.error]);
   }
-  return succeed(ctx.io, ctx.flags.json, seen.value, topText(seen.value));
+  return succeed(ctx.io, ctx.flags.json, fleet.value, topText(fleet.value));
 }
 
 function topText(top: TopResponse): string {
--- a/packages/cli/src/commands/trace.ts
+++ b/packages/cli/src/commands/trace.ts
@@ -1,4 +1,4 @@
-/** `trace ID [FILE…]`: the history of a job from the logs of several hosts, with its cause. */
+/** `trace ID [FILE…]`: shows a job's history and causes of delay, from the logs of several hosts. */
 import { appError } from '@paddlewind/domain';
 
 import type { CommandContext } from '../command.js';
@@ -6,7 +6,7 @@
 import { readTexts } from '../read-texts.js';
 import { readHistory, type TraceLine } from '../trace/history.js';
 
-/** Prints what the logs tell of a job; reads standard input where no file is named. */
+/** Prints the log lines of a job and its causes of delay; reads standard input when no file is given. */
 export async function trace(ctx: CommandContext): Promise<number> {
   const { io, flags } = ctx;
   const [id, ...files] = ctx.args;
--- a/packages/cli/src/commands/validate.ts
+++ b/packages/cli/src/commands/validate.ts
@@ -1,11 +1,11 @@
-/** `validate PATH`: checks declarations without a call to any host. */
+/** `validate PATH`: checks declarations without calling any host. */
 import { appError } from '@paddlewind/domain';
 
 import type { CommandContext } from '../command.js';
 import { readTree } from '../declarations/read.js';
 import { fail, succeed } from '../output.js';
 
-/** Checks every declaration under the path, each alone and all together. */
+/** Checks each declaration under the path, and the consistency of all of them. */
 export async function validate(ctx: CommandContext): Promise<number> {
   const { io, flags } = ctx;
   const [path] = ctx.args;
--- a/packages/cli/src/declarations/read.ts
+++ b/packages/cli/src/declarations/read.ts
@@ -1,4 +1,4 @@
-/** Reads declarations from JSON files of a tree. */
+/** Reads declarations from a directory tree of JSON files. */
 import { readFile, readdir, stat } from 'node:fs/promises';
 import { join } from 'node:path';
 
@@ -13,13 +13,13 @@
 } from '@paddlewind/domain';
 import { Result } from 'true-myth';
 
-/** What a tree declares; jobs are submitted, not applied. */
+/** Declarations of a tree; jobs are kept apart since they are submitted rather than applied. */
 export interface DeclaredTree {
   readonly objects: readonly ConfigObject[];
   readonly jobs: readonly JobSpec[];
 }
 
-/** Reads every `.json` file at or under `path`; fails with `invalid` or `not_found`, all faults at once. */
+/** Reads every `.json` file at or under `path`; returns all `invalid` and `not_found` errors together. */
 export async function readTree(
   path: string,
 ): Promise<Result<DeclaredTree, AppError[]>> {
@@ -27,20 +27,20 @@
   if (files.isErr) {
     return Result.err([files.error]);
   }
-  const values: PlacedValue[] = [];
-  const faults: AppError[] = [];
+  const values: LocatedValue[] = [];
+  const errors: AppError[] = [];
   for (const file of files.value) {
     const read = await readValues(file);
     if (read.isErr) {
-      faults.push(read.error);
+      errors.push(read.error);
     } else {
       values.push(...read.value);
     }
   }
-  return checkTree(values, faults);
+  return checkTree(values, errors);
 }
 
-/** Reads one file that declares one job. */
+/** Reads a file that declares exactly one job. */
 export async function readJob(
   file: string,
 ): Promise<Result<JobSpec, AppError[]>> {
@@ -55,21 +55,21 @@
   return checkJob(first);
 }
 
-/** A declaration as read, and its place. */
-interface PlacedValue {
+/** An unchecked declaration and its location. */
+interface LocatedValue {
   readonly value: unknown;
-  readonly place: string;
+  readonly location: string;
 }
 
 function checkTree(
-  values: readonly PlacedValue[],
-  faults: AppError[],
+  values: readonly LocatedValue[],
+  errors: AppError[],
 ): Result<DeclaredTree, AppError[]> {
   const jobs: JobSpec[] = [];
   for (const value of values.filter(isJob)) {
     const job = checkJob(value);
     if (job.isErr) {
-      faults.push(...job.error);
+      errors.push(...job.error);
     } else {
       jobs.push(job.value);
     }
@@ -77,17 +77,22 @@
   const declared = values.filter(value => !isJob(value));
   const { objects, problems } = validateObjects(
     declared.map(({ value }) => value),
-    declared.map(({ place }) => place),
+    declared.map(({ location }) => location),
   );
-  faults.push(...problems.map(problemError));
-  return faults.length > 0 ? Result.err(faults) : Result.ok({ objects, jobs });
+  errors.push(...problems.map(problemError));
+  return errors.length > 0 ? Result.err(errors) : Result.ok({ objects, jobs });
 }
 
-function checkJob({ value, place }: PlacedValue): Result<JobSpec, AppError[]> {
-  return parseJob(value, place).mapErr(problems => problems.map(problemError));
+function checkJob({
+  value,
+  location,
+}: LocatedValue): Result<JobSpec, AppError[]> {
+  return parseJob(value, location).mapErr(problems =>
+    problems.map(problemError),
+  );
 }
 
-function isJob({ value }: PlacedValue): boolean {
+function isJob({ value }: LocatedValue): boolean {
   return (
     typeof value === 'object' &&
     value !== null &&
@@ -114,16 +119,16 @@
 
 async function readValues(
   file: string,
-): Promise<Result<PlacedValue[], AppError>> {
+): Promise<Result<LocatedValue[], AppError>> {
   try {
     const value = JSON.parse(await readFile(file, 'utf8')) as unknown;
-    const placed = Array.isArray(value)
+    const located = Array.isArray(value)
       ? value.map((item: unknown, i) => ({
           value: item,
-          place: `${file}[${i}]`,
+          location: `${file}[${i}]`,
         }))
-      : [{ value, place: `${file}:` }];
-    return Result.ok(placed);
+      : [{ value, location: `${file}:` }];
+    return Result.ok(located);
   } catch (err) {
     const reason = err instanceof Error ? err.message : String(err);
     return Result.err(
--- a/packages/cli/src/log-lines.ts
+++ b/packages/cli/src/log-lines.ts
@@ -1,22 +1,22 @@
-/** Reads the structured lines that hosts write to their logs. */
+/** Parses the structured log lines that hosts write. */
 
-/** One line of a host's log. */
+/** A parsed line of a host's log. */
 export interface LogLine {
-  /** Wall-clock time at the host, as it was written. */
+  /** Wall-clock time of the host, as written. */
   readonly time: string;
   readonly host: string;
   readonly msg: string;
-  /** All fields of the line. */
+  /** All fields of the line, including those above. */
   readonly fields: Readonly<Record<string, unknown>>;
 }
 
-/** Lines that were read, and the numbers of those that are no line of a host. */
+/** Parsed lines, and the numbers of non-empty lines that could not be parsed. */
 export interface ReadLines {
   readonly lines: readonly LogLine[];
   readonly unread: readonly number[];
 }
 
-/** Reads lines in order of time; what stands before the JSON of a line is passed over. */
+/** Parses all lines and sorts them by time; text before the JSON of a line is ignored. */
 export function readLogLines(texts: readonly string[]): ReadLines {
   const lines: LogLine[] = [];
   const unread: number[] = [];
@@ -33,27 +33,27 @@
   return { lines, unread };
 }
 
-/** Parses one line; undefined where it holds no JSON object with a time and a message. */
+/** Parses one line; undefined unless it contains a JSON object with a time and a message. */
 export function parseLogLine(text: string): LogLine | undefined {
   const fields = parseObject(text.slice(Math.max(0, text.indexOf('{'))));
   if (fields === undefined) {
     return undefined;
   }
-  const time = textOf(fields.time);
-  const msg = textOf(fields.msg);
+  const time = stringOrEmpty(fields.time);
+  const msg = stringOrEmpty(fields.msg);
   if (msg === '' || Number.isNaN(Date.parse(time))) {
     return undefined;
   }
-  return { time, host: textOf(fields.host), msg, fields };
+  return { time, host: stringOrEmpty(fields.host), msg, fields };
 }
 
-/** Returns a value that is text, else the empty text. */
-export function textOf(value: unknown): string {
+/** Returns `value` if it is a string, otherwise an empty string. */
+export function stringOrEmpty(value: unknown): string {
   return typeof value === 'string' ? value : '';
 }
 
-/** Returns a value that is a number, else undefined. */
-export function numberOf(value: unknown): number | undefined {
+/** Returns `value` if it is a number, otherwise undefined. */
+export function numberOrUndefined(value: unknown): number | undefined {
   return typeof value === 'number' ? value : undefined;
 }
 
--- a/packages/cli/src/losses/job-runs.ts
+++ b/packages/cli/src/losses/job-runs.ts
@@ -1,35 +1,40 @@
-/** What the logs tell of each job: when it was accepted and over, and its runs. */
-import { numberOf, textOf, type LogLine } from '../log-lines.js';
+/** Reconstructs jobs and their runs from the logs. */
+import {
+  numberOrUndefined,
+  stringOrEmpty,
+  type LogLine,
+} from '../log-lines.js';
 
-/** One run of a task, from its order to its end. */
+/** One run of a task, from its start command to its end. */
 export interface LoggedRun {
   readonly task: string;
   readonly step: number;
-  readonly from: number;
-  /** Infinite while no end is told. */
-  to: number;
-  /** `open` while no end is told. */
-  how: string;
-  /** Milliseconds that its leader expected of it; 0 where that is not told. */
+  readonly orderedAt: number;
+  /** Infinity if no end was logged. */
+  endedAt: number;
+  /** How the run ended; `open` if no end was logged. */
+  outcome: string;
+  /** Run time that the leader expected, in milliseconds; 0 if it was not logged. */
   expectedMs: number;
 }
 
-/** One job as the logs tell it; times are milliseconds of the wall clock. */
+/** A job as found in the logs; times are wall-clock milliseconds, Infinity if not logged. */
 export interface LoggedJob {
   readonly id: string;
   queue: string;
-  /** When it was first asked for, and when that was recorded. */
-  askedAt: number;
+  /** When the first submission was answered, whatever the answer. */
+  submittedAt: number;
+  /** When a submission was first answered as recorded. */
   acceptedAt: number;
-  overAt: number;
+  finishedAt: number;
   status: string;
   objectiveMs: number;
-  /** Core-milliseconds by its caller's own guess; undefined where no line tells. */
+  /** Core-milliseconds as estimated by its caller; undefined if not logged. */
   coreMs: number | undefined;
   readonly runs: LoggedRun[];
 }
 
-/** Reads all jobs that the lines tell of. */
+/** Collects all jobs mentioned in the lines. */
 export function readJobs(lines: readonly LogLine[]): LoggedJob[] {
   const jobs = new Map<string, LoggedJob>();
   const runs = new Map<string, LoggedRun>();
@@ -37,93 +42,93 @@
     const at = Date.parse(line.time);
     switch (line.msg) {
       case 'jobs: answered':
-        takeAnswer(jobs, line, at);
+        applyAnswer(jobs, line, at);
         break;
       case 'leader: a run is ordered':
-        takeOrder(jobs, runs, line, at);
+        startRun(jobs, runs, line, at);
         break;
       case 'leader: a run has ended':
-        takeEnd(runs, line, at);
+        endRun(runs, line, at);
         break;
       case 'leader: a job is over':
-        takeOver(jobs, line, at);
+        finishJob(jobs, line, at);
         break;
     }
   }
   return [...jobs.values()];
 }
 
-function takeAnswer(
+function applyAnswer(
   jobs: Map<string, LoggedJob>,
   { fields }: LogLine,
   at: number,
 ): void {
-  const job = jobOf(jobs, textOf(fields.job));
+  const job = getOrCreateJob(jobs, stringOrEmpty(fields.job));
   const { kind } = (fields.result ?? {}) as Record<string, unknown>;
   if (fields.change === 'cancel' && kind === 'recorded') {
-    job.overAt = Math.min(job.overAt, at);
+    job.finishedAt = Math.min(job.finishedAt, at);
     job.status = 'cancelled';
   }
   if (fields.change === 'submit') {
-    job.queue = textOf(fields.queue) || job.queue;
-    job.askedAt = Math.min(job.askedAt, at);
-    job.coreMs ??= numberOf(fields.coreMs);
+    job.queue = stringOrEmpty(fields.queue) || job.queue;
+    job.submittedAt = Math.min(job.submittedAt, at);
+    job.coreMs ??= numberOrUndefined(fields.coreMs);
     if (kind === 'recorded') {
       job.acceptedAt = Math.min(job.acceptedAt, at);
     }
   }
 }
 
-function takeOrder(
+function startRun(
   jobs: Map<string, LoggedJob>,
   runs: Map<string, LoggedRun>,
   { fields }: LogLine,
   at: number,
 ): void {
-  const task = textOf(fields.task);
+  const task = stringOrEmpty(fields.task);
   const [id = '', , step = ''] = task.split('.');
   const run: LoggedRun = {
     task,
     step: Number(step),
-    from: at,
-    to: Infinity,
-    how: 'open',
+    orderedAt: at,
+    endedAt: Infinity,
+    outcome: 'open',
     expectedMs: 0,
   };
-  runs.set(runName(fields), run);
-  jobOf(jobs, id).runs.push(run);
+  runs.set(runKey(fields), run);
+  getOrCreateJob(jobs, id).runs.push(run);
 }
 
-function takeEnd(
+function endRun(
   runs: ReadonlyMap<string, LoggedRun>,
   { fields }: LogLine,
   at: number,
 ): void {
-  const run = runs.get(runName(fields));
+  const run = runs.get(runKey(fields));
   if (run !== undefined) {
-    run.to = at;
-    run.how = textOf(fields.how);
+    run.endedAt = at;
+    run.outcome = stringOrEmpty(fields.how);
     run.expectedMs = Number(fields.expectedMs ?? 0);
   }
 }
 
-function takeOver(
+function finishJob(
   jobs: Map<string, LoggedJob>,
   { fields }: LogLine,
   at: number,
 ): void {
-  const job = jobOf(jobs, textOf(fields.job));
-  job.queue = textOf(fields.queue) || job.queue;
-  job.overAt = Math.min(job.overAt, at);
-  job.status = textOf(fields.status);
+  const job = getOrCreateJob(jobs, stringOrEmpty(fields.job));
+  job.queue = stringOrEmpty(fields.queue) || job.queue;
+  job.finishedAt = Math.min(job.finishedAt, at);
+  job.status = stringOrEmpty(fields.status);
   job.objectiveMs = Number(fields.objectiveMs ?? 0);
 }
 
-function runName({ task, run }: LogLine['fields']): string {
-  return `${textOf(task)}#${Number(run)}`;
+function runKey({ task, run }: LogLine['fields']): string {
+  return `${stringOrEmpty(task)}#${Number(run)}`;
 }
 
-function jobOf(jobs: Map<string, LoggedJob>, id: string): LoggedJob {
+function getOrCreateJob(jobs: Map<string, LoggedJob>, id: string): LoggedJob {
   const known = jobs.get(id);
   if (known !== undefined) {
     return known;
@@ -131,9 +136,9 @@
   const created: LoggedJob = {
     id,
     queue: '',
-    askedAt: Infinity,
+    submittedAt: Infinity,
     acceptedAt: Infinity,
-    overAt: Infinity,
+    finishedAt: Infinity,
     status: 'open',
     objectiveMs: 0,
     coreMs: undefined,
--- a/packages/cli/src/losses/losses.test.ts
+++ b/packages/cli/src/losses/losses.test.ts
@@ -3,7 +3,7 @@
 
 import { readLosses, type Losses } from './losses.js';
 
-/** Builds the lines of a log, each second of time given. */
+/** Returns a log line with the given time and fields. */
 function line(second: number, fields: Record<string, unknown>): string {
   const time = new Date(second * 1_000).toISOString();
   return JSON.stringify({ level: 30, time, host: 'h1', ...fields });
@@ -35,12 +35,12 @@
   return line(second, { task, run, how, expectedMs: 1_000, msg });
 }
 
-function over(second: number, job: string, objectiveMs: number): string {
+function finished(second: number, job: string, objectiveMs: number): string {
   const fields = { job, queue: 'q', status: 'completed', objectiveMs };
   return line(second, { ...fields, msg: 'leader: a job is over' });
 }
 
-function fleet(second: number, reason: string): string {
+function fleetAccount(second: number, reason: string): string {
   const waiting = { q: { [reason]: 3 } };
   return line(second, { waiting, msg: 'leader: the fleet' });
 }
@@ -61,14 +61,14 @@
   }));
 }
 
-test('a late job that waited tells what it waited for', () => {
+test('a late job shows the reason of its wait', () => {
   const lines = [
     accepted(0, 'j'),
-    fleet(0, 'processors'),
-    fleet(1, 'processors'),
+    fleetAccount(0, 'processors'),
+    fleetAccount(1, 'processors'),
     ordered(2, 'j.0.0.0'),
     ended(3, 'j.0.0.0', 'done'),
-    over(3, 'j', 1_500),
+    finished(3, 'j', 1_500),
   ];
   assert.deepEqual(phasesOf(...lines), {
     'waiting: processors': 2,
@@ -76,14 +76,14 @@
   });
 });
 
-test('time before a run that failed is told as run again', () => {
+test('time of a failed run counts as run again', () => {
   const lines = [
     accepted(0, 'j'),
     ordered(0, 'j.0.0.0'),
     ended(2, 'j.0.0.0', 'failed'),
     ordered(2, 'j.0.0.0', 2),
     ended(3, 'j.0.0.0', 'done', 2),
-    over(3, 'j', 1_500),
+    finished(3, 'j', 1_500),
   ];
   assert.deepEqual(phasesOf(...lines), {
     'run again after a failure': 2,
@@ -91,14 +91,14 @@
   });
 });
 
-test('time before a run that was lost with its worker is told as run again', () => {
+test('time of a run lost with its worker counts as run again', () => {
   const lines = [
     accepted(0, 'j'),
     ordered(0, 'j.0.0.0'),
     ended(2, 'j.0.0.0', 'lost'),
     ordered(2, 'j.0.0.0', 2),
     ended(3, 'j.0.0.0', 'done', 2),
-    over(3, 'j', 1_500),
+    finished(3, 'j', 1_500),
   ];
   assert.deepEqual(phasesOf(...lines), {
     'run again after a lost worker or lease': 2,
@@ -106,27 +106,27 @@
   });
 });
 
-test('a run far beyond what was expected is slowed by the rest', () => {
+test('time of a run beyond its expected time counts as slowed', () => {
   const lines = [
     accepted(0, 'j'),
     ordered(0, 'j.0.0.0'),
     ended(4, 'j.0.0.0', 'done'),
-    over(4, 'j', 1_500),
+    finished(4, 'j', 1_500),
   ];
   assert.deepEqual(phasesOf(...lines), { slowed: 3, running: 1 });
 });
 
-test('a wait without any account has no leader', () => {
+test('a wait without a fleet account counts as leader absent', () => {
   const lines = [
     accepted(0, 'j'),
     ordered(4, 'j.0.0.0'),
     ended(5, 'j.0.0.0', 'done'),
-    over(5, 'j', 1_500),
+    finished(5, 'j', 1_500),
   ];
   assert.deepEqual(phasesOf(...lines), { 'leader absent': 4, running: 1 });
 });
 
-test('only the chain of tasks that decided the end counts', () => {
+test('only runs on the critical path count', () => {
   const lines = [
     accepted(0, 'j'),
     ordered(0, 'j.0.0.0'),
@@ -135,31 +135,31 @@
     ended(1, 'j.0.0.1', 'done'),
     ordered(1, 'j.0.1.0'),
     ended(2, 'j.0.1.0', 'done'),
-    over(2, 'j', 1_500),
+    finished(2, 'j', 1_500),
   ];
   assert.deepEqual(phasesOf(...lines), { running: 2 });
 });
 
-test('jobs are told by their outcome', () => {
+test('jobs are counted by outcome', () => {
   const text = [
     accepted(0, 'early'),
     accepted(0, 'late'),
     accepted(0, 'never'),
-    over(1, 'early', 1_500),
-    over(9, 'late', 1_500),
+    finished(1, 'early', 1_500),
+    finished(9, 'late', 1_500),
   ].join('\n');
   assert.deepEqual(outcomesOf(readLosses([text])), [
     { jobs: 3, inTime: 1, late: 1, unfinished: 1 },
   ]);
 });
 
-test('lines that are cut off or of something else are named, and the rest is read', () => {
+test('truncated and foreign lines are listed, and the others are read', () => {
   const text = [
     'not a line of a host',
     accepted(0, 'j'),
     '{"time":"2026-01-01T00:00:00.000Z","msg":"jobs: ans',
     '{"version":9}',
-    over(1, 'j', 1_500),
+    finished(1, 'j', 1_500),
   ].join('\n');
   const found = readLosses([text]);
   assert.deepEqual(found.unread, [1, 3, 4]);
@@ -168,17 +168,17 @@
   ]);
 });
 
-test('jobs are told by their size, also those that were not accepted', () => {
+test('jobs are grouped by size, including those that were not accepted', () => {
   const small = Array.from({ length: 7 }, (_, at) => `small${at}`);
   const text = [
     ...small.map(job => answered(0, job, 1_000)),
-    ...small.map(job => over(1, job, 1_500)),
+    ...small.map(job => finished(1, job, 1_500)),
     answered(0, 'large', 5_000, 'unknown'),
     ordered(1, 'large.0.0.0'),
     ended(2, 'large.0.0.0', 'done'),
     answered(0, 'larger', 6_000),
     answered(0, 'largest', 9_000),
-    over(9, 'largest', 1_500),
+    finished(9, 'largest', 1_500),
   ].join('\n');
   const [queue] = readLosses([text]).queues;
   const none = { inTime: 0, late: 0, unfinished: 0, notAccepted: 0 };
--- a/packages/cli/src/losses/losses.ts
+++ b/packages/cli/src/losses/losses.ts
@@ -1,11 +1,11 @@
-/** Sums where the time of jobs went, by queue and by the time at which they were asked for. */
+/** Sums the time of jobs by phase, for each queue and each window of submission times. */
 import { sizeGroupsOf, type SizeGroup } from '@paddlewind/domain/jobs';
 
 import { readLogLines, type LogLine } from '../log-lines.js';
 import { readJobs, type LoggedJob } from './job-runs.js';
-import { spansOf, type PhaseName, type ReasonAt } from './phases.js';
+import { spansOf, type PhaseName, type WaitReasonAt } from './phases.js';
 
-/** What became of a queue's jobs, and where the time of those went that were not in time. */
+/** Outcomes of a queue's jobs, and the phases in which late and unfinished jobs spent their time. */
 export interface QueueLosses {
   readonly queue: string;
   readonly jobs: number;
@@ -13,138 +13,146 @@
   readonly late: number;
   readonly unfinished: number;
   readonly cancelled: number;
-  /** What became of its jobs by size, the largest first; empty where no line tells their sizes. */
+  /** Outcomes by job size, largest first; empty if the logs contain no sizes. */
   readonly sizes: readonly SizeLosses[];
-  /** Seconds by phase of the jobs that were late or are unfinished, the largest first. */
+  /** Seconds by phase of late and unfinished jobs, largest first. */
   readonly phases: readonly Phase[];
 }
 
-/** What became of the jobs of one size. */
+/** Outcomes of the jobs in one size group. */
 export interface SizeLosses {
   readonly size: SizeGroup;
-  /** Those that were asked for and not cancelled; the other figures are of these. */
+  /** Jobs submitted and not cancelled; the other counts are subsets of these. */
   readonly asked: number;
   readonly inTime: number;
   readonly late: number;
   readonly unfinished: number;
-  /** Refused, or with an outcome that was never known. */
+  /** Refused, or submitted with an unknown outcome. */
   readonly notAccepted: number;
 }
 
-/** Seconds of one phase. */
+/** Time spent in one phase. */
 export interface Phase {
   readonly phase: PhaseName;
   readonly seconds: number;
 }
 
-/** Jobs asked for within two seconds. */
+/** Outcomes of the jobs submitted within one window of two seconds. */
 export interface WindowLosses {
-  /** Seconds since the first line. */
+  /** Start of the window in seconds since the first line. */
   readonly second: number;
   readonly jobs: number;
   readonly inTime: number;
-  /** The phase that took the most of the time of jobs that were not in time; empty where all were. */
+  /** The phase in which late and unfinished jobs spent the most time; empty if there are none. */
   readonly largest: PhaseName | '';
 }
 
-/** Where the time went. */
+/** Breakdown of job time by queue and by window. */
 export interface Losses {
   readonly queues: readonly QueueLosses[];
   readonly windows: readonly WindowLosses[];
-  /** Numbers of the lines that are no line of a host. */
+  /** Numbers of the non-empty lines that could not be parsed. */
   readonly unread: readonly number[];
 }
 
-const WINDOW_S = 2;
+const WINDOW_SECONDS = 2;
 const MS_PER_S = 1_000;
-/** A leader accounts once a second; a wait with no account for longer has no leader. */
-const ACCOUNT_REACH_MS = 2_500;
+/** Leaders log a fleet account every second; after this long without one, the leader counts as absent. */
+const ACCOUNT_MAX_AGE_MS = 2_500;
 
-/** Reads where the time of jobs went from the logs of all hosts. */
+/** Breaks down the time of jobs from the logs of all hosts. */
 export function readLosses(texts: readonly string[]): Losses {
   const { lines, unread } = readLogLines(texts);
   const first = Date.parse(lines[0]?.time ?? '');
   const last = Date.parse(lines.at(-1)?.time ?? '');
-  const reasonAt = reasonsOf(lines);
-  const asked = readJobs(lines).map(job => ({
+  const reasonAt = waitReasons(lines);
+  const submitted = readJobs(lines).map(job => ({
     job,
-    outcome: outcomeOf(job),
+    outcome: classifyJob(job),
     spans: job.acceptedAt < Infinity ? spansOf(job, reasonAt, last) : [],
   }));
-  const rated = asked.filter(({ job }) => job.acceptedAt < Infinity);
+  const accepted = submitted.filter(({ job }) => job.acceptedAt < Infinity);
   return {
-    queues: sumQueues(rated, asked),
-    windows: sumWindows(rated, first),
+    queues: sumQueues(accepted, submitted),
+    windows: sumWindows(accepted, first),
     unread,
   };
 }
 
 type Outcome = 'in_time' | 'late' | 'unfinished' | 'cancelled' | 'not_accepted';
 
-interface RatedJob {
+interface ClassifiedJob {
   readonly job: LoggedJob;
   readonly outcome: Outcome;
   readonly spans: ReturnType<typeof spansOf>;
 }
 
-function outcomeOf({ status, ...job }: LoggedJob): Outcome {
+function classifyJob({ status, ...job }: LoggedJob): Outcome {
   if (status === 'cancelled') {
     return 'cancelled';
   }
   if (job.acceptedAt === Infinity) {
     return 'not_accepted';
   }
-  if (job.overAt === Infinity) {
+  if (job.finishedAt === Infinity) {
     return 'unfinished';
   }
-  return job.overAt - job.askedAt <= job.objectiveMs ? 'in_time' : 'late';
+  return job.finishedAt - job.submittedAt <= job.objectiveMs
+    ? 'in_time'
+    : 'late';
 }
 
 function sumQueues(
-  rated: readonly RatedJob[],
-  asked: readonly RatedJob[],
+  accepted: readonly ClassifiedJob[],
+  submitted: readonly ClassifiedJob[],
 ): QueueLosses[] {
-  const queues = [...new Set(rated.map(({ job }) => job.queue))].sort();
+  const queues = [...new Set(accepted.map(({ job }) => job.queue))].sort();
   return queues.map(queue => {
-    const own = rated.filter(({ job }) => job.queue === queue);
+    const own = accepted.filter(({ job }) => job.queue === queue);
     return {
       queue,
       jobs: own.length,
-      inTime: countOf(own, 'in_time'),
-      late: countOf(own, 'late'),
-      unfinished: countOf(own, 'unfinished'),
-      cancelled: countOf(own, 'cancelled'),
-      sizes: sumSizes(asked.filter(({ job }) => job.queue === queue)),
+      inTime: countOutcome(own, 'in_time'),
+      late: countOutcome(own, 'late'),
+      unfinished: countOutcome(own, 'unfinished'),
+      cancelled: countOutcome(own, 'cancelled'),
+      sizes: sumSizes(submitted.filter(({ job }) => job.queue === queue)),
       phases: sumPhases(own),
     };
   });
 }
 
-function countOf(rated: readonly RatedJob[], outcome: Outcome): number {
-  return rated.filter(each => each.outcome === outcome).length;
+function countOutcome(
+  jobs: readonly ClassifiedJob[],
+  outcome: Outcome,
+): number {
+  return jobs.filter(each => each.outcome === outcome).length;
 }
 
-function sumSizes(asked: readonly RatedJob[]): SizeLosses[] {
-  const known = asked
+function sumSizes(submitted: readonly ClassifiedJob[]): SizeLosses[] {
+  const withSize = submitted
     .filter(({ outcome }) => outcome !== 'cancelled')
     .filter(({ job }) => job.coreMs !== undefined);
-  return sizeGroupsOf(known, ({ job }) => job.coreMs ?? 0).map(
+  return sizeGroupsOf(withSize, ({ job }) => job.coreMs ?? 0).map(
     ([size, own]) => ({
       size,
       asked: own.length,
-      inTime: countOf(own, 'in_time'),
-      late: countOf(own, 'late'),
-      unfinished: countOf(own, 'unfinished'),
-      notAccepted: countOf(own, 'not_accepted'),
+      inTime: countOutcome(own, 'in_time'),
+      late: countOutcome(own, 'late'),
+      unfinished: countOutcome(own, 'unfinished'),
+      notAccepted: countOutcome(own, 'not_accepted'),
     }),
   );
 }
 
-function sumWindows(rated: readonly RatedJob[], first: number): WindowLosses[] {
-  const windows = new Map<number, RatedJob[]>();
-  for (const each of rated) {
-    const second = (each.job.askedAt - first) / MS_PER_S;
-    const window = Math.floor(second / WINDOW_S) * WINDOW_S;
+function sumWindows(
+  jobs: readonly ClassifiedJob[],
+  first: number,
+): WindowLosses[] {
+  const windows = new Map<number, ClassifiedJob[]>();
+  for (const each of jobs) {
+    const second = (each.job.submittedAt - first) / MS_PER_S;
+    const window = Math.floor(second / WINDOW_SECONDS) * WINDOW_SECONDS;
     windows.set(window, [...(windows.get(window) ?? []), each]);
   }
   return [...windows]
@@ -157,9 +165,9 @@
     }));
 }
 
-function sumPhases(rated: readonly RatedJob[]): Phase[] {
+function sumPhases(jobs: readonly ClassifiedJob[]): Phase[] {
   const sums = new Map<PhaseName, number>();
-  for (const { outcome, spans } of rated) {
+  for (const { outcome, spans } of jobs) {
     if (outcome === 'late' || outcome === 'unfinished') {
       for (const { phase, from, to } of spans) {
         sums.set(phase, (sums.get(phase) ?? 0) + (to - from) / MS_PER_S);
@@ -171,8 +179,8 @@
     .sort((a, b) => b.seconds - a.seconds);
 }
 
-/** The reason for which most tasks of a queue waited, from the accounts of leaders. */
-function reasonsOf(lines: readonly LogLine[]): ReasonAt {
+/** Returns a lookup of the reason why most tasks of a queue waited, from the leaders' fleet accounts. */
+function waitReasons(lines: readonly LogLine[]): WaitReasonAt {
   const accounts = lines
     .filter(({ msg }) => msg === 'leader: the fleet')
     .map(({ time, fields }) => ({
@@ -180,13 +188,13 @@
       waiting: (fields.waiting ?? {}) as Record<string, Record<string, number>>,
     }));
   return (queue, at) => {
-    const near = accounts.findLast(
-      account => account.at <= at && at - account.at < ACCOUNT_REACH_MS,
+    const recent = accounts.findLast(
+      account => account.at <= at && at - account.at < ACCOUNT_MAX_AGE_MS,
     );
-    if (near === undefined) {
+    if (recent === undefined) {
       return 'leader absent';
     }
-    const [most] = Object.entries(near.waiting[queue] ?? {}).sort(
+    const [most] = Object.entries(recent.waiting[queue] ?? {}).sort(
       ([, a], [, b]) => b - a,
     );
     return `waiting: ${most?.[0] ?? 'turn'}`;
--- a/packages/cli/src/losses/phases.ts
+++ b/packages/cli/src/losses/phases.ts
@@ -1,7 +1,7 @@
-/** Attributes a job's time to phases, along the chain of runs that decided when it was over. */
+/** Attributes a job's time to phases, along the critical path of its runs. */
 import type { LoggedJob, LoggedRun } from './job-runs.js';
 
-/** What a job's time is spent on; a wait has the reason that the leader's account tells. */
+/** How a span of a job's time was spent; the reason of a wait comes from the leader's fleet account. */
 export type PhaseName =
   | 'acceptance'
   | 'leader absent'
@@ -13,24 +13,24 @@
   | 'run again after a lost worker or lease'
   | 'ordered and never begun';
 
-/** A span of a job's time and what it was spent on. */
+/** A span of a job's time and its phase. */
 export interface Span {
   readonly phase: PhaseName;
   readonly from: number;
   readonly to: number;
 }
 
-/** Why tasks of a queue waited at a time, as its leader told. */
-export type ReasonAt = (
+/** Returns why tasks of a queue waited at a given time. */
+export type WaitReasonAt = (
   queue: string,
   at: number,
 ) => 'leader absent' | `waiting: ${string}`;
 
-/** A run that took longer than expected by this factor was slowed by the rest of its time. */
+/** A run that exceeds its expected time by this factor counts as slowed after the expected time. */
 const SLOWED_FACTOR = 1.5;
 
-/** Runs that did not end as done, by how they ended. */
-const REPEATED: Readonly<Record<string, PhaseName>> = {
+/** Phases of runs that did not complete, by how they ended. */
+const REPEAT_PHASES: Readonly<Record<string, PhaseName>> = {
   failed: 'run again after a failure',
   stopped: 'run again after a stop',
   lapsed: 'run again after a lost worker or lease',
@@ -39,113 +39,114 @@
   void: 'ordered and never begun',
 };
 
-/** Returns the spans of a job from its first request to its end, or to `endOfLogs`. */
+/** Returns the spans of a job from its first submission until it finished, or until `endOfLogs`. */
 export function spansOf(
   job: LoggedJob,
-  reasonAt: ReasonAt,
+  reasonAt: WaitReasonAt,
   endOfLogs: number,
 ): Span[] {
-  const end = Math.min(job.overAt, endOfLogs);
+  const end = Math.min(job.finishedAt, endOfLogs);
   const spans: Span[] = [];
-  let left = end;
-  const add = (phase: PhaseName, from: number): void => {
-    const begin = Math.max(job.acceptedAt, Math.min(from, left));
-    if (begin < left) {
-      spans.push({ phase, from: begin, to: left });
+  let cursor = end;
+  const addSpan = (phase: PhaseName, from: number): void => {
+    const begin = Math.max(job.acceptedAt, Math.min(from, cursor));
+    if (begin < cursor) {
+      spans.push({ phase, from: begin, to: cursor });
     }
-    left = begin;
+    cursor = begin;
   };
-  const wait = (from: number): void => {
-    for (const { reason, since } of waitsBetween(job, from, left, reasonAt)) {
-      add(reason, since);
+  const addWait = (from: number): void => {
+    for (const { reason, since } of sliceWait(job, from, cursor, reasonAt)) {
+      addSpan(reason, since);
     }
   };
-  for (const run of decidingRuns(job, end)) {
-    wait(run.to);
-    addRun(run, add, left);
+  for (const run of criticalPath(job, end)) {
+    addWait(run.endedAt);
+    addRun(run, addSpan, cursor);
   }
-  wait(job.acceptedAt);
-  if (job.askedAt < job.acceptedAt) {
+  addWait(job.acceptedAt);
+  if (job.submittedAt < job.acceptedAt) {
     spans.push({
       phase: 'acceptance',
-      from: job.askedAt,
+      from: job.submittedAt,
       to: job.acceptedAt,
     });
   }
   return spans;
 }
 
-/** A piece of a wait and its reason. */
-interface Wait {
+/** A slice of a wait and its reason. */
+interface WaitSlice {
   readonly reason: PhaseName;
   readonly since: number;
 }
 
-/** The reasons of a wait, the latest first, in pieces of a second as leaders tell them. */
-function waitsBetween(
+/** Splits a wait into slices of a second with their reasons, latest first. */
+function sliceWait(
   { queue }: LoggedJob,
   from: number,
   to: number,
-  reasonAt: ReasonAt,
-): Wait[] {
-  const pieces: Wait[] = [];
-  for (let at = to; at > from; at -= PIECE_MS) {
-    const since = Math.max(from, at - PIECE_MS);
-    pieces.push({ reason: reasonAt(queue, at), since });
+  reasonAt: WaitReasonAt,
+): WaitSlice[] {
+  const slices: WaitSlice[] = [];
+  for (let at = to; at > from; at -= WAIT_SLICE_MS) {
+    const since = Math.max(from, at - WAIT_SLICE_MS);
+    slices.push({ reason: reasonAt(queue, at), since });
   }
-  return pieces;
+  return slices;
 }
 
-/** Leaders tell the reasons of waits once a second. */
-const PIECE_MS = 1_000;
+/** Interval at which leaders log the reasons of waits. */
+const WAIT_SLICE_MS = 1_000;
 
 function addRun(
-  { from, to, how, expectedMs }: LoggedRun,
-  add: (phase: PhaseName, from: number) => void,
+  { orderedAt, endedAt, outcome, expectedMs }: LoggedRun,
+  addSpan: (phase: PhaseName, from: number) => void,
   end: number,
 ): void {
-  const repeated = REPEATED[how];
-  if (repeated !== undefined) {
-    add(repeated, from);
+  const repeatPhase = REPEAT_PHASES[outcome];
+  if (repeatPhase !== undefined) {
+    addSpan(repeatPhase, orderedAt);
     return;
   }
-  const took = Math.min(to, end) - from;
-  if (expectedMs > 0 && took > expectedMs * SLOWED_FACTOR) {
-    add('slowed', from + expectedMs);
+  const durationMs = Math.min(endedAt, end) - orderedAt;
+  if (expectedMs > 0 && durationMs > expectedMs * SLOWED_FACTOR) {
+    addSpan('slowed', orderedAt + expectedMs);
   }
-  add('running', from);
+  addSpan('running', orderedAt);
 }
 
-/** The runs that decided the end, the latest first: each task's last in a step, then what came before it. */
-function decidingRuns({ runs }: LoggedJob, end: number): LoggedRun[] {
+/** Returns the runs of the task that ended last in each step, latest first, starting with the last step. */
+function criticalPath({ runs }: LoggedJob, end: number): LoggedRun[] {
   const found: LoggedRun[] = [];
   const steps = [...new Set(runs.map(({ step }) => step))].sort(
     (a, b) => b - a,
   );
   let before = end;
   for (const step of steps) {
-    const own = runs.filter(run => run.step === step && run.from < before);
-    const last = latest(own, before);
+    const own = runs.filter(run => run.step === step && run.orderedAt < before);
+    const last = lastToEnd(own, before);
     if (last !== undefined) {
       const ofTask = own.filter(
-        ({ task, from }) => task === last.task && from <= last.from,
+        ({ task, orderedAt }) =>
+          task === last.task && orderedAt <= last.orderedAt,
       );
-      ofTask.sort((a, b) => b.from - a.from);
+      ofTask.sort((a, b) => b.orderedAt - a.orderedAt);
       found.push(...ofTask);
-      before = ofTask.at(-1)?.from ?? before;
+      before = ofTask.at(-1)?.orderedAt ?? before;
     }
   }
   return found;
 }
 
-function latest(
+function lastToEnd(
   runs: readonly LoggedRun[],
   end: number,
 ): LoggedRun | undefined {
-  const endOf = ({ to }: LoggedRun): number => Math.min(to, end);
+  const endOf = ({ endedAt }: LoggedRun): number => Math.min(endedAt, end);
   return runs.reduce<LoggedRun | undefined>(
-    (best, run) =>
-      best === undefined || endOf(run) > endOf(best) ? run : best,
+    (last, run) =>
+      last === undefined || endOf(run) > endOf(last) ? run : last,
     undefined,
   );
 }
--- a/packages/cli/src/output.ts
+++ b/packages/cli/src/output.ts
@@ -1,23 +1,23 @@
-/** Output for people and, with `--json`, for programs. */
+/** Prints results and errors as text or, with `--json`, as JSON. */
 import {
   ERROR_ANSWERS,
   type AppError,
   type ErrorKind,
 } from '@paddlewind/domain';
 
-/** Where a command writes. */
+/** Output channels of a command. */
 export interface Io {
   out(text: string): void;
   err(text: string): void;
 }
 
-/** Exit code of a command that did what was asked. */
+/** Exit code of a command that succeeded. */
 export const EXIT_OK = 0;
 
 /** Exit code of `diff` when there are differences. */
 export const EXIT_DIFFERENT = 20;
 
-/** What to do next after an error of each kind; empty when the message says it all. */
+/** Advice printed after an error of each kind; empty if the message needs none. */
 const ADVICE: Readonly<Record<ErrorKind, string>> = {
   invalid: 'Correct the input and try again.',
   unauthenticated: 'Give a valid certificate by --cert, --key and --ca.',
@@ -44,7 +44,7 @@
   internal: 'Look at the logs of the entry host.',
 };
 
-/** Prints errors and returns the exit code of the first. */
+/** Prints the errors and returns the exit code of the first one. */
 export function fail(
   io: Io,
   json: boolean,
@@ -65,7 +65,7 @@
   return first === undefined ? 1 : ERROR_ANSWERS[first.kind].exitCode;
 }
 
-/** Lays out rows under a header in aligned columns. */
+/** Formats rows under a header in aligned columns. */
 export function table(
   header: readonly string[],
   rows: readonly (readonly string[])[],
@@ -83,7 +83,7 @@
   return lines.join('\n');
 }
 
-/** Prints `value` as JSON or `text` for a person, and returns success. */
+/** Prints `value` as JSON or else `text`, and returns the exit code of success. */
 export function succeed(
   io: Io,
   json: boolean,
--- a/packages/cli/src/read-texts.ts
+++ b/packages/cli/src/read-texts.ts
@@ -1,11 +1,11 @@
-/** Reads the texts that a command is given. */
+/** Reads the input files of a command. */
 import { readFileSync } from 'node:fs';
 import { text } from 'node:stream/consumers';
 
 import { appError, type AppError } from '@paddlewind/domain';
 import { Result } from 'true-myth';
 
-/** Reads the named files, or standard input where none is named. */
+/** Reads the given files, or standard input if there are none. */
 export async function readTexts(
   files: readonly string[],
 ): Promise<Result<string[], AppError>> {
--- a/packages/cli/src/trace/history.test.ts
+++ b/packages/cli/src/trace/history.test.ts
@@ -23,14 +23,14 @@
   return line(second, { task: `${ID}.0.0.1`, run: 1, how, msg });
 }
 
-test('tells a refusal with its reason', () => {
+test('reports a refusal with its reason', () => {
   const text = answered(1, 'refused', 'the log does not answer this host');
   assert.deepEqual(readHistory(ID, [text]).causes, [
     'refused by h1 and not run: the log does not answer this host',
   ]);
 });
 
-test('a refusal that was accepted elsewhere is no cause', () => {
+test('a refusal is no cause if another host accepted the job', () => {
   const texts = [
     answered(1, 'refused', 'busy'),
     answered(2, 'recorded'),
@@ -40,7 +40,7 @@
   assert.deepEqual(readHistory(ID, texts).causes, []);
 });
 
-test('orders the lines of several hosts by time', () => {
+test('sorts the lines of several hosts by time', () => {
   const first = run(5, 'leader: a run has ended', 'done');
   const second = answered(1, 'recorded');
   const { lines } = readHistory(ID, [first, second]);
@@ -50,7 +50,7 @@
   );
 });
 
-test('tells a wait for room and runs that were lost', () => {
+test('reports a wait for capacity and lost runs', () => {
   const texts = [
     answered(1, 'recorded'),
     run(4, 'leader: a run is ordered'),
@@ -63,13 +63,13 @@
   ]);
 });
 
-test('passes over other jobs, other lines and what stands before a line', () => {
+test('ignores other jobs, other lines and text before the JSON', () => {
   const other = line(1, { job: 'ffffffffffffffff', msg: 'jobs: answered' });
   const text = `no json ${ID}\n12.5 h1 ${answered(1, 'recorded')}\n${other}`;
   assert.equal(readHistory(ID, [text]).lines.length, 1);
 });
 
-test('tells which workers a task that was given up has lost', () => {
+test('lists the workers that an abandoned task lost', () => {
   const task = `${ID}.0.0.1`;
   const lost = (second: number, worker: string, suspicion: string): string =>
     line(second, {
@@ -85,20 +85,20 @@
     lost(4, 'i-1', 'shared'),
     lost(8, 'i-2', 'sole'),
   ];
-  const ended = '2 runs ended as lost';
+  const lostRuns = '2 runs ended as lost';
   assert.deepEqual(readHistory(ID, texts).causes, [
-    ended,
+    lostRuns,
     `task ${task} lost its worker 2 times: i-1 (shared), i-2 (sole)`,
   ]);
   const msg = 'leader: a task is given up, workers were lost under it';
-  const told = line(9, { task, workers: ['i-1', 'i-2'], msg });
-  assert.deepEqual(readHistory(ID, [...texts, told]).causes, [
-    ended,
+  const abandoned = line(9, { task, workers: ['i-1', 'i-2'], msg });
+  assert.deepEqual(readHistory(ID, [...texts, abandoned]).causes, [
+    lostRuns,
     `task ${task} was given up, lost its worker 2 times: i-1 (shared), i-2 (sole)`,
   ]);
 });
 
-test('tells which of the workers that a task lost have started again', () => {
+test('marks the lost workers of a task that have restarted', () => {
   const task = `${ID}.0.0.1`;
   const texts = [
     answered(1, 'recorded'),
--- a/packages/cli/src/trace/history.ts
+++ b/packages/cli/src/trace/history.ts
@@ -1,54 +1,55 @@
-/** The history of one job, put together from the log lines of several hosts. */
+/** Builds the history of one job from the logs of several hosts. */
 
-import { readLogLines, textOf, type LogLine } from '../log-lines.js';
+import { readLogLines, stringOrEmpty, type LogLine } from '../log-lines.js';
 
-/** A log line that tells of the job, with the fields that not every line has. */
+/** A log line about the job, without the fields that every line has. */
 export type TraceLine = LogLine;
 
-/** A job's lines in order, and what they say of its cause. */
+/** A job's log lines in order of time, and the causes of delay or failure found in them. */
 export interface JobHistory {
   readonly lines: readonly TraceLine[];
   readonly causes: readonly string[];
 }
 
-/** Wait for a first run, in milliseconds, that is told as a cause of lateness. */
-const LONG_WAIT_MS = 1_000;
+/** Wait for the first run from which it is reported as a cause of delay. */
+const REPORTED_WAIT_MS = 1_000;
 
-/** The line that tells of a task under which too many workers were lost. */
-const GIVEN_UP_MSG = 'leader: a task is given up, workers were lost under it';
+/** Message logged when a task is abandoned because too many workers were lost while running it. */
+const TASK_ABANDONED_MSG =
+  'leader: a task is given up, workers were lost under it';
 
-/** Fields that every line has, or that say nothing of the job. */
+/** Fields left out of the history: they are on every line or redundant for a single job. */
 const COMMON_FIELDS = new Set(['level', 'time', 'host', 'msg', 'job']);
 
-/** The line that tells of a worker that has started again under its id. */
-const RESTARTED_MSG = 'fleet: a worker has started again';
+/** Message logged when a worker has restarted under the same id. */
+const WORKER_RESTARTED_MSG = 'fleet: a worker has started again';
 
-/** The line that tells of a run that has begun at a later start of its worker. */
-const MOVED_MSG = 'leader: a run is at a later start of its worker';
+/** Message logged when a run started only after its worker had restarted. */
+const RUN_AFTER_RESTART_MSG = 'leader: a run is at a later start of its worker';
 
-/** Reads the lines of job `id`; what is no JSON, and what stands before it on a line, is passed over. */
+/** Extracts the history of job `id`; ignores lines without JSON, and text before the JSON of a line. */
 export function readHistory(id: string, texts: readonly string[]): JobHistory {
   const all = readLogLines(texts).lines;
   const lines = all
-    .filter(({ fields }) => isAbout(id, fields))
-    .map(withoutCommon);
-  return { lines, causes: causesOf(lines, restartedIn(all)) };
+    .filter(({ fields }) => isLineOfJob(id, fields))
+    .map(omitCommonFields);
+  return { lines, causes: causesOf(lines, restartedWorkers(all)) };
 }
 
-/** Workers, by the name of the start that has ended, that were seen to start again. */
-function restartedIn(lines: readonly LogLine[]): Set<string> {
-  const found = lines.filter(({ msg }) => msg === RESTARTED_MSG);
-  return new Set(found.map(({ fields }) => textOf(fields.worker)));
+/** Returns the incarnations of workers that ended with a restart. */
+function restartedWorkers(lines: readonly LogLine[]): Set<string> {
+  const found = lines.filter(({ msg }) => msg === WORKER_RESTARTED_MSG);
+  return new Set(found.map(({ fields }) => stringOrEmpty(fields.worker)));
 }
 
-function withoutCommon({ time, host, msg, fields }: LogLine): TraceLine {
+function omitCommonFields({ time, host, msg, fields }: LogLine): TraceLine {
   const own = Object.entries(fields).filter(
     ([name]) => !COMMON_FIELDS.has(name),
   );
   return { time, host, msg, fields: Object.fromEntries(own) };
 }
 
-function isAbout(id: string, { job, task }: LogLine['fields']): boolean {
+function isLineOfJob(id: string, { job, task }: LogLine['fields']): boolean {
   return job === id || (typeof task === 'string' && task.startsWith(`${id}.`));
 }
 
@@ -63,7 +64,7 @@
     ...answerCauses(lines),
     ...waitCauses(lines),
     ...runCauses(lines),
-    ...moveCauses(lines),
+    ...restartCauses(lines),
     ...lossCauses(lines, restarted),
   ];
 }
@@ -87,7 +88,10 @@
   reason: string;
 } {
   const result = (fields.result ?? {}) as Record<string, unknown>;
-  return { kind: textOf(result.kind), reason: textOf(result.reason) };
+  return {
+    kind: stringOrEmpty(result.kind),
+    reason: stringOrEmpty(result.reason),
+  };
 }
 
 function waitCauses(lines: readonly TraceLine[]): string[] {
@@ -103,7 +107,7 @@
     return ['accepted, and no run was ordered: there was no room for it'];
   }
   const waitMs = Date.parse(ordered.time) - Date.parse(accepted.time);
-  return waitMs >= LONG_WAIT_MS
+  return waitMs >= REPORTED_WAIT_MS
     ? [`waited ${(waitMs / 1000).toFixed(1)} s for room before its first run`]
     : [];
 }
@@ -112,42 +116,42 @@
   const ends = new Map<string, number>();
   for (const { msg, fields } of lines) {
     if (msg === 'leader: a run has ended' && fields.how !== 'done') {
-      const key = textOf(fields.how);
+      const key = stringOrEmpty(fields.how);
       ends.set(key, (ends.get(key) ?? 0) + 1);
     }
   }
   return [...ends].map(([how, count]) => `${count} runs ended as ${how}`);
 }
 
-function moveCauses(lines: readonly TraceLine[]): string[] {
-  const moved = lines.filter(({ msg }) => msg === MOVED_MSG).length;
+function restartCauses(lines: readonly TraceLine[]): string[] {
+  const moved = lines.filter(({ msg }) => msg === RUN_AFTER_RESTART_MSG).length;
   return moved === 0
     ? []
     : [`${moved} runs began only after their workers had started again`];
 }
 
-/** Which workers were lost under which task, and how far that speaks against it. */
+/** Describes which workers each task lost, and how strongly each loss counts against the task. */
 function lossCauses(
   lines: readonly TraceLine[],
   restarted: ReadonlySet<string>,
 ): string[] {
   const losses = new Map<string, string[]>();
-  const givenUp = new Set<string>();
+  const abandoned = new Set<string>();
   for (const { msg, fields } of lines) {
-    const task = textOf(fields.task);
+    const task = stringOrEmpty(fields.task);
     if (msg === 'leader: a run has ended' && fields.how === 'lost') {
-      const worker = textOf(fields.worker);
-      const suspicion = textOf(fields.suspicion);
+      const worker = stringOrEmpty(fields.worker);
+      const suspicion = stringOrEmpty(fields.suspicion);
       const again = restarted.has(worker) ? ', started again' : '';
       const loss = `${worker} (${suspicion}${again})`;
       losses.set(task, [...(losses.get(task) ?? []), loss]);
     }
-    if (msg === GIVEN_UP_MSG) {
-      givenUp.add(task);
+    if (msg === TASK_ABANDONED_MSG) {
+      abandoned.add(task);
     }
   }
   return [...losses].map(([task, workers]) => {
-    const verdict = givenUp.has(task) ? 'was given up, lost' : 'lost';
+    const verdict = abandoned.has(task) ? 'was given up, lost' : 'lost';
     return `task ${task} ${verdict} its worker ${workers.length} times: ${workers.join(', ')}`;
   });
 }
