--- a/packages/domain/src/interference/advise.fuzz.test.ts
+++ b/packages/domain/src/interference/advise.fuzz.test.ts
@@ -13,7 +13,7 @@
   observeUsage,
 } from './model.js';
 import { placementPenalty, MAX_PENALTY } from './penalty.js';
-import { LEAST_SHARE, STEER_LEVELS } from './settings.js';
+import { MIN_SHARE, STEER_LEVELS } from './settings.js';
 import type { Action, BatchTaskView, InterferenceView } from './view.js';
 
 const HOUR_MS = 3_600_000;
@@ -40,7 +40,7 @@
   classes: fc.integer({ min: 1, max: 40 }),
   limitMs: fc.integer({ min: 5, max: 200 }),
   stepMs: fc.constantFrom(500, 1_000, 5_000, 30_000),
-  obeys: fc.constantFrom(0, 0.5, 1),
+  obeyedFraction: fc.constantFrom(0, 0.5, 1),
 });
 
 type Scenario = typeof scenario extends fc.Arbitrary<infer T> ? T : never;
@@ -82,15 +82,15 @@
   };
 }
 
-/** Runs two hours of erratic load; returns the actions with their instants. */
-function play(
+/** Simulates up to two hours of erratic load and returns the actions with their instants. */
+function simulate(
   drawn: Scenario,
 ): { at: number; action: Action; task: FakeTask | undefined }[] {
   const random = seededRandom(drawn.seed);
   const model = createInterferenceModel();
   const memory = createPolicyMemory();
   const tasks = drawTasks(drawn, random);
-  const taken: { at: number; action: Action; task: FakeTask | undefined }[] =
+  const actions: { at: number; action: Action; task: FakeTask | undefined }[] =
     [];
   const steps = Math.min(600, (2 * HOUR_MS) / drawn.stepMs);
   const slowness = new Float64Array(WORKERS).fill(1);
@@ -138,8 +138,8 @@
       const task = tasks.find(
         one => action.kind !== 'steer' && one.id === action.task,
       );
-      taken.push({ at: now, action, task });
-      if (task !== undefined && random() < drawn.obeys) {
+      actions.push({ at: now, action, task });
+      if (task !== undefined && random() < drawn.obeyedFraction) {
         task.share = action.kind === 'throttle' ? action.share : 1;
         task.worker =
           action.kind === 'evict'
@@ -158,10 +158,10 @@
     const service = model.services.get('web');
     assert.ok(service?.filter.mean.every(Number.isFinite) ?? true);
   }
-  return taken;
+  return actions;
 }
 
-function most(instants: readonly number[]): number {
+function maxPerHour(instants: readonly number[]): number {
   return Math.max(
     0,
     ...instants.map(
@@ -170,28 +170,28 @@
   );
 }
 
-test('the play provokes every kind of action', () => {
+test('the simulation leads to every kind of action', () => {
   const kinds = new Set<string>();
-  for (const [seed, obeys] of [
+  for (const [seed, obeyedFraction] of [
     [1, 1],
     [2, 0],
     [3, 1],
   ] as const) {
     const weights = { tailLatency: 1, batchThroughput: 1, evictions: 1 };
-    const drawn = { seed, weights, classes: 4, limitMs: 60, obeys };
-    for (const { action } of play({ ...drawn, stepMs: 1_000 })) {
+    const drawn = { seed, weights, classes: 4, limitMs: 60, obeyedFraction };
+    for (const { action } of simulate({ ...drawn, stepMs: 1_000 })) {
       kinds.add(action.kind);
     }
   }
   assert.deepEqual([...kinds].sort(), ['evict', 'steer', 'throttle']);
 });
 
-test('actions stay within their bounds', () => {
+test('actions stay within their limits', () => {
   fc.assert(
     fc.property(scenario, drawn => {
       const byTarget = new Map<string, number[]>();
       const evicted = new Map<FakeTask, number[]>();
-      const taken = play(drawn);
+      const taken = simulate(drawn);
       for (const { at, action, task } of taken) {
         const target =
           action.kind === 'steer'
@@ -202,7 +202,7 @@
             assert.ok(STEER_LEVELS.some(level => level === action.weight));
             break;
           case 'throttle':
-            assert.ok(action.share >= LEAST_SHARE && action.share <= 1);
+            assert.ok(action.share >= MIN_SHARE && action.share <= 1);
             break;
           case 'evict':
             assert.ok(task?.preemptible);
@@ -212,10 +212,10 @@
         byTarget.set(target, [...(byTarget.get(target) ?? []), at]);
       }
       for (const instants of byTarget.values()) {
-        assert.ok(most(instants) <= MAX_CHANGES_PER_HOUR);
+        assert.ok(maxPerHour(instants) <= MAX_CHANGES_PER_HOUR);
       }
       for (const [task, instants] of evicted) {
-        assert.ok(most(instants) <= task.evictionsPerHour);
+        assert.ok(maxPerHour(instants) <= task.evictionsPerHour);
       }
     }),
     { seed: 5, numRuns: 30 },
--- a/packages/domain/src/interference/advise.ts
+++ b/packages/domain/src/interference/advise.ts
@@ -1,8 +1,8 @@
-/** The policy against interference: steer, then throttle, then checkpoint and evict. */
+/** Interference policy: steers requests first, then throttles batch tasks, then checkpoints and evicts them. */
 import type { Instant } from '../core/time.js';
 import { adviseEvictions } from './evict.js';
 import { forecast } from './forecast.js';
-import { forgetOld, type PolicyMemory } from './memory.js';
+import { dropStaleEntries, type PolicyMemory } from './memory.js';
 import {
   advance,
   observePlacement,
@@ -20,8 +20,8 @@
 } from './view.js';
 
 /**
- * Returns the actions for the workers of `view`, cheapest first; call every few seconds.
- * Whoever carries them out shows the outcome in the next view.
+ * Returns the actions for the workers of `view`, cheapest kind first; called every few seconds.
+ * The next view has to show the result of the actions that were carried out.
  */
 export function adviseActions(
   model: InterferenceModel,
@@ -31,7 +31,7 @@
   now: Instant,
 ): Action[] {
   updateModel(model, view, now);
-  forgetOld(memory, now);
+  dropStaleEntries(memory, now);
   const settings = settingsFor(weights);
   const predicted = forecast(model, view, now);
   const tasks = plannedTasks(view, memory, now);
@@ -45,10 +45,10 @@
     settings,
     now,
   );
-  return [...steers, ...withoutEvicted(throttles, evictions), ...evictions];
+  return [...steers, ...excludeEvicted(throttles, evictions), ...evictions];
 }
 
-function withoutEvicted(
+function excludeEvicted(
   throttles: readonly ThrottleAction[],
   evictions: readonly EvictAction[],
 ): ThrottleAction[] {
@@ -56,7 +56,7 @@
   return throttles.filter(action => !evicted.has(action.task));
 }
 
-/** Closes the windows that ran under the last view, then takes the new one. */
+/** Closes due sample windows under the previous placement, then records the placement of `view`. */
 export function updateModel(
   model: InterferenceModel,
   view: InterferenceView,
--- a/packages/domain/src/interference/classes.ts
+++ b/packages/domain/src/interference/classes.ts
@@ -1,37 +1,37 @@
-/** Slots of the batch classes that are being learnt; their number is bounded. */
+/** Assigns a bounded number of slots to the batch classes being learned. */
 import type { Instant } from '../core/time.js';
 
-/** Slots for batch classes; slot 0 pools the classes that found none. */
+/** Number of slots; slot 0 is shared by the classes that have none of their own. */
 export const CLASS_SLOTS = 16;
 
-const POOLED = 0;
+const POOLED_SLOT = 0;
 
-/** A slot is given to another class once its own was not seen for this long, in milliseconds. */
-const IDLE_MS = 30 * 60_000;
+/** Time after which the slot of a class that was not seen may be reassigned. */
+const CLASS_IDLE_MS = 30 * 60_000;
 
-/** Slots by batch class. */
+/** Slots by batch class, with the time at which each slot's class was last seen. */
 export interface ClassTable {
   readonly slots: Map<string, number>;
   readonly seenAt: Float64Array;
   readonly free: number[];
 }
 
-/** Builds an empty table. */
+/** Creates an empty table. */
 export function createClassTable(): ClassTable {
   const free: number[] = [];
-  for (let slot = CLASS_SLOTS - 1; slot > POOLED; slot--) {
+  for (let slot = CLASS_SLOTS - 1; slot > POOLED_SLOT; slot--) {
     free.push(slot);
   }
   return { slots: new Map(), seenAt: new Float64Array(CLASS_SLOTS), free };
 }
 
-/** Returns the slot of a class, or the pooled one for a class that has none. */
+/** Returns the slot of a class, or the shared slot if it has none. */
 export function slotOf(table: ClassTable, batchClass: string): number {
-  return table.slots.get(batchClass) ?? POOLED;
+  return table.slots.get(batchClass) ?? POOLED_SLOT;
 }
 
-/** Returns the slot of a class, assigning one if possible; `onAssign` clears what it held before. */
-export function touchSlot(
+/** Returns the slot of a class and assigns one if possible; `onAssign` must clear the slot's previous state. */
+export function assignSlot(
   table: ClassTable,
   batchClass: string,
   now: Instant,
@@ -39,9 +39,9 @@
 ): number {
   let slot = table.slots.get(batchClass);
   if (slot === undefined) {
-    slot = table.free.pop() ?? reclaim(table, now);
-    if (slot === POOLED) {
-      return POOLED;
+    slot = table.free.pop() ?? reclaimIdleSlot(table, now);
+    if (slot === POOLED_SLOT) {
+      return POOLED_SLOT;
     }
     table.slots.set(batchClass, slot);
     onAssign(slot);
@@ -50,9 +50,9 @@
   return slot;
 }
 
-function reclaim(table: ClassTable, now: Instant): number {
+function reclaimIdleSlot(table: ClassTable, now: Instant): number {
   let oldest: string | undefined;
-  let oldestAt = now - IDLE_MS;
+  let oldestAt = now - CLASS_IDLE_MS;
   for (const [name, slot] of table.slots) {
     const seenAt = table.seenAt[slot] ?? now;
     if (seenAt < oldestAt) {
@@ -61,7 +61,7 @@
     }
   }
   if (oldest === undefined) {
-    return POOLED;
+    return POOLED_SLOT;
   }
   const slot = slotOf(table, oldest);
   table.slots.delete(oldest);
--- a/packages/domain/src/interference/evict.ts
+++ b/packages/domain/src/interference/evict.ts
@@ -1,29 +1,33 @@
-/** Eviction of batch tasks, the dearest action: under a budget, and only where it pays. */
+/** Eviction of batch tasks, the most expensive action: rate-limited, and only where it is worth its cost. */
 import type { Instant } from '../core/time.js';
 import {
   badRateChange,
   levelChange,
-  spending,
+  predictedBurn,
   type Forecast,
 } from './forecast.js';
-import { refillTokens, withinHour, type PolicyMemory } from './memory.js';
-import { LEAST_SHARE, type PolicySettings } from './settings.js';
+import {
+  refillEvictionTokens,
+  withinLastHour,
+  type PolicyMemory,
+} from './memory.js';
+import { MIN_SHARE, type PolicySettings } from './settings.js';
 import type { PlannedTask } from './throttle.js';
 import type { ActionReason, EvictAction, InterferenceView } from './view.js';
 
-/** Time over which a move elsewhere is credited with the throughput it wins, in seconds. */
+/** Time for which the throughput gained on another worker is credited to an eviction. */
 const HORIZON_SECONDS = 900;
 
-/** Time that an eviction and the start elsewhere take, in seconds. */
+/** Time taken by an eviction and the restart on another worker. */
 const RESTART_SECONDS = 30;
 
-/** Share at or below which a task may do better elsewhere. */
-const SLOWED_SHARE = 0.5;
+/** Throttled share at or below which a task may be evicted. */
+const MAX_EVICTABLE_SHARE = 0.5;
 
-/** Part of an error budget that a moved task may spend at its destination. */
-const DESTINATION_SPENDING = 0.05;
+/** Maximum increase of predicted burn that a moved task may cause on its destination. */
+const MAX_DESTINATION_BURN = 0.05;
 
-/** Advises evictions; takes a token of the budget for each. */
+/** Recommends evictions and takes a token of the rate limit for each. */
 export function adviseEvictions(
   predicted: Forecast,
   memory: PolicyMemory,
@@ -34,24 +38,24 @@
 ): EvictAction[] {
   const preemptible = tasks.filter(task => task.view.preemptible);
   const perHour = settings.evictionsPerTaskHour * preemptible.length;
-  refillTokens(memory, perHour, now);
+  refillEvictionTokens(memory, perHour, now);
   const actions: EvictAction[] = [];
-  const free = new Map(view.workers.map(w => [w.name, w.freeCores]));
+  const freeCores = new Map(view.workers.map(w => [w.name, w.freeCores]));
   const candidates = preemptible
     .filter(task => isCandidate(task, settings, now))
-    .sort((a, b) => gainOf(b) - gainOf(a));
+    .sort((a, b) => evictionGain(b) - evictionGain(a));
   for (const task of candidates) {
     if (memory.evictionTokens < 1) {
       break;
     }
-    const reason = reasonFor(predicted, view, free, task, settings);
+    const reason = evictionReason(predicted, view, freeCores, task, settings);
     if (reason === undefined) {
       continue;
     }
     memory.evictionTokens -= 1;
-    const { known } = task;
-    known.evictions = [...withinHour(known.evictions, now), now];
-    known.throttledSince = undefined;
+    const { history } = task;
+    history.evictions = [...withinLastHour(history.evictions, now), now];
+    history.throttledSince = undefined;
     actions.push({
       kind: 'evict',
       task: task.view.task,
@@ -68,53 +72,56 @@
   settings: PolicySettings,
   now: Instant,
 ): boolean {
-  const { known, view } = task;
-  const since = known.throttledSince;
+  const { history, view } = task;
+  const since = history.throttledSince;
   return (
-    task.share <= SLOWED_SHARE &&
+    task.share <= MAX_EVICTABLE_SHARE &&
     since !== undefined &&
     now - since >= settings.evictAfterMs &&
-    withinHour(known.evictions, now).length + 1 <= view.evictionsPerHour
+    withinLastHour(history.evictions, now).length + 1 <= view.evictionsPerHour
   );
 }
 
-/** Core-seconds won by running unthrottled elsewhere, less the cost of moving. */
-function gainOf(task: PlannedTask): number {
+/** Returns the core-seconds gained by running unthrottled on another worker, less the cost of the move. */
+function evictionGain(task: PlannedTask): number {
   const { cores, uncheckpointedSeconds } = task.view;
-  const won = (1 - task.share) * HORIZON_SECONDS;
-  return cores * (won - RESTART_SECONDS - uncheckpointedSeconds);
+  const gained = (1 - task.share) * HORIZON_SECONDS;
+  return cores * (gained - RESTART_SECONDS - uncheckpointedSeconds);
 }
 
-function reasonFor(
+function evictionReason(
   predicted: Forecast,
   view: InterferenceView,
-  free: Map<string, number>,
+  freeCores: Map<string, number>,
   task: PlannedTask,
   settings: PolicySettings,
 ): ActionReason | undefined {
   const { cores } = task.view;
-  if (gainOf(task) > cores * settings.evictionCostSeconds) {
-    const better = view.workers.find(
+  if (evictionGain(task) > cores * settings.evictionCostSeconds) {
+    const destination = view.workers.find(
       worker =>
         worker.name !== task.worker.name &&
-        (free.get(worker.name) ?? 0) >= cores &&
-        isHarmless(predicted, worker.name, worker.cores, task, settings),
+        (freeCores.get(worker.name) ?? 0) >= cores &&
+        fitsErrorBudgets(predicted, worker.name, worker.cores, task, settings),
     );
-    if (better !== undefined) {
-      free.set(better.name, (free.get(better.name) ?? 0) - cores);
+    if (destination !== undefined) {
+      freeCores.set(
+        destination.name,
+        (freeCores.get(destination.name) ?? 0) - cores,
+      );
       return 'runs_better_elsewhere';
     }
   }
-  const nodes = predicted.byWorker.get(task.worker.name) ?? [];
-  const atRisk = nodes.some(
-    node =>
-      spending(node.service) > settings.actAbove &&
-      node.badShare > 1 - node.service.view.target,
+  const backends = predicted.byWorker.get(task.worker.name) ?? [];
+  const atRisk = backends.some(
+    backend =>
+      predictedBurn(backend.service) > settings.burnThreshold &&
+      backend.badShare > 1 - backend.service.view.target,
   );
-  return atRisk && task.share <= LEAST_SHARE ? 'objective_at_risk' : undefined;
+  return atRisk && task.share <= MIN_SHARE ? 'objective_at_risk' : undefined;
 }
 
-function isHarmless(
+function fitsErrorBudgets(
   predicted: Forecast,
   worker: string,
   workerCores: number,
@@ -123,19 +130,20 @@
 ): boolean {
   const { batchClass, cores } = task.view;
   const share = cores / workerCores;
-  return (predicted.byWorker.get(worker) ?? []).every(node => {
+  return (predicted.byWorker.get(worker) ?? []).every(backend => {
     const change = levelChange(
       predicted,
-      node,
+      backend,
       batchClass,
       share,
-      settings.caution,
+      settings.safetyDeviations,
     );
-    const bad = badRateChange(node, change);
-    const own = spending(node.service, bad) - spending(node.service);
+    const bad = badRateChange(backend, change);
+    const increase =
+      predictedBurn(backend.service, bad) - predictedBurn(backend.service);
     return (
-      own <= DESTINATION_SPENDING &&
-      spending(node.service, bad) <= settings.aimFor
+      increase <= MAX_DESTINATION_BURN &&
+      predictedBurn(backend.service, bad) <= settings.targetBurn
     );
   });
 }
--- a/packages/domain/src/interference/index.ts
+++ b/packages/domain/src/interference/index.ts
@@ -1,4 +1,4 @@
-/** Learning of interference between services and batch work, and the policy against it. */
+/** Learns how batch work slows down services, and recommends actions against it. */
 export * from './advise.js';
 export * from './batch-class.js';
 export {
@@ -9,7 +9,7 @@
 } from './memory.js';
 export {
   createInterferenceModel,
-  learntSlowdown,
+  learnedSlowdown,
   observeLatency,
   observePlacement,
   observeUsage,
--- a/packages/domain/src/interference/interference.test.ts
+++ b/packages/domain/src/interference/interference.test.ts
@@ -7,7 +7,7 @@
 import { createPolicyMemory } from './memory.js';
 import {
   createInterferenceModel,
-  learntSlowdown,
+  learnedSlowdown,
   observeLatency,
   observeUsage,
   type InterferenceModel,
@@ -16,8 +16,8 @@
 import type { Action, BatchTaskView, InterferenceView } from './view.js';
 
 const CORES = 16;
-const LAG_MS = 30_000;
-const EVEN = { tailLatency: 1, batchThroughput: 1, evictions: 1 };
+const USAGE_DELAY_MS = 30_000;
+const EQUAL_WEIGHTS = { tailLatency: 1, batchThroughput: 1, evictions: 1 };
 
 interface FakeWorker {
   readonly name: string;
@@ -31,13 +31,13 @@
   return Math.sqrt(-2 * Math.log(1 - random())) * Math.cos(angle);
 }
 
-/** Feeds ten samples a worker and second, and usage that is 30 s old every 5 s. */
+/** Feeds ten samples per second and worker at load 1, and usage reports of 30 s ago every 5 s. */
 function feed(
   model: InterferenceModel,
   workers: readonly FakeWorker[],
   slowdowns: Record<string, number>,
   seconds: number,
-  each: (at: number) => void,
+  onRound: (at: number) => void,
 ): void {
   const random = seededRandom(7);
   for (let second = 1; second <= seconds; second++) {
@@ -58,7 +58,7 @@
         });
       }
       if (second % 5 === 0) {
-        const asOf = at - LAG_MS;
+        const asOf = at - USAGE_DELAY_MS;
         const uses = Object.entries(worker.uses(asOf)).map(
           ([batchClass, cores]) => ({ batchClass, share: cores / CORES }),
         );
@@ -66,7 +66,7 @@
       }
     }
     if (second % 5 === 0) {
-      each(at);
+      onRound(at);
     }
   }
 }
@@ -111,7 +111,7 @@
   };
 }
 
-function alternating(index: number): FakeWorker {
+function alternatingWorker(index: number): FakeWorker {
   return {
     name: `w${index}`,
     uses: at => {
@@ -125,29 +125,29 @@
   };
 }
 
-const fleet = Array.from({ length: 12 }, (_, i) => alternating(i));
+const fleet = Array.from({ length: 12 }, (_, i) => alternatingWorker(i));
 
-test('the class of a job is its team and label', () => {
+test('the batch class of a job consists of its team and label', () => {
   assert.equal(batchClassOf('cards', { class: 'nightly' }), 'cards/nightly');
   assert.equal(batchClassOf('cards', { app: 'post' }), 'cards/post');
   assert.equal(batchClassOf('cards', {}), 'cards/default');
 });
 
-test('slowdowns are learnt from late usage', () => {
+test('learns slowdowns from delayed usage reports', () => {
   const model = createInterferenceModel();
   const memory = createPolicyMemory();
   feed(model, fleet, { noisy: 2, calm: 0 }, 900, at => {
-    adviseActions(model, memory, viewOf(fleet, at, 10_000), EVEN, at);
+    adviseActions(model, memory, viewOf(fleet, at, 10_000), EQUAL_WEIGHTS, at);
   });
-  const noisy = learntSlowdown(model, 'web', 'noisy', 0.25);
-  const calm = learntSlowdown(model, 'web', 'calm', 0.25);
+  const noisy = learnedSlowdown(model, 'web', 'noisy', 0.25);
+  const calm = learnedSlowdown(model, 'web', 'calm', 0.25);
   assert.ok(noisy !== undefined && calm !== undefined);
   assert.ok(Math.abs(noisy.mean - 0.5) < 0.1, `noisy ${noisy.mean}`);
   assert.ok(calm.mean < 0.08, `calm ${calm.mean}`);
   assert.ok(noisy.deviation < 0.1);
 });
 
-test('load alone is not blamed on neighbours', () => {
+test('does not attribute the effect of load to batch work', () => {
   const model = createInterferenceModel();
   const memory = createPolicyMemory();
   const loaded = fleet.map((worker, i) => ({
@@ -156,39 +156,39 @@
     load: (at: number): number => (at > 300_000 ? 2 : 1),
   }));
   feed(model, loaded, {}, 900, at => {
-    adviseActions(model, memory, viewOf(loaded, at, 10_000), EVEN, at);
+    adviseActions(model, memory, viewOf(loaded, at, 10_000), EQUAL_WEIGHTS, at);
   });
-  const calm = learntSlowdown(model, 'web', 'calm', 0.375);
+  const calm = learnedSlowdown(model, 'web', 'calm', 0.375);
   assert.ok(calm !== undefined && calm.mean < 0.08, `calm ${calm?.mean}`);
 });
 
-test('the culprit is throttled and the innocent left alone', () => {
+test('throttles the class that slows services down, not the others', () => {
   const model = createInterferenceModel();
   const memory = createPolicyMemory();
-  const acted: Action[] = [];
+  const actions: Action[] = [];
   feed(model, fleet, { noisy: 3, calm: 0 }, 900, at => {
     const limit = at > 600_000 ? 100 : 10_000;
     const view = viewOf(fleet, at, limit);
-    acted.push(...adviseActions(model, memory, view, EVEN, at));
+    actions.push(...adviseActions(model, memory, view, EQUAL_WEIGHTS, at));
   });
-  const throttled = acted.filter(
+  const throttled = actions.filter(
     action => action.kind === 'throttle' && action.share < 1,
   );
-  const blamed = throttled.filter(
+  const noisyThrottled = throttled.filter(
     action => action.kind === 'throttle' && action.task.endsWith('noisy'),
   );
   assert.ok(throttled.length > 0);
-  assert.ok(blamed.length >= 0.9 * throttled.length);
+  assert.ok(noisyThrottled.length >= 0.9 * throttled.length);
 });
 
-test('placement costs more beside a service that suffers', () => {
+test('penalizes the placement of classes that slow services down', () => {
   const model = createInterferenceModel();
   const memory = createPolicyMemory();
   feed(model, fleet, { noisy: 3, calm: 0 }, 600, at => {
-    adviseActions(model, memory, viewOf(fleet, at, 100), EVEN, at);
+    adviseActions(model, memory, viewOf(fleet, at, 100), EQUAL_WEIGHTS, at);
   });
   const view = viewOf(fleet, 600_000, 100);
-  const penalty = placementPenalty(model, view, EVEN, 600_000);
+  const penalty = placementPenalty(model, view, EQUAL_WEIGHTS, 600_000);
   const noisy = penalty('w1', 'noisy', 4);
   assert.ok(noisy > 3 * penalty('w1', 'calm', 4), `noisy ${noisy}`);
   assert.equal(penalty('unknown', 'noisy', 4), 0);
--- a/packages/domain/src/interference/linear-filter.ts
+++ b/packages/domain/src/interference/linear-filter.ts
@@ -1,16 +1,16 @@
-/** Recursive linear regression with a random walk of the coefficients (Kalman filter). */
+/** Kalman filter for linear regression whose coefficients follow a random walk. */
 
-/** Normalised innovation beyond which an observation is taken for an outlier. */
+/** Normalised innovation beyond which an observation counts as an outlier. */
 const OUTLIER_LIMIT = 3;
 
-/** Coefficients with their joint uncertainty; `covariance` is row-major, `size` × `size`. */
+/** Means and covariance of the coefficients; `covariance` is row-major, `size` × `size`. */
 export interface LinearFilter {
   readonly size: number;
   readonly mean: Float64Array;
   readonly covariance: Float64Array;
 }
 
-/** Builds a filter of independent coefficients with the given means and standard deviations. */
+/** Creates a filter of independent coefficients with the given means and standard deviations. */
 export function createLinearFilter(
   means: readonly number[],
   deviations: readonly number[],
@@ -37,7 +37,7 @@
   return filter.covariance[i * filter.size + j] ?? 0;
 }
 
-/** Forgets what is known of coefficient `i`. */
+/** Resets coefficient `i` to a prior independent of the others. */
 export function resetCoefficient(
   filter: LinearFilter,
   i: number,
@@ -53,7 +53,7 @@
   filter.mean[i] = mean;
 }
 
-/** Adds `variances` to the coefficients' own, up to `limits`: old knowledge fades. */
+/** Increases the variances of the coefficients, up to `limits`, so that old observations lose weight. */
 export function diffuse(
   filter: LinearFilter,
   variances: Float64Array,
@@ -67,8 +67,11 @@
   }
 }
 
-/** Returns the value that the filter expects for `features`. */
-export function expected(filter: LinearFilter, features: Float64Array): number {
+/** Returns the value that the filter predicts for `features`. */
+export function predictValue(
+  filter: LinearFilter,
+  features: Float64Array,
+): number {
   let sum = 0;
   for (let i = 0; i < filter.size; i++) {
     sum += (filter.mean[i] ?? 0) * (features[i] ?? 0);
@@ -76,17 +79,17 @@
   return sum;
 }
 
-/** How an observation lay against what was expected, and the variance of that difference. */
+/** Difference between an observation and its prediction, and the expected variance of that difference. */
 export interface Innovation {
   readonly innovation: number;
   readonly variance: number;
 }
 
 /**
- * Takes one observation of variance `noise` and returns how it lay.
- * An outlier counts as if its variance were so large that it lies at the limit.
+ * Updates the filter with an observation of variance `noise` and returns its innovation.
+ * The variance of an outlier is raised until its normalised innovation equals the limit.
  */
-export function learn(
+export function updateFilter(
   filter: LinearFilter,
   features: Float64Array,
   value: number,
@@ -101,7 +104,7 @@
     }
     gain[i] = sum;
   }
-  const innovation = value - expected(filter, features);
+  const innovation = value - predictValue(filter, features);
   const explained = dot(gain, features);
   const total = Math.max(
     explained + noise,
--- a/packages/domain/src/interference/load-curve.ts
+++ b/packages/domain/src/interference/load-curve.ts
@@ -1,12 +1,12 @@
-/** The basis in which a service's level is learnt as a function of its load. */
+/** Piecewise linear basis for a service's log level as a function of its load. */
 
-/** Loads, relative to the service's mean, between which the level is interpolated. */
+/** Loads between which the level is interpolated, relative to the service's mean load. */
 const KNOTS = [0, 0.4, 0.8, 1.2, 1.8, 2.6] as const;
 
 /** Number of coefficients of a load curve. */
 export const KNOT_COUNT = KNOTS.length;
 
-/** Greatest relative load that is told apart from greater ones. */
+/** Maximum relative load; higher loads are clamped to it. */
 export const MAX_LOAD = 2.6;
 
 /** Writes the interpolation weights of `load` into the first `KNOT_COUNT` features. */
--- a/packages/domain/src/interference/memory.ts
+++ b/packages/domain/src/interference/memory.ts
@@ -1,34 +1,34 @@
-/** What the policy remembers of its actions, so that it does not flap. */
+/** History of the policy's actions, which limits how often they change. */
 import type { Instant, Millis } from '../core/time.js';
 
 const HOUR_MS = 3_600_000;
 
-/** Bounds of the state. */
+/** Maximum numbers of entries. */
 const MAX_TASKS = 8_192;
 const MAX_STEERS = 4_096;
 
-/** Changes of one task's share, or of one backend server's weight, in an hour at most. */
+/** Maximum changes per hour to the share of a task or the weight of a backend server. */
 export const MAX_CHANGES_PER_HOUR = 24;
 
-/** Changes that a raise leaves over, so that every cut down to the least share stays possible. */
-const CUTS_KEPT = 4;
+/** Changes per hour that increases leave unused, so that the share can still be cut to its minimum. */
+const RESERVED_CUTS = 4;
 
-/** Time that a level is kept before it is raised; grows with every change of the last hour. */
+/** Time for which a level is kept before it is raised; multiplied by the backoff for each change of the last hour. */
 const RAISE_DWELL_MS = 15_000;
 const RAISE_BACKOFF = 1.25;
 
-/** What is remembered of a task, over its attempts. */
-export interface TaskMemory {
+/** History of a task across its attempts. */
+export interface TaskHistory {
   changedAt: Instant;
-  /** Since when the task has been throttled; undefined while it is not. */
+  /** Time since which the task has been throttled; undefined while it is not. */
   throttledSince: Instant | undefined;
   changes: Instant[];
   evictions: Instant[];
   seenAt: Instant;
 }
 
-/** What is remembered of a service on a worker. */
-export interface SteerMemory {
+/** Steering history of a service on a worker. */
+export interface SteerHistory {
   readonly service: string;
   readonly worker: string;
   weight: number;
@@ -37,66 +37,66 @@
   seenAt: Instant;
 }
 
-/** Memory of the policy; bounded. */
+/** State of the policy, bounded in size. */
 export interface PolicyMemory {
-  readonly tasks: Map<string, TaskMemory>;
-  readonly steers: Map<string, SteerMemory>;
-  /** When a worker's tasks were last throttled further. */
-  readonly settledAt: Map<string, Instant>;
+  readonly tasks: Map<string, TaskHistory>;
+  readonly steers: Map<string, SteerHistory>;
+  /** Time of the last cut to a task's share, by worker. */
+  readonly lastCutAt: Map<string, Instant>;
   evictionTokens: number;
-  tokensAt: Instant | undefined;
+  tokensRefilledAt: Instant | undefined;
 }
 
-/** Builds an empty memory. */
+/** Creates an empty memory. */
 export function createPolicyMemory(): PolicyMemory {
   return {
     tasks: new Map(),
     steers: new Map(),
-    settledAt: new Map(),
+    lastCutAt: new Map(),
     evictionTokens: 1,
-    tokensAt: undefined,
+    tokensRefilledAt: undefined,
   };
 }
 
-/** Returns the memory of a task, started from the share seen; undefined when there is no room. */
-export function taskMemory(
+/** Returns the history of a task, creating it if needed; undefined if the limit is reached. */
+export function taskHistory(
   memory: PolicyMemory,
   task: string,
   share: number,
   now: Instant,
-): TaskMemory | undefined {
-  let known = memory.tasks.get(task);
-  if (known === undefined) {
+): TaskHistory | undefined {
+  let history = memory.tasks.get(task);
+  if (history === undefined) {
     if (memory.tasks.size >= MAX_TASKS) {
       return undefined;
     }
-    known = {
+    history = {
       changedAt: -Infinity,
       throttledSince: share < 1 ? now : undefined,
       changes: [],
       evictions: [],
       seenAt: now,
     };
-    memory.tasks.set(task, known);
+    memory.tasks.set(task, history);
   }
-  known.seenAt = now;
-  return known;
+  history.seenAt = now;
+  return history;
 }
 
-/** Returns the memory of a service on a worker; undefined when there is no room. */
-export function steerMemory(
+/** Returns the history of a service on a worker, creating it if needed; undefined if the limit is reached. */
+export function steerHistory(
   memory: PolicyMemory,
   service: string,
   worker: string,
   now: Instant,
-): SteerMemory | undefined {
+): SteerHistory | undefined {
   const key = `${service} ${worker}`;
-  let known = memory.steers.get(key);
-  if (known === undefined) {
+  let history = memory.steers.get(key);
+  if (history === undefined) {
     if (memory.steers.size >= MAX_STEERS) {
       return undefined;
     }
-    known = {
+    history = {
       service,
       worker,
       weight: 1,
@@ -104,76 +104,76 @@
       changes: [],
       seenAt: now,
     };
-    memory.steers.set(key, known);
+    memory.steers.set(key, history);
   }
-  known.seenAt = now;
-  return known;
+  history.seenAt = now;
+  return history;
 }
 
-/** A service's backend server that gets fewer requests. */
+/** Reduced weight of a service's backend server. */
 export interface SteeredWeight {
   readonly service: string;
   readonly worker: string;
   readonly weight: number;
 }
 
-/** Lists the backend servers that are steered away from. */
+/** Returns the backend servers with a reduced weight. */
 export function steeredWeights(memory: PolicyMemory): SteeredWeight[] {
   return [...memory.steers.values()].filter(steer => steer.weight < 1);
 }
 
-/** Returns the instants of the last hour. */
-export function withinHour(instants: Instant[], now: Instant): Instant[] {
+/** Returns the instants that lie within the last hour. */
+export function withinLastHour(instants: Instant[], now: Instant): Instant[] {
   return instants.filter(at => now - at < HOUR_MS);
 }
 
-/** Tells whether a share or weight may fall now. */
-export function mayLower(
-  known: { readonly changes: Instant[] },
+/** Returns whether a share or weight may be decreased now. */
+export function canDecrease(
+  history: { readonly changes: Instant[] },
   now: Instant,
 ): boolean {
-  return withinHour(known.changes, now).length < MAX_CHANGES_PER_HOUR;
+  return withinLastHour(history.changes, now).length < MAX_CHANGES_PER_HOUR;
 }
 
-/** Tells whether a share or weight may rise now. */
-export function mayRaise(
-  known: { readonly changes: Instant[]; readonly changedAt: Instant },
+/** Returns whether a share or weight may be increased now. */
+export function canIncrease(
+  history: { readonly changes: Instant[]; readonly changedAt: Instant },
   now: Instant,
 ): boolean {
-  const changes = withinHour(known.changes, now).length;
+  const changes = withinLastHour(history.changes, now).length;
   const dwellMs = RAISE_DWELL_MS * RAISE_BACKOFF ** changes;
   return (
-    changes + 1 + CUTS_KEPT <= MAX_CHANGES_PER_HOUR &&
-    now - known.changedAt >= dwellMs
+    changes + 1 + RESERVED_CUTS <= MAX_CHANGES_PER_HOUR &&
+    now - history.changedAt >= dwellMs
   );
 }
 
-/** Notes a change; several at one instant count once. */
-export function noteChange(
-  known: { changes: Instant[]; changedAt: Instant },
+/** Records a change; several changes at the same instant count as one. */
+export function recordChange(
+  history: { changes: Instant[]; changedAt: Instant },
   now: Instant,
 ): void {
-  if (known.changedAt !== now) {
-    known.changes = [...withinHour(known.changes, now), now];
+  if (history.changedAt !== now) {
+    history.changes = [...withinLastHour(history.changes, now), now];
   }
-  known.changedAt = now;
+  history.changedAt = now;
 }
 
-/** Adds eviction tokens for the time since the last call; `perHour` is also near the most kept. */
-export function refillTokens(
+/** Adds eviction tokens for the time since the last call; at most a sixth of `perHour`, or one, accumulate. */
+export function refillEvictionTokens(
   memory: PolicyMemory,
   perHour: number,
   now: Instant,
 ): void {
-  const elapsed: Millis = Math.max(0, now - (memory.tokensAt ?? now));
-  memory.tokensAt = now;
-  const most = Math.max(1, perHour / 6);
+  const elapsed: Millis = Math.max(0, now - (memory.tokensRefilledAt ?? now));
+  memory.tokensRefilledAt = now;
+  const maxTokens = Math.max(1, perHour / 6);
   const added = (perHour * elapsed) / HOUR_MS;
-  memory.evictionTokens = Math.min(most, memory.evictionTokens + added);
+  memory.evictionTokens = Math.min(maxTokens, memory.evictionTokens + added);
 }
 
-/** Forgets what was not seen for an hour. */
-export function forgetOld(memory: PolicyMemory, now: Instant): void {
+/** Deletes entries that were not seen for an hour. */
+export function dropStaleEntries(memory: PolicyMemory, now: Instant): void {
   for (const map of [memory.tasks, memory.steers]) {
     for (const [key, entry] of map) {
       if (now - entry.seenAt > HOUR_MS) {
@@ -181,9 +181,9 @@
       }
     }
   }
-  for (const [worker, at] of memory.settledAt) {
+  for (const [worker, at] of memory.lastCutAt) {
     if (now - at > HOUR_MS) {
-      memory.settledAt.delete(worker);
+      memory.lastCutAt.delete(worker);
     }
   }
 }
--- a/packages/domain/src/interference/model.ts
+++ b/packages/domain/src/interference/model.ts
@@ -1,77 +1,78 @@
 /**
- * Learning of interference: response times come at once, usage comes late.
- * Windows of response times wait for the usage report of their own time; see docs/design/interference.md.
+ * Learns how batch work slows down services. Response times arrive at once but usage reports arrive
+ * late, so windows of response times are queued until the usage of their time is reported;
+ * see docs/design/interference.md.
  */
 import type { Instant } from '../core/time.js';
 import {
   CLASS_SLOTS,
   createClassTable,
   slotOf,
-  touchSlot,
+  assignSlot,
   type ClassTable,
 } from './classes.js';
 import {
   addSample,
   closeWindow,
   createPair,
-  keptSamples,
-  moveOffset,
+  windowSamples,
+  updateOffset,
   queueWindow,
-  takeWindows,
-  windowEnds,
+  dequeueWindows,
+  isWindowDue,
   windowVariance,
-  type Pair,
+  type ServiceWorkerPair,
 } from './pair.js';
 import {
   addToTrend,
   baseline,
   createServiceModel,
-  fade,
-  forgetClass,
+  diffuseForElapsed,
+  resetClass,
   learnWindow,
-  moveTrend,
+  updateTrend,
   slowdownOf,
-  startLevel,
-  takeRate,
+  initializeLevel,
+  updateMeanRate,
   totalSlowdown,
   type ClassShares,
   type ServiceModel,
   type Slowdown,
 } from './service-model.js';
-import { addRatio, rebuild, shareAbove } from './spread.js';
+import { addRatio, rebuildSurvival, shareAbove } from './spread.js';
 
-/** Bounds of the state. */
+/** Maximum numbers of entries. */
 const MAX_SERVICES = 64;
 const MAX_PAIRS = 4_096;
 const MAX_WORKERS = 1_024;
 
-/** Pairs and workers not heard of for this long are forgotten, in milliseconds. */
-const FORGET_MS = 15 * 60_000;
+/** Time after which pairs and workers without new data are deleted. */
+const STATE_RETENTION_MS = 15 * 60_000;
 
-/** Response times are taken for unknown when the last is older than this, in milliseconds. */
-export const STALE_MS = 60_000;
+/** Age of the last sample beyond which the response times of a pair count as unknown. */
+export const STALE_LATENCY_MS = 60_000;
 
-/** Response times outside are taken for the nearest bound, in milliseconds. */
-const LEAST_LATENCY_MS = 0.05;
-const GREATEST_LATENCY_MS = 60_000;
+/** Range to which response times are clamped. */
+const MIN_LATENCY_MS = 0.05;
+const MAX_LATENCY_MS = 60_000;
 
-/** Variance of log response times within a window, until it is known. */
+/** Variance of log response times, used until it can be computed; a quarter of it is the minimum. */
 const INITIAL_SPREAD_VARIANCE = 0.25;
 
-/** Windows with fewer samples tell nothing of the spread. */
-const LEAST_SPREAD_SAMPLES = 4;
+/** Minimum samples of a window for it to count towards the spread. */
+const MIN_SPREAD_SAMPLES = 4;
 
 const CALIBRATION_SMOOTHING = 0.002;
-const LEAST_CALIBRATION = 0.5;
-const GREATEST_CALIBRATION = 3;
+const MIN_CALIBRATION = 0.5;
+const MAX_CALIBRATION = 3;
 
-/** Windows with less batch work than this share of a worker show the common shift. */
-const QUIET_SHARE = 0.05;
-const LEAST_QUIET = 3;
-const SHIFT_TIME_MS = 20_000;
-const SHIFT_RETURN_MS = 300_000;
+/** Workers with less batch work than this share are used to estimate the shift common to all workers. */
+const MAX_QUIET_SHARE = 0.05;
+const MIN_QUIET_WORKERS = 3;
+const SHIFT_TIME_CONSTANT_MS = 20_000;
+const SHIFT_DECAY_MS = 300_000;
 
-/** One response time as a router saw it. */
+/** A response time measured by a router. */
 export interface LatencySample {
   readonly service: string;
   readonly worker: string;
@@ -79,7 +80,7 @@
   readonly at: Instant;
 }
 
-/** Use of a worker's processors by batch classes, as shares of the worker, true at `asOf`. */
+/** Use of a worker's processors by batch classes as of the given time. */
 export interface UsageSample {
   readonly worker: string;
   readonly asOf: Instant;
@@ -97,17 +98,17 @@
   seenAt: Instant;
 }
 
-/** State of the learning; bounded, and changed only by the functions of this module. */
+/** State of the learned model; bounded in size and changed only by this module's functions. */
 export interface InterferenceModel {
   readonly classes: ClassTable;
   readonly services: Map<string, ServiceModel>;
   readonly objectives: Map<string, number>;
-  readonly pairs: Map<string, Map<string, Pair>>;
+  readonly pairs: Map<string, Map<string, ServiceWorkerPair>>;
   readonly workers: Map<string, WorkerState>;
   pairCount: number;
 }
 
-/** Builds a model that knows nothing. */
+/** Creates an empty model. */
 export function createInterferenceModel(): InterferenceModel {
   return {
     classes: createClassTable(),
@@ -119,7 +120,7 @@
   };
 }
 
-/** Sets the response time (ms) that requests of a service must keep. */
+/** Sets the response time objective of a service in milliseconds. */
 export function setObjective(
   model: InterferenceModel,
   service: string,
@@ -130,7 +131,7 @@
   }
 }
 
-/** Takes one response time. */
+/** Records one response time; ignores invalid values. */
 export function observeLatency(
   model: InterferenceModel,
   sample: LatencySample,
@@ -138,27 +139,27 @@
   if (!Number.isFinite(sample.latencyMs) || sample.latencyMs < 0) {
     return;
   }
-  const pair = pairFor(model, sample);
+  const pair = getOrCreatePair(model, sample);
   if (pair === undefined) {
     return;
   }
   const latency = Math.min(
-    GREATEST_LATENCY_MS,
-    Math.max(LEAST_LATENCY_MS, sample.latencyMs),
+    MAX_LATENCY_MS,
+    Math.max(MIN_LATENCY_MS, sample.latencyMs),
   );
   const log = Math.log(latency);
   const limit = model.objectives.get(sample.service);
   addSample(pair, log, limit !== undefined && log > limit, sample.at);
   const trend = model.services.get(sample.service)?.trend;
-  if (pair.expected !== undefined && trend !== undefined) {
-    addToTrend(trend, log - pair.expected);
+  if (pair.expectedLevel !== undefined && trend !== undefined) {
+    addToTrend(trend, log - pair.expectedLevel);
   }
 }
 
-function pairFor(
+function getOrCreatePair(
   model: InterferenceModel,
   sample: LatencySample,
-): Pair | undefined {
+): ServiceWorkerPair | undefined {
   const { service, worker, at } = sample;
   const known = model.pairs.get(service)?.get(worker);
   if (known !== undefined) {
@@ -180,7 +181,7 @@
   return pair;
 }
 
-/** Sets what batch classes use on a worker now, by what is known without waiting for reports. */
+/** Sets the current use of a worker by batch classes, from its placements rather than usage reports. */
 export function observePlacement(
   model: InterferenceModel,
   worker: string,
@@ -197,7 +198,7 @@
   });
 }
 
-/** Takes a late usage report and learns from the windows of its time. */
+/** Learns from the queued windows that ended by the time of a usage report. */
 export function observeUsage(
   model: InterferenceModel,
   usage: UsageSample,
@@ -210,7 +211,7 @@
     if (pair === undefined || serviceModel === undefined) {
       continue;
     }
-    for (const window of takeWindows(pair, usage.asOf)) {
+    for (const window of dequeueWindows(pair, usage.asOf)) {
       learnWindow(
         serviceModel,
         window.load,
@@ -229,9 +230,9 @@
 ): ClassShares {
   const shares = new Float64Array(CLASS_SLOTS);
   for (const { batchClass, share } of uses) {
-    const slot = touchSlot(model.classes, batchClass, now, assigned => {
+    const slot = assignSlot(model.classes, batchClass, now, assigned => {
       for (const service of model.services.values()) {
-        forgetClass(service, assigned);
+        resetClass(service, assigned);
       }
     });
     shares[slot] = (shares[slot] ?? 0) + Math.min(1, Math.max(0, share));
@@ -239,7 +240,7 @@
   return shares;
 }
 
-/** Closes windows that are due and forgets what is gone; call every second or so. */
+/** Closes due windows, updates the trends and deletes stale state; called about once a second. */
 export function advance(model: InterferenceModel, now: Instant): void {
   for (const [name, pairs] of model.pairs) {
     const service = model.services.get(name);
@@ -247,61 +248,68 @@
       continue;
     }
     const elapsedMs = Math.max(0, now - service.diffusedAt);
-    fade(service, now);
-    moveTrend(service.trend, rateOf(pairs, now), elapsedMs);
+    diffuseForElapsed(service, now);
+    updateTrend(service.trend, totalRate(pairs, now), elapsedMs);
     for (const pair of pairs.values()) {
-      if (windowEnds(pair, now)) {
+      if (isWindowDue(pair, now)) {
         endWindow(model, service, pair, now);
       }
     }
-    rebuild(service.spread);
-    moveShift(model, service, pairs, elapsedMs);
-    expectLevels(model, service, pairs);
-    forgetPairs(model, name, pairs, now);
+    rebuildSurvival(service.spread);
+    updateShift(model, service, pairs, elapsedMs);
+    updateExpectedLevels(model, service, pairs);
+    dropStalePairs(model, name, pairs, now);
   }
   for (const [worker, state] of model.workers) {
-    if (now - state.seenAt > FORGET_MS) {
+    if (now - state.seenAt > STATE_RETENTION_MS) {
       model.workers.delete(worker);
     }
   }
 }
 
-/** Requests a second of all pairs whose level is forecast. */
-function rateOf(pairs: Map<string, Pair>, now: Instant): number {
+/** Returns the requests per second of all recently seen pairs with an expected level. */
+function totalRate(
+  pairs: Map<string, ServiceWorkerPair>,
+  now: Instant,
+): number {
   let rate = 0;
   for (const pair of pairs.values()) {
-    if (pair.expected !== undefined && now - pair.seenAt <= STALE_MS) {
+    if (
+      pair.expectedLevel !== undefined &&
+      now - pair.seenAt <= STALE_LATENCY_MS
+    ) {
       rate += pair.rate;
     }
   }
   return rate;
 }
 
-function expectLevels(
+function updateExpectedLevels(
   model: InterferenceModel,
   service: ServiceModel,
-  pairs: Map<string, Pair>,
+  pairs: Map<string, ServiceWorkerPair>,
 ): void {
   for (const pair of pairs.values()) {
     if (pair.rate > 0) {
-      pair.expected = levelOf(model, service, pair).level - service.trend.lift;
+      pair.expectedLevel =
+        levelOf(model, service, pair).level - service.trend.levelRise;
     }
   }
 }
 
-/** Returns the load and log level of a pair now, by model, local level and trend. */
+/** Returns the current load and log level of a pair, from the model, its local offset and the trend. */
 export function levelOf(
   model: InterferenceModel,
   service: ServiceModel,
-  pair: Pair,
+  pair: ServiceWorkerPair,
 ): { readonly load: number; readonly level: number } {
-  const load = pair.load * service.trend.surge;
+  const load = pair.load * service.trend.rateFactor;
   const shares = model.workers.get(pair.worker)?.shares ?? NO_SHARES;
   const level =
     baseline(service, load) +
     totalSlowdown(service, load, shares) +
     pair.offset +
-    service.trend.lift;
+    service.trend.levelRise;
   return { load, level };
 }
 
@@ -310,28 +318,28 @@
 function endWindow(
   model: InterferenceModel,
   service: ServiceModel,
-  pair: Pair,
+  pair: ServiceWorkerPair,
   now: Instant,
 ): void {
   const variance = windowVariance(pair) ?? INITIAL_SPREAD_VARIANCE;
-  const samples = keptSamples(pair).slice();
+  const samples = windowSamples(pair).slice();
   const window = closeWindow(
     pair,
     now,
     Math.max(variance, INITIAL_SPREAD_VARIANCE / 4),
   );
-  startLevel(service, window.level);
-  if (samples.length >= LEAST_SPREAD_SAMPLES) {
+  initializeLevel(service, window.level);
+  if (samples.length >= MIN_SPREAD_SAMPLES) {
     samples.forEach(log => {
       addRatio(service.spread, log - window.level);
     });
   }
-  pair.load = takeRate(service, window.ratePerSecond);
+  pair.load = updateMeanRate(service, window.ratePerSecond);
   const shares = model.workers.get(pair.worker)?.shares ?? NO_SHARES;
   const modelled =
     baseline(service, pair.load) + totalSlowdown(service, pair.load, shares);
   calibrate(model, service, pair, modelled + pair.offset, window);
-  moveOffset(
+  updateOffset(
     pair,
     window.level - modelled,
     window.sampleVariance,
@@ -349,7 +357,7 @@
 function calibrate(
   model: InterferenceModel,
   service: ServiceModel,
-  pair: Pair,
+  pair: ServiceWorkerPair,
   level: number,
   window: { readonly count: number; readonly bad: number },
 ): void {
@@ -361,30 +369,30 @@
   const error = window.bad - predicted * service.calibration;
   const change = (CALIBRATION_SMOOTHING * error) / Math.max(1, predicted);
   service.calibration = Math.min(
-    GREATEST_CALIBRATION,
-    Math.max(LEAST_CALIBRATION, service.calibration + change),
+    MAX_CALIBRATION,
+    Math.max(MIN_CALIBRATION, service.calibration + change),
   );
 }
 
-function moveShift(
+function updateShift(
   model: InterferenceModel,
   service: ServiceModel,
-  pairs: Map<string, Pair>,
+  pairs: Map<string, ServiceWorkerPair>,
   elapsedMs: number,
 ): void {
-  const quiet: number[] = [];
+  const quietOffsets: number[] = [];
   for (const pair of pairs.values()) {
     const shares = model.workers.get(pair.worker)?.shares ?? NO_SHARES;
-    const busy = shares.reduce((sum, share) => sum + share, 0);
-    if (busy < QUIET_SHARE && pair.rate > 0) {
-      quiet.push(pair.offset);
+    const batchShare = shares.reduce((sum, share) => sum + share, 0);
+    if (batchShare < MAX_QUIET_SHARE && pair.rate > 0) {
+      quietOffsets.push(pair.offset);
     }
   }
-  let step = service.shift * (Math.exp(-elapsedMs / SHIFT_RETURN_MS) - 1);
-  if (quiet.length >= LEAST_QUIET) {
-    quiet.sort((a, b) => a - b);
-    const median = quiet[Math.floor(quiet.length / 2)] ?? 0;
-    step += median * (1 - Math.exp(-elapsedMs / SHIFT_TIME_MS));
+  let step = service.shift * (Math.exp(-elapsedMs / SHIFT_DECAY_MS) - 1);
+  if (quietOffsets.length >= MIN_QUIET_WORKERS) {
+    quietOffsets.sort((a, b) => a - b);
+    const median = quietOffsets[Math.floor(quietOffsets.length / 2)] ?? 0;
+    step += median * (1 - Math.exp(-elapsedMs / SHIFT_TIME_CONSTANT_MS));
   }
   service.shift += step;
   for (const pair of pairs.values()) {
@@ -392,14 +400,14 @@
   }
 }
 
-function forgetPairs(
+function dropStalePairs(
   model: InterferenceModel,
   service: string,
-  pairs: Map<string, Pair>,
+  pairs: Map<string, ServiceWorkerPair>,
   now: Instant,
 ): void {
   for (const [worker, pair] of pairs) {
-    if (now - pair.seenAt > FORGET_MS) {
+    if (now - pair.seenAt > STATE_RETENTION_MS) {
       pairs.delete(worker);
       model.pairCount -= 1;
     }
@@ -411,8 +419,8 @@
   }
 }
 
-/** Returns the learnt slowdown of a service by a batch class that uses `share` of a worker at `load`. */
-export function learntSlowdown(
+/** Returns the learned slowdown of a service at `load` by a batch class that uses `share` of a worker. */
+export function learnedSlowdown(
   model: InterferenceModel,
   service: string,
   batchClass: string,
--- a/packages/domain/src/interference/pair.ts
+++ b/packages/domain/src/interference/pair.ts
@@ -1,30 +1,30 @@
-/** Response times of one service on one worker: samples in windows, and the local level. */
+/** Response times of one service on one worker: sample windows and the local offset from the model. */
 import type { Instant } from '../core/time.js';
 
-/** Samples of a window that are kept one by one for the spread. */
-const KEPT_SAMPLES = 64;
+/** Number of the last samples of a window that are kept individually for the spread. */
+const MAX_KEPT_SAMPLES = 64;
 
-/** A window closes once it is this old and has enough samples, or at the latest age. */
-const WINDOW_MS = 5_000;
-const LATEST_WINDOW_MS = 20_000;
-const ENOUGH_SAMPLES = 8;
+/** A window closes at the minimum age if it has enough samples, otherwise at the maximum age. */
+const MIN_WINDOW_MS = 5_000;
+const MAX_WINDOW_MS = 20_000;
+const MIN_WINDOW_SAMPLES = 8;
 
-/** Closed windows that wait for the usage report of their time. */
+/** Maximum number of closed windows queued for the usage report of their time. */
 const MAX_PENDING = 24;
 
-/** Variance of the local level: at most, and its growth a second. */
-const LOCAL_VARIANCE = 0.3;
-const LOCAL_DRIFT = 0.002;
+/** Maximum variance of the local offset, and its growth per second. */
+const MAX_OFFSET_VARIANCE = 0.3;
+const OFFSET_VARIANCE_PER_SECOND = 0.002;
 
-/** Time constant with which the local level returns to the model's, in milliseconds. */
-const LOCAL_RETURN_MS = 120_000;
+/** Time constant with which the local offset decays to zero. */
+const OFFSET_DECAY_MS = 120_000;
 
 const RATE_SMOOTHING = 0.4;
 
-/** A closed window. */
+/** A closed window, queued until the usage of its time is reported. */
 export interface ClosedWindow {
   readonly endedAt: Instant;
-  /** Mean of the logarithms of the response times (ms). */
+  /** Mean of ln(response time in ms). */
   readonly level: number;
   readonly sampleVariance: number;
   readonly load: number;
@@ -32,7 +32,7 @@
 }
 
 /** State of one service on one worker. */
-export interface Pair {
+export interface ServiceWorkerPair {
   readonly service: string;
   readonly worker: string;
   startedAt: Instant;
@@ -40,21 +40,21 @@
   sum: number;
   sumSquares: number;
   bad: number;
-  readonly kept: Float64Array;
-  /** Requests a second, smoothed. */
+  readonly keptSamples: Float64Array;
+  /** Smoothed requests per second. */
   rate: number;
   /** Load relative to the service's mean. */
   load: number;
-  /** How far the level lies above the model's expectation, with its variance. */
+  /** Local offset: difference between the log level and the model's prediction, with its variance. */
   offset: number;
   offsetVariance: number;
-  /** Log level expected when last forecast, for the trend of the service; undefined before. */
-  expected: number | undefined;
+  /** Log level last predicted without the trend, against which the trend is computed; undefined before. */
+  expectedLevel: number | undefined;
   seenAt: Instant;
   readonly pending: ClosedWindow[];
 }
 
-/** What a window of samples amounts to when it closes. */
+/** Summary of a window of samples at its close. */
 export interface WindowSummary {
   readonly count: number;
   readonly bad: number;
@@ -64,12 +64,12 @@
   readonly seconds: number;
 }
 
-/** Builds the state of a pair without samples. */
+/** Creates the state of a pair without samples. */
 export function createPair(
   service: string,
   worker: string,
   now: Instant,
-): Pair {
+): ServiceWorkerPair {
   return {
     service,
     worker,
@@ -78,12 +78,12 @@
     sum: 0,
     sumSquares: 0,
     bad: 0,
-    kept: new Float64Array(KEPT_SAMPLES),
+    keptSamples: new Float64Array(MAX_KEPT_SAMPLES),
     rate: 0,
     load: 1,
     offset: 0,
-    offsetVariance: LOCAL_VARIANCE,
-    expected: undefined,
+    offsetVariance: MAX_OFFSET_VARIANCE,
+    expectedLevel: undefined,
     seenAt: now,
     pending: [],
   };
@@ -91,15 +91,15 @@
 
 /** Adds the logarithm of one response time. */
 export function addSample(
-  pair: Pair,
+  pair: ServiceWorkerPair,
   log: number,
   bad: boolean,
   at: Instant,
 ): void {
-  if (pair.count === 0 && at - pair.startedAt > LATEST_WINDOW_MS) {
+  if (pair.count === 0 && at - pair.startedAt > MAX_WINDOW_MS) {
     pair.startedAt = at;
   }
-  pair.kept[pair.count % KEPT_SAMPLES] = log;
+  pair.keptSamples[pair.count % MAX_KEPT_SAMPLES] = log;
   pair.count += 1;
   pair.sum += log;
   pair.sumSquares += log * log;
@@ -107,18 +107,18 @@
   pair.seenAt = Math.max(pair.seenAt, at);
 }
 
-/** Tells whether the window of the pair is to be closed at `now`. */
-export function windowEnds(pair: Pair, now: Instant): boolean {
+/** Returns whether the open window of the pair has to be closed now. */
+export function isWindowDue(pair: ServiceWorkerPair, now: Instant): boolean {
   const age = now - pair.startedAt;
-  if (pair.count === 0 || age < WINDOW_MS) {
+  if (pair.count === 0 || age < MIN_WINDOW_MS) {
     return false;
   }
-  return pair.count >= ENOUGH_SAMPLES || age >= LATEST_WINDOW_MS;
+  return pair.count >= MIN_WINDOW_SAMPLES || age >= MAX_WINDOW_MS;
 }
 
-/** Closes the window; the samples kept are read before by `keptSamples`. */
+/** Closes the open window; its samples have to be read with `windowSamples` first. */
 export function closeWindow(
-  pair: Pair,
+  pair: ServiceWorkerPair,
   now: Instant,
   spreadVariance: number,
 ): WindowSummary {
@@ -137,13 +137,13 @@
   return { count, bad, level, sampleVariance, ratePerSecond, seconds };
 }
 
-/** Returns the samples kept of the open window. */
-export function keptSamples(pair: Pair): Float64Array {
-  return pair.kept.subarray(0, Math.min(pair.count, KEPT_SAMPLES));
+/** Returns the samples of the open window that were kept individually. */
+export function windowSamples(pair: ServiceWorkerPair): Float64Array {
+  return pair.keptSamples.subarray(0, Math.min(pair.count, MAX_KEPT_SAMPLES));
 }
 
-/** Variance of the samples of the open window around their mean; undefined for fewer than two. */
-export function windowVariance(pair: Pair): number | undefined {
+/** Returns the variance of the open window's samples; undefined for fewer than two. */
+export function windowVariance(pair: ServiceWorkerPair): number | undefined {
   const { count } = pair;
   if (count < 2) {
     return undefined;
@@ -152,17 +152,17 @@
   return Math.max(0, pair.sumSquares / count - mean * mean);
 }
 
-/** Moves the local level by a window's residual against the model's expectation. */
-export function moveOffset(
-  pair: Pair,
+/** Updates the local offset with a window's residual against the model. */
+export function updateOffset(
+  pair: ServiceWorkerPair,
   residual: number,
   sampleVariance: number,
   seconds: number,
 ): void {
-  const kept = Math.exp((-seconds * 1_000) / LOCAL_RETURN_MS);
+  const kept = Math.exp((-seconds * 1_000) / OFFSET_DECAY_MS);
   const prior = Math.min(
-    LOCAL_VARIANCE,
-    pair.offsetVariance + LOCAL_DRIFT * seconds,
+    MAX_OFFSET_VARIANCE,
+    pair.offsetVariance + OFFSET_VARIANCE_PER_SECOND * seconds,
   );
   const offset = pair.offset * kept;
   const gain = prior / (prior + sampleVariance);
@@ -170,16 +170,22 @@
   pair.offsetVariance = prior * (1 - gain);
 }
 
-/** Queues a closed window until the usage of its time is known; the oldest gives way. */
-export function queueWindow(pair: Pair, window: ClosedWindow): void {
+/** Queues a closed window until the usage of its time is reported; drops the oldest if the queue is full. */
+export function queueWindow(
+  pair: ServiceWorkerPair,
+  window: ClosedWindow,
+): void {
   pair.pending.push(window);
   if (pair.pending.length > MAX_PENDING) {
     pair.pending.shift();
   }
 }
 
-/** Takes the queued windows that ended by `until`. */
-export function takeWindows(pair: Pair, until: Instant): ClosedWindow[] {
+/** Removes and returns the queued windows that ended by `until`. */
+export function dequeueWindows(
+  pair: ServiceWorkerPair,
+  until: Instant,
+): ClosedWindow[] {
   const kept = pair.pending.filter(window => window.endedAt > until);
   const taken = pair.pending.filter(window => window.endedAt <= until);
   pair.pending.splice(0, pair.pending.length, ...kept);
--- a/packages/domain/src/interference/penalty.ts
+++ b/packages/domain/src/interference/penalty.ts
@@ -1,25 +1,25 @@
-/** The price of placing batch work beside services. */
+/** Penalties for placing batch work on workers that run services. */
 import type { Instant } from '../core/time.js';
 import {
   badRateChange,
   forecast,
   levelChange,
   type Forecast,
-  type Node,
+  type BackendForecast,
 } from './forecast.js';
 import type { InterferenceModel } from './model.js';
 import { settingsFor, type InterferenceWeights } from './settings.js';
 import type { InterferenceView } from './view.js';
 
-/** Greatest penalty. */
+/** Maximum penalty. */
 export const MAX_PENALTY = 100;
 
-/** Weight of spending that stays within the budget against spending beyond it. */
-const WITHIN_BUDGET = 0.2;
+/** Weight of burn within the error budget, relative to burn beyond it. */
+const WITHIN_BUDGET_WEIGHT = 0.2;
 
 /**
- * Returns the penalty of `cores` of a batch class on a worker: the share of error budgets that it
- * would spend, 0 for none, 1 for the whole budget of one service; at most `MAX_PENALTY`.
+ * Returns the penalty for `cores` of a batch class on a worker: the share of error budgets that they
+ * would use up, 0 for none, 1 for the whole budget of one service; at most `MAX_PENALTY`.
  */
 export type PlacementPenalty = (
   worker: string,
@@ -27,7 +27,7 @@
   cores: number,
 ) => number;
 
-/** Prepares penalties for the workers of `view`; good until the next change of the view. */
+/** Returns a penalty function for the workers of `view`; it does not follow later changes of the view. */
 export function placementPenalty(
   model: InterferenceModel,
   view: InterferenceView,
@@ -35,27 +35,33 @@
   now: Instant,
 ): PlacementPenalty {
   const predicted = forecast(model, view, now);
-  const { caution } = settingsFor(weights);
+  const { safetyDeviations: safetyDeviations } = settingsFor(weights);
   return (worker, batchClass, cores) => {
     let sum = 0;
-    for (const node of predicted.byWorker.get(worker) ?? []) {
-      sum += nodePenalty(predicted, node, batchClass, cores, caution);
+    for (const backend of predicted.byWorker.get(worker) ?? []) {
+      sum += backendPenalty(
+        predicted,
+        backend,
+        batchClass,
+        cores,
+        safetyDeviations,
+      );
     }
     return Math.min(MAX_PENALTY, sum);
   };
 }
 
-function nodePenalty(
+function backendPenalty(
   predicted: Forecast,
-  node: Node,
+  backend: BackendForecast,
   batchClass: string,
   cores: number,
   caution: number,
 ): number {
-  const share = Math.min(1, cores / node.worker.cores);
-  const change = levelChange(predicted, node, batchClass, share, caution);
-  const bad = badRateChange(node, change);
-  const { service } = node;
+  const share = Math.min(1, cores / backend.worker.cores);
+  const change = levelChange(predicted, backend, batchClass, share, caution);
+  const bad = badRateChange(backend, change);
+  const { service } = backend;
   if (service.totalRate === 0) {
     return 0;
   }
@@ -63,5 +69,7 @@
   const spent = service.badRate / budget;
   const after = (service.badRate + bad) / budget;
   const beyond = Math.max(0, after - 1) - Math.max(0, spent - 1);
-  return WITHIN_BUDGET * (after - spent) + (1 - WITHIN_BUDGET) * beyond;
+  return (
+    WITHIN_BUDGET_WEIGHT * (after - spent) + (1 - WITHIN_BUDGET_WEIGHT) * beyond
+  );
 }
--- a/packages/domain/src/interference/service-model.ts
+++ b/packages/domain/src/interference/service-model.ts
@@ -1,11 +1,11 @@
-/** What is learnt of one service: its load curve, its neighbours' slowdowns and its spread. */
+/** Learned model of one service: its load curve, its slowdown by each batch class and the spread of response times. */
 import type { Instant } from '../core/time.js';
 import { CLASS_SLOTS } from './classes.js';
 import {
   covarianceOf,
   createLinearFilter,
   diffuse,
-  learn,
+  updateFilter,
   resetCoefficient,
   varianceOf,
   type LinearFilter,
@@ -13,91 +13,94 @@
 import { KNOT_COUNT, setLoadFeatures } from './load-curve.js';
 import { createSpread, type Spread } from './spread.js';
 
-/** Prior deviations: load curve, slowdown of a class at a whole worker, and its change by load. */
+/**
+ * Prior standard deviations of the load curve, of the slowdown by a class that uses a whole worker,
+ * and of the change of that slowdown with load.
+ */
 const CURVE_DEVIATION = 0.6;
 const SLOWDOWN_DEVIATION = 1.5;
 const SLOPE_DEVIATION = 0.8;
 
-/** Deviations that an hour adds to what is known. */
+/** Standard deviations by which the coefficients drift in an hour. */
 const CURVE_DRIFT = 0.15;
 const SLOWDOWN_DRIFT = 0.6;
 const SLOPE_DRIFT = 0.2;
 
 const HOUR_MS = 3_600_000;
 
-/** Variance of a window's level beyond that of its samples, at the start and at least. */
+/** Initial and minimum variance of a window's level beyond that of its samples. */
 const INITIAL_NOISE = 0.05;
-const LEAST_NOISE = 0.002;
+const MIN_NOISE = 0.002;
 const NOISE_SMOOTHING = 0.01;
 
-/** Smoothing of the mean request rate of a worker, by window. */
+/** Smoothing per window of the mean request rate of a worker. */
 const RATE_SMOOTHING = 0.001;
-const RATE_WARM_UP = 200;
+const RATE_WARM_UP_WINDOWS = 200;
 
-/** Time constant of the trend, and the samples of a step that are trusted by half. */
-const TREND_TIME_MS = 2_000;
-const TREND_DOUBT = 20;
-const MAX_SURGE = 4;
+/** Time constant of the trend, and the samples per step at which its gain is halved. */
+const TREND_TIME_CONSTANT_MS = 2_000;
+const TREND_HALF_GAIN_SAMPLES = 20;
+const MAX_RATE_FACTOR = 4;
 
-/** Residuals of single samples count up to this size. */
+/** Range to which the residuals of single samples are clamped. */
 const MAX_RESIDUAL = 1.5;
 
-/** Detection of a change: smoothing by window, greatest single surprise, and the threshold. */
+/** Change detection: smoothing per window, maximum surprise of one window, and threshold. */
 const SURPRISE_SMOOTHING = 0.03;
 const MAX_SURPRISE = 16;
-const SURPRISED = 2;
+const SURPRISE_THRESHOLD = 2;
 
-const FIRST_SLOWDOWN = KNOT_COUNT;
-const FIRST_SLOPE = KNOT_COUNT + CLASS_SLOTS;
-const FEATURES = KNOT_COUNT + 2 * CLASS_SLOTS;
+const SLOWDOWN_INDEX = KNOT_COUNT;
+const SLOPE_INDEX = KNOT_COUNT + CLASS_SLOTS;
+const FEATURE_COUNT = KNOT_COUNT + 2 * CLASS_SLOTS;
 
-/** Shares of a worker's processors in use, by class slot. */
+/** Shares of a worker's processors in use by batch work, by class slot. */
 export type ClassShares = Float64Array;
 
-/** State of one service. */
+/** Learned state of one service. */
 export interface ServiceModel {
   filter: LinearFilter;
   readonly features: Float64Array;
   readonly spread: Spread;
-  /** Mean requests a second on one worker, as seen here. */
+  /** Mean requests per second on one worker, as seen by this host. */
   meanRate: number;
   windows: number;
   /** Variance of a window's level that the regression leaves unexplained. */
   noise: number;
-  /** Shift common to workers with hardly any batch work, in log milliseconds. */
+  /** Level shift common to all workers, estimated on those with little batch work, in log milliseconds. */
   shift: number;
-  /** Ratio of counted to predicted requests over the objective. */
+  /** Ratio of observed to predicted requests that miss the objective. */
   calibration: number;
   diffusedAt: Instant;
   ready: boolean;
-  /** Smoothed ratio of squared innovations to their variance; 1 while the model holds. */
+  /** Smoothed ratio of squared innovations to their variance; about 1 while the model is valid. */
   surprise: number;
-  /** What all workers together show since the last windows closed. */
+  /** Changes common to all workers since the last windows closed. */
   readonly trend: Trend;
 }
 
-/** Fast movement common to all workers of a service. */
+/** Short-term changes common to all workers of a service. */
 export interface Trend {
-  /** Factor on the rate of requests. */
-  surge: number;
+  /** Factor on the request rate. */
+  rateFactor: number;
   /** Rise of the log level. */
-  lift: number;
-  /** Samples since the last step, and the sum of their residuals. */
+  levelRise: number;
+  /** Number of samples since the last step, and the sum of their residuals. */
   count: number;
-  residuals: number;
+  residualSum: number;
 }
 
-/** A slowdown as the logarithm of the factor on response times. */
+/** A slowdown, as the logarithm of a factor on response times, with its standard deviation. */
 export interface Slowdown {
   readonly mean: number;
   readonly deviation: number;
 }
 
-/** Builds the state of a service of which nothing is known. */
+/** Creates the model of a service without samples. */
 export function createServiceModel(now: Instant): ServiceModel {
   return {
     filter: createFilter(0),
-    features: new Float64Array(FEATURES),
+    features: new Float64Array(FEATURE_COUNT),
     spread: createSpread(),
     meanRate: 0,
     windows: 0,
@@ -107,12 +110,14 @@
     diffusedAt: now,
     ready: false,
     surprise: 1,
-    trend: { surge: 1, lift: 0, count: 0, residuals: 0 },
+    trend: { rateFactor: 1, levelRise: 0, count: 0, residualSum: 0 },
   };
 }
 
 function createFilter(level: number): LinearFilter {
-  const means = new Array<number>(FEATURES).fill(0).fill(level, 0, KNOT_COUNT);
+  const means = new Array<number>(FEATURE_COUNT)
+    .fill(0)
+    .fill(level, 0, KNOT_COUNT);
   return createLinearFilter(means, priorDeviations());
 }
 
@@ -138,50 +143,56 @@
   d => d ** 2,
 );
 
-/** Variances added when the model no longer holds. */
-const WIDENING = Float64Array.from(byCoefficient(0.05, 0.7, 0.2), d => d ** 2);
+/** Variances added to the coefficients when a change is detected. */
+const CHANGE_VARIANCES = Float64Array.from(
+  byCoefficient(0.05, 0.7, 0.2),
+  d => d ** 2,
+);
 
-/** Takes a window's request rate and returns the load relative to the mean. */
-export function takeRate(model: ServiceModel, rate: number): number {
+/** Updates the mean request rate with that of a window and returns the window's load relative to the mean. */
+export function updateMeanRate(model: ServiceModel, rate: number): number {
   model.windows += 1;
   const smoothing = Math.max(
     RATE_SMOOTHING,
-    1 / Math.min(model.windows, RATE_WARM_UP),
+    1 / Math.min(model.windows, RATE_WARM_UP_WINDOWS),
   );
   model.meanRate += smoothing * (rate - model.meanRate);
   return rate / model.meanRate;
 }
 
-/** Sets the whole load curve to the level first seen. */
-export function startLevel(model: ServiceModel, level: number): void {
+/** Initializes the whole load curve to the level of the first window. */
+export function initializeLevel(model: ServiceModel, level: number): void {
   if (!model.ready) {
     model.filter = createFilter(level);
     model.ready = true;
   }
 }
 
-/** Forgets the class of a slot. */
-export function forgetClass(model: ServiceModel, slot: number): void {
-  resetCoefficient(model.filter, FIRST_SLOWDOWN + slot, 0, SLOWDOWN_DEVIATION);
-  resetCoefficient(model.filter, FIRST_SLOPE + slot, 0, SLOPE_DEVIATION);
+/** Resets the coefficients of a class slot. */
+export function resetClass(model: ServiceModel, slot: number): void {
+  resetCoefficient(model.filter, SLOWDOWN_INDEX + slot, 0, SLOWDOWN_DEVIATION);
+  resetCoefficient(model.filter, SLOPE_INDEX + slot, 0, SLOPE_DEVIATION);
 }
 
-/** Lets knowledge fade for the time since the last call. */
-export function fade(model: ServiceModel, now: Instant): void {
+/** Adds the drift of the coefficients for the time since the last call. */
+export function diffuseForElapsed(model: ServiceModel, now: Instant): void {
   const hours = Math.max(0, now - model.diffusedAt) / HOUR_MS;
   model.diffusedAt = now;
   const added = HOURLY_VARIANCES.map(variance => variance * hours);
   diffuse(model.filter, added, PRIOR_VARIANCES);
 }
 
-/** Adds a sample's residual against what was expected of its worker. */
+/** Adds a sample's residual against the expected level of its worker. */
 export function addToTrend(trend: Trend, residual: number): void {
   trend.count += 1;
-  trend.residuals += Math.min(MAX_RESIDUAL, Math.max(-MAX_RESIDUAL, residual));
+  trend.residualSum += Math.min(
+    MAX_RESIDUAL,
+    Math.max(-MAX_RESIDUAL, residual),
+  );
 }
 
-/** Moves the trend by the samples of the last `elapsedMs`; `expectedRate` is of all workers. */
-export function moveTrend(
+/** Updates the trend with the samples of the last `elapsedMs`; `expectedRate` is the sum over all workers. */
+export function updateTrend(
   trend: Trend,
   expectedRate: number,
   elapsedMs: number,
@@ -190,17 +201,18 @@
   if (expectedCount <= 0) {
     return;
   }
-  const step = 1 - Math.exp(-elapsedMs / TREND_TIME_MS);
-  const trust = step / (1 + TREND_DOUBT / expectedCount);
-  const surge = trend.count / expectedCount;
-  trend.surge += trust * (Math.min(MAX_SURGE, surge) - trend.surge);
-  const lift = trend.count === 0 ? 0 : trend.residuals / trend.count;
-  trend.lift += trust * (lift - trend.lift);
+  const step = 1 - Math.exp(-elapsedMs / TREND_TIME_CONSTANT_MS);
+  const gain = step / (1 + TREND_HALF_GAIN_SAMPLES / expectedCount);
+  const rateRatio = trend.count / expectedCount;
+  trend.rateFactor +=
+    gain * (Math.min(MAX_RATE_FACTOR, rateRatio) - trend.rateFactor);
+  const meanResidual = trend.count === 0 ? 0 : trend.residualSum / trend.count;
+  trend.levelRise += gain * (meanResidual - trend.levelRise);
   trend.count = 0;
-  trend.residuals = 0;
+  trend.residualSum = 0;
 }
 
-/** Learns from the level of one window with the batch work that then ran beside it. */
+/** Learns from the level of one window and the batch work that ran on the worker at that time. */
 export function learnWindow(
   model: ServiceModel,
   load: number,
@@ -212,28 +224,28 @@
   setLoadFeatures(features, load);
   for (let slot = 0; slot < CLASS_SLOTS; slot++) {
     const share = shares[slot] ?? 0;
-    features[FIRST_SLOWDOWN + slot] = share;
-    features[FIRST_SLOPE + slot] = share * (load - 1);
+    features[SLOWDOWN_INDEX + slot] = share;
+    features[SLOPE_INDEX + slot] = share * (load - 1);
   }
   const noise = sampleVariance + model.noise;
-  const { innovation, variance } = learn(filter, features, level, noise);
-  noteSurprise(model, innovation ** 2 / variance);
+  const { innovation, variance } = updateFilter(filter, features, level, noise);
+  updateSurprise(model, innovation ** 2 / variance);
   const excess = Math.min(innovation ** 2, 9 * noise) - sampleVariance;
   model.noise += NOISE_SMOOTHING * (excess - model.noise);
-  model.noise = Math.max(LEAST_NOISE, model.noise);
+  model.noise = Math.max(MIN_NOISE, model.noise);
 }
 
-/** Where observations lie far off again and again, the truth has changed: knowledge is widened. */
-function noteSurprise(model: ServiceModel, ratio: number): void {
+/** Widens the coefficients' variances after repeated large innovations, which show that the service has changed. */
+function updateSurprise(model: ServiceModel, ratio: number): void {
   const bounded = Math.min(MAX_SURPRISE, ratio);
   model.surprise += SURPRISE_SMOOTHING * (bounded - model.surprise);
-  if (model.surprise > SURPRISED) {
+  if (model.surprise > SURPRISE_THRESHOLD) {
     model.surprise = 1;
-    diffuse(model.filter, WIDENING, PRIOR_VARIANCES);
+    diffuse(model.filter, CHANGE_VARIANCES, PRIOR_VARIANCES);
   }
 }
 
-/** Returns the log level of the service alone on a worker at `load`. */
+/** Returns the log level of the service at `load` on a worker without batch work. */
 export function baseline(model: ServiceModel, load: number): number {
   setLoadFeatures(model.features, load);
   let level = model.shift;
@@ -243,7 +255,7 @@
   return level;
 }
 
-/** Returns the slowdown by the class of `slot` when it uses `share` of a worker at `load`. */
+/** Returns the slowdown at `load` by the class of `slot` when it uses `share` of a worker. */
 export function slowdownOf(
   model: ServiceModel,
   slot: number,
@@ -251,8 +263,8 @@
   share: number,
 ): Slowdown {
   const offset = load - 1;
-  const direct = FIRST_SLOWDOWN + slot;
-  const slope = FIRST_SLOPE + slot;
+  const direct = SLOWDOWN_INDEX + slot;
+  const slope = SLOPE_INDEX + slot;
   const { filter } = model;
   const perWorker =
     (filter.mean[direct] ?? 0) + offset * (filter.mean[slope] ?? 0);
@@ -266,7 +278,7 @@
   };
 }
 
-/** Returns the slowdown by all classes of `shares` together. */
+/** Returns the total slowdown by all classes at the given shares. */
 export function totalSlowdown(
   model: ServiceModel,
   load: number,
--- a/packages/domain/src/interference/settings.ts
+++ b/packages/domain/src/interference/settings.ts
@@ -1,63 +1,63 @@
-/** Thresholds of the policy, derived from the weights of a deployment. */
+/** Thresholds of the interference policy, derived from the weights in the configuration. */
 import type { Millis } from '../core/time.js';
 import type { WeightsSpec } from '../declarations/schemas.js';
 
-/** The weights that the policy reads. */
+/** Weights used by the interference policy. */
 export type InterferenceWeights = Pick<
   WeightsSpec,
   'tailLatency' | 'batchThroughput' | 'evictions'
 >;
 
-/** Shares of throttled tasks, from none to the most. */
+/** Shares to which tasks are throttled, in descending order; 1 is not throttled. */
 export const THROTTLE_LEVELS = [1, 0.75, 0.5, 0.25, 0.1] as const;
 
-/** Weights of steered backend servers, from none to the most. */
+/** Weights of backend servers, in descending order; 1 is not steered. */
 export const STEER_LEVELS = [1, 0.75, 0.5, 0.25, 0.1] as const;
 
-/** Least share that a task is throttled to. */
-export const LEAST_SHARE = 0.1;
+/** Minimum share to which a task is throttled. */
+export const MIN_SHARE = 0.1;
 
-/** Thresholds of the policy; shares are of a service's error budget. */
+/** Thresholds of the policy; a burn of 1 uses up a service's error budget. */
 export interface PolicySettings {
-  /** Predicted spending above which the policy acts. */
-  readonly actAbove: number;
-  /** Spending that an action aims for, and that a release must keep. */
-  readonly aimFor: number;
-  /** Deviations of a learnt slowdown that a release or a placement allows for. */
-  readonly caution: number;
-  /** How long a task stays throttled before it may be evicted. */
+  /** Predicted burn above which the policy acts. */
+  readonly burnThreshold: number;
+  /** Predicted burn that actions aim for, and that must not be exceeded when they are reversed. */
+  readonly targetBurn: number;
+  /** Standard deviations added to a learned slowdown when a throttle is released or a task is placed. */
+  readonly safetyDeviations: number;
+  /** Time for which a task must have been throttled before it may be evicted. */
   readonly evictAfterMs: Millis;
-  /** Core-seconds that an eviction must win per core of the task. */
+  /** Core-seconds per core of the task that an eviction must gain. */
   readonly evictionCostSeconds: number;
-  /** Evictions by this policy per running preemptible task and hour. */
+  /** Maximum evictions by this policy per hour and running preemptible task. */
   readonly evictionsPerTaskHour: number;
 }
 
-const EVEN = 0.5;
+const EQUAL_RATIO = 0.5;
 
-/** Part of the threshold that an action aims for. */
-const AIM = 0.9;
+/** Target burn as a fraction of the threshold. */
+const TARGET_FRACTION = 0.9;
 
-/** Derives the thresholds from the weights; only their ratios count. */
+/** Derives the thresholds from the ratios of the weights. */
 export function settingsFor(weights: InterferenceWeights): PolicySettings {
-  const tail = ratio(weights.tailLatency, weights.batchThroughput);
-  const care = ratio(weights.evictions, weights.batchThroughput);
-  const actAbove = between(0.94, 0.92, tail);
+  const latencyWeight = ratio(weights.tailLatency, weights.batchThroughput);
+  const evictionWeight = ratio(weights.evictions, weights.batchThroughput);
+  const burnThreshold = interpolate(0.94, 0.92, latencyWeight);
   return {
-    actAbove,
-    aimFor: AIM * actAbove,
-    caution: between(0.25, 1, tail),
-    evictAfterMs: between(60_000, 180_000, care),
-    evictionCostSeconds: between(60, 300, care),
-    evictionsPerTaskHour: between(0.3, 0.06, care),
+    burnThreshold,
+    targetBurn: TARGET_FRACTION * burnThreshold,
+    safetyDeviations: interpolate(0.25, 1, latencyWeight),
+    evictAfterMs: interpolate(60_000, 180_000, evictionWeight),
+    evictionCostSeconds: interpolate(60, 300, evictionWeight),
+    evictionsPerTaskHour: interpolate(0.3, 0.06, evictionWeight),
   };
 }
 
 function ratio(a: number, b: number): number {
   const sum = a + b;
-  return sum > 0 ? a / sum : EVEN;
+  return sum > 0 ? a / sum : EQUAL_RATIO;
 }
 
-function between(low: number, high: number, at: number): number {
+function interpolate(low: number, high: number, at: number): number {
   return low + (high - low) * at;
 }
--- a/packages/domain/src/interference/spread.ts
+++ b/packages/domain/src/interference/spread.ts
@@ -1,69 +1,69 @@
-/** The spread of response times around their level: a decaying histogram of log ratios. */
+/** Distribution of response times around their level, as a decaying histogram of log ratios. */
 
-const LOWEST = -2;
-const STEP = 0.05;
-const BINS = 160;
+const MIN_LOG_RATIO = -2;
+const BIN_WIDTH = 0.05;
+const BIN_COUNT = 160;
 
-/** Samples after which older ones count half. */
+/** Number of newer samples after which a sample counts half. */
 const HALF_LIFE_SAMPLES = 20_000;
 
-/** Pseudo-samples of the prior, a normal distribution of log ratios. */
+/** Weight in samples, and deviation, of the prior, a normal distribution of log ratios. */
 const PRIOR_SAMPLES = 100;
 const PRIOR_DEVIATION = 0.5;
 
-/** Histogram of `ln(latency) - level`; bin `i` starts at `LOWEST + i * STEP`. */
+/** Histogram of `ln(latency) - level`; bin `i` starts at `MIN_LOG_RATIO + i * BIN_WIDTH`. */
 export interface Spread {
   readonly bins: Float64Array;
   total: number;
-  /** Weight of the next sample; grows in place of decaying all bins. */
+  /** Weight of the next sample; it grows so that the bins need not decay with each sample. */
   weight: number;
-  /** Survival by bin, rebuilt at most once a tick. */
+  /** Share of samples at or above the start of each bin, as of the last rebuild. */
   readonly survival: Float64Array;
 }
 
-/** Builds a spread that holds only its prior. */
+/** Creates a spread with only the prior. */
 export function createSpread(): Spread {
-  const bins = new Float64Array(BINS);
+  const bins = new Float64Array(BIN_COUNT);
   let total = 0;
-  for (let i = 0; i < BINS; i++) {
-    const ratio = (LOWEST + (i + 0.5) * STEP) / PRIOR_DEVIATION;
+  for (let i = 0; i < BIN_COUNT; i++) {
+    const ratio = (MIN_LOG_RATIO + (i + 0.5) * BIN_WIDTH) / PRIOR_DEVIATION;
     const mass = Math.exp((-ratio * ratio) / 2);
     bins[i] = mass;
     total += mass;
   }
-  for (let i = 0; i < BINS; i++) {
+  for (let i = 0; i < BIN_COUNT; i++) {
     bins[i] = ((bins[i] ?? 0) * PRIOR_SAMPLES) / total;
   }
   const spread: Spread = {
     bins,
     total: PRIOR_SAMPLES,
     weight: 1,
-    survival: new Float64Array(BINS + 1),
+    survival: new Float64Array(BIN_COUNT + 1),
   };
-  rebuild(spread);
+  rebuildSurvival(spread);
   return spread;
 }
 
-/** Adds one log ratio; call `rebuild` before the next reading. */
+/** Adds one log ratio; call `rebuildSurvival` before the next read. */
 export function addRatio(spread: Spread, ratio: number): void {
-  const bin = Math.floor((ratio - LOWEST) / STEP);
-  const at = Math.min(BINS - 1, Math.max(0, bin));
+  const bin = Math.floor((ratio - MIN_LOG_RATIO) / BIN_WIDTH);
+  const at = Math.min(BIN_COUNT - 1, Math.max(0, bin));
   spread.bins[at] = (spread.bins[at] ?? 0) + spread.weight;
   spread.total += spread.weight;
   spread.weight *= 2 ** (1 / HALF_LIFE_SAMPLES);
 }
 
-/** Recomputes the survival function and rescales the weights. */
-export function rebuild(spread: Spread): void {
+/** Rebuilds the survival function and normalizes the weights. */
+export function rebuildSurvival(spread: Spread): void {
   const { bins, survival } = spread;
-  for (let i = 0; i < BINS; i++) {
+  for (let i = 0; i < BIN_COUNT; i++) {
     bins[i] = (bins[i] ?? 0) / spread.weight;
   }
   spread.total /= spread.weight;
   spread.weight = 1;
   let above = 0;
-  survival[BINS] = 0;
-  for (let i = BINS - 1; i >= 0; i--) {
+  survival[BIN_COUNT] = 0;
+  for (let i = BIN_COUNT - 1; i >= 0; i--) {
     above += bins[i] ?? 0;
     survival[i] = above / spread.total;
   }
@@ -71,11 +71,11 @@
 
 /** Returns the share of samples whose log ratio exceeds `ratio`, interpolated between bins. */
 export function shareAbove(spread: Spread, ratio: number): number {
-  const place = (ratio - LOWEST) / STEP;
+  const place = (ratio - MIN_LOG_RATIO) / BIN_WIDTH;
   if (place <= 0) {
     return 1;
   }
-  if (place >= BINS) {
+  if (place >= BIN_COUNT) {
     return 0;
   }
   const bin = Math.floor(place);
--- a/packages/domain/src/interference/steer.ts
+++ b/packages/domain/src/interference/steer.ts
@@ -1,41 +1,41 @@
-/** Steering of requests away from slow backend servers, the cheapest action. */
+/** Steers requests away from slow backend servers, the cheapest action. */
 import type { Instant } from '../core/time.js';
 import {
   badShareAt,
-  spending,
+  predictedBurn,
   type Forecast,
-  type Node,
+  type BackendForecast,
   type ServiceForecast,
 } from './forecast.js';
 import {
-  mayLower,
-  mayRaise,
-  noteChange,
-  steerMemory,
+  canDecrease,
+  canIncrease,
+  recordChange,
+  steerHistory,
   type PolicyMemory,
-  type SteerMemory,
+  type SteerHistory,
 } from './memory.js';
 import { baseline } from './service-model.js';
 import { STEER_LEVELS, type PolicySettings } from './settings.js';
 import type { SteerAction } from './view.js';
 
-/** Time that a weight is kept before it falls further. */
+/** Time for which a weight is kept before it is lowered further. */
 const CUT_DWELL_MS = 10_000;
 
-/** Mean weight that is kept over the workers of a service. */
-const LEAST_MEAN_WEIGHT = 0.75;
+/** Minimum mean weight over the workers of a service. */
+const MIN_MEAN_WEIGHT = 0.75;
 
-/** A node is slow when its misses are this many times the service's mean, and usual again below. */
+/** Ratios of a backend's bad share to the service's mean: slow from the first, normal again up to the second. */
 const SLOW_RATIO = 2;
-const USUAL_RATIO = 1.1;
+const NORMAL_RATIO = 1.1;
 
-/** Least gain, as a share of the error budget. */
-const LEAST_GAIN = 0.01;
+/** Minimum gain of a lower weight, as a share of the error budget. */
+const MIN_GAIN = 0.01;
 
-/** Step of load at which the effect on the other workers is measured. */
+/** Relative increase of load for which the effect on the service is computed. */
 const LOAD_STEP = 0.1;
 
-/** Advises weights for all services and applies their effect to the forecast. */
+/** Recommends weights for all services and applies their effect to the forecast. */
 export function adviseSteering(
   predicted: Forecast,
   memory: PolicyMemory,
@@ -44,146 +44,162 @@
 ): SteerAction[] {
   const actions: SteerAction[] = [];
   for (const service of predicted.services.values()) {
-    if (spending(service) > settings.actAbove) {
-      actions.push(...steerAway(service, memory, settings, now));
+    if (predictedBurn(service) > settings.burnThreshold) {
+      actions.push(...lowerWeights(service, memory, settings, now));
     }
-    actions.push(...steerBack(service, memory, settings, now));
+    actions.push(...raiseWeights(service, memory, settings, now));
   }
   return actions;
 }
 
-function memories(
+function steerHistories(
   service: ServiceForecast,
   memory: PolicyMemory,
   now: Instant,
-): { node: Node; known: SteerMemory }[] {
-  const found: { node: Node; known: SteerMemory }[] = [];
-  for (const node of service.nodes) {
-    const known = steerMemory(memory, service.view.name, node.worker.name, now);
-    if (known !== undefined) {
-      found.push({ node, known });
+): { backend: BackendForecast; history: SteerHistory }[] {
+  const found: { backend: BackendForecast; history: SteerHistory }[] = [];
+  for (const backend of service.backends) {
+    const history = steerHistory(
+      memory,
+      service.view.name,
+      backend.worker.name,
+      now,
+    );
+    if (history !== undefined) {
+      found.push({ backend, history });
     }
   }
   return found;
 }
 
-function steerAway(
+function lowerWeights(
   service: ServiceForecast,
   memory: PolicyMemory,
   settings: PolicySettings,
   now: Instant,
 ): SteerAction[] {
   const actions: SteerAction[] = [];
-  const entries = memories(service, memory, now);
-  let weights = entries.reduce((sum, { known }) => sum + known.weight, 0);
-  const least = LEAST_MEAN_WEIGHT * entries.length;
-  const strain = strainOfLoad(service);
-  entries.sort((a, b) => b.node.badShare - a.node.badShare);
-  for (const { node, known } of entries) {
+  const entries = steerHistories(service, memory, now);
+  let totalWeight = entries.reduce(
+    (sum, { history }) => sum + history.weight,
+    0,
+  );
+  const minTotalWeight = MIN_MEAN_WEIGHT * entries.length;
+  const sensitivity = loadSensitivity(service);
+  entries.sort((a, b) => b.backend.badShare - a.backend.badShare);
+  for (const { backend, history } of entries) {
     const meanBad = service.badRate / service.totalRate;
     if (
-      spending(service) <= settings.aimFor ||
-      node.badShare < SLOW_RATIO * meanBad
+      predictedBurn(service) <= settings.targetBurn ||
+      backend.badShare < SLOW_RATIO * meanBad
     ) {
       break;
     }
-    const next = STEER_LEVELS.find(level => level < known.weight);
-    if (next === undefined || !mayCut(known, now)) {
+    const next = STEER_LEVELS.find(level => level < history.weight);
+    if (next === undefined || !canCut(history, now)) {
       continue;
     }
-    const fall = known.weight - next;
-    const change = changeOfWeight(node, next / known.weight, strain);
+    const decrease = history.weight - next;
+    const change = weightEffect(backend, next / history.weight, sensitivity);
     const budget = (1 - service.view.target) * service.totalRate;
-    if (weights - fall < least || -change.badRate < LEAST_GAIN * budget) {
+    if (
+      totalWeight - decrease < minTotalWeight ||
+      -change.badRate < MIN_GAIN * budget
+    ) {
       continue;
     }
-    weights -= fall;
+    totalWeight -= decrease;
     service.badRate += change.badRate;
-    node.rate = change.rate;
-    node.load *= next / known.weight;
-    node.badShare = badShareAt(node, change.level);
-    node.level = change.level;
-    actions.push(setWeight(node, known, next, 'objective_at_risk', now));
+    backend.rate = change.rate;
+    backend.load *= next / history.weight;
+    backend.badShare = badShareAt(backend, change.level);
+    backend.level = change.level;
+    actions.push(setWeight(backend, history, next, 'objective_at_risk', now));
   }
   return actions;
 }
 
-function mayCut(known: SteerMemory, now: Instant): boolean {
-  return mayLower(known, now) && now - known.changedAt >= CUT_DWELL_MS;
+function canCut(history: SteerHistory, now: Instant): boolean {
+  return canDecrease(history, now) && now - history.changedAt >= CUT_DWELL_MS;
 }
 
 function setWeight(
-  node: Node,
-  known: SteerMemory,
+  backend: BackendForecast,
+  history: SteerHistory,
   weight: number,
   reason: 'objective_at_risk' | 'objective_safe',
   now: Instant,
 ): SteerAction {
-  known.weight = weight;
-  noteChange(known, now);
+  history.weight = weight;
+  recordChange(history, now);
   return {
     kind: 'steer',
-    service: node.service.view.name,
-    worker: node.worker.name,
+    service: backend.service.view.name,
+    worker: backend.worker.name,
     weight,
     reason,
   };
 }
 
-/** Growth of a service's rate of misses per share of its load that is moved onto it. */
-function strainOfLoad(service: ServiceForecast): number {
+/** Returns the increase of a service's bad request rate per relative increase of its load. */
+function loadSensitivity(service: ServiceForecast): number {
   let growth = 0;
-  for (const node of service.nodes) {
-    const change = curveChange(node, 1 + LOAD_STEP);
-    const bad = badShareAt(node, node.level + change);
-    growth += node.rate * (bad * (1 + LOAD_STEP) - node.badShare);
+  for (const backend of service.backends) {
+    const change = curveChange(backend, 1 + LOAD_STEP);
+    const bad = badShareAt(backend, backend.level + change);
+    growth += backend.rate * (bad * (1 + LOAD_STEP) - backend.badShare);
   }
   return Math.max(0, growth) / LOAD_STEP;
 }
 
-function curveChange(node: Node, factor: number): number {
-  const { model } = node.service;
-  return baseline(model, node.load * factor) - baseline(model, node.load);
+function curveChange(backend: BackendForecast, factor: number): number {
+  const { model } = backend.service;
+  return baseline(model, backend.load * factor) - baseline(model, backend.load);
 }
 
-/** Effect on the service of multiplying a node's weight. */
-function changeOfWeight(
-  node: Node,
+/** Returns the effect of multiplying a backend's weight by `factor`. */
+function weightEffect(
+  backend: BackendForecast,
   factor: number,
-  strain: number,
+  sensitivity: number,
 ): { rate: number; level: number; badRate: number } {
-  const rate = node.rate * factor;
-  const level = node.level + curveChange(node, factor);
-  const moved = (node.rate - rate) / node.service.totalRate;
-  const own = rate * badShareAt(node, level) - node.rate * node.badShare;
-  return { rate, level, badRate: own + strain * moved };
+  const rate = backend.rate * factor;
+  const level = backend.level + curveChange(backend, factor);
+  const moved = (backend.rate - rate) / backend.service.totalRate;
+  const own =
+    rate * badShareAt(backend, level) - backend.rate * backend.badShare;
+  return { rate, level, badRate: own + sensitivity * moved };
 }
 
-function steerBack(
+function raiseWeights(
   service: ServiceForecast,
   memory: PolicyMemory,
   settings: PolicySettings,
   now: Instant,
 ): SteerAction[] {
   const actions: SteerAction[] = [];
-  const strain = strainOfLoad(service);
-  for (const { node, known } of memories(service, memory, now)) {
-    const next = STEER_LEVELS.findLast(level => level > known.weight);
-    if (next === undefined || !mayRaise(known, now)) {
+  const sensitivity = loadSensitivity(service);
+  for (const { backend, history } of steerHistories(service, memory, now)) {
+    const next = STEER_LEVELS.findLast(level => level > history.weight);
+    if (next === undefined || !canIncrease(history, now)) {
       continue;
     }
-    const change = changeOfWeight(node, next / known.weight, strain);
+    const change = weightEffect(backend, next / history.weight, sensitivity);
     const meanBad = service.badRate / service.totalRate;
-    const usual =
-      badShareAt(node, change.level) <= USUAL_RATIO * Math.max(meanBad, 1e-6);
-    if (!usual && spending(service, change.badRate) > settings.aimFor) {
+    const isNormal =
+      badShareAt(backend, change.level) <=
+      NORMAL_RATIO * Math.max(meanBad, 1e-6);
+    if (
+      !isNormal &&
+      predictedBurn(service, change.badRate) > settings.targetBurn
+    ) {
       continue;
     }
     service.badRate += change.badRate;
-    node.rate = change.rate;
-    node.level = change.level;
-    node.badShare = badShareAt(node, change.level);
-    actions.push(setWeight(node, known, next, 'objective_safe', now));
+    backend.rate = change.rate;
+    backend.level = change.level;
+    backend.badShare = badShareAt(backend, change.level);
+    actions.push(setWeight(backend, history, next, 'objective_safe', now));
   }
   return actions;
 }
--- a/packages/domain/src/interference/throttle.ts
+++ b/packages/domain/src/interference/throttle.ts
@@ -1,20 +1,20 @@
-/** Throttling of batch tasks, and their release. */
+/** Throttles batch tasks and releases them again. */
 import type { Instant } from '../core/time.js';
 import {
   applyLevel,
   badRateChange,
   levelChange,
-  spending,
+  predictedBurn,
   type Forecast,
   type ServiceForecast,
 } from './forecast.js';
 import {
-  mayLower,
-  mayRaise,
-  noteChange,
-  taskMemory,
+  canDecrease,
+  canIncrease,
+  recordChange,
+  taskHistory,
   type PolicyMemory,
-  type TaskMemory,
+  type TaskHistory,
 } from './memory.js';
 import { THROTTLE_LEVELS, type PolicySettings } from './settings.js';
 import type {
@@ -24,30 +24,30 @@
   WorkerView,
 } from './view.js';
 
-/** Time for the effect of a cut to show on its worker. */
+/** Time until the effect of a cut shows on its worker. */
 const SETTLE_MS = 4_000;
 
-/** Deviations by which a class is suspected when the objective is at risk. */
-const SUSPICION = 0.5;
+/** Standard deviations added to a learned slowdown when tasks are chosen for a cut. */
+const CUT_DEVIATIONS = 0.5;
 
-/** Least gain of a cut, as a share of the error budget. */
-const LEAST_GAIN = 0.003;
+/** Minimum gain of a cut, as a share of the error budget. */
+const MIN_GAIN = 0.003;
 
 const MAX_CUTS_PER_ROUND = 64;
 
-/** Tasks raised in one round: at least some, else a share of the tasks throttled. */
-const LEAST_RAISES = 1;
-const RAISED_SHARE = 0.05;
+/** Maximum raises per round: a fraction of the throttled tasks, but not less than the minimum. */
+const MIN_RAISES = 1;
+const RAISED_FRACTION = 0.05;
 
-/** A running batch task as the policy plans for it. */
+/** A running batch task with its history and planned share. */
 export interface PlannedTask {
   readonly view: BatchTaskView;
   readonly worker: WorkerView;
-  readonly known: TaskMemory;
+  readonly history: TaskHistory;
   share: number;
 }
 
-/** Lists the tasks of a view that the policy can remember. */
+/** Returns the tasks of a view, except those beyond the limit of the policy's memory. */
 export function plannedTasks(
   view: InterferenceView,
   memory: PolicyMemory,
@@ -56,22 +56,22 @@
   const tasks: PlannedTask[] = [];
   for (const worker of view.workers) {
     for (const task of worker.tasks) {
-      const known = taskMemory(memory, task.task, task.share, now);
-      if (known === undefined) {
+      const history = taskHistory(memory, task.task, task.share, now);
+      if (history === undefined) {
         continue;
       }
       if (task.share < 1) {
-        known.throttledSince ??= now;
+        history.throttledSince ??= now;
       } else {
-        known.throttledSince = undefined;
+        history.throttledSince = undefined;
       }
-      tasks.push({ view: task, worker, known, share: task.share });
+      tasks.push({ view: task, worker, history, share: task.share });
     }
   }
   return tasks;
 }
 
-/** Advises throttling where objectives are at risk, and releases where they are safe. */
+/** Recommends throttling where objectives are at risk, and releases where they are safe. */
 export function adviseThrottling(
   predicted: Forecast,
   memory: PolicyMemory,
@@ -79,46 +79,46 @@
   settings: PolicySettings,
   now: Instant,
 ): ThrottleAction[] {
-  const touched = new Map<PlannedTask, ThrottleAction>();
+  const actions = new Map<PlannedTask, ThrottleAction>();
   for (const service of predicted.services.values()) {
-    if (spending(service) > settings.actAbove) {
-      cutFor(predicted, memory, service, tasks, touched, settings, now);
+    if (predictedBurn(service) > settings.burnThreshold) {
+      cutShares(predicted, memory, service, tasks, actions, settings, now);
     }
   }
-  raiseSafe(predicted, tasks, touched, settings, now);
-  return [...touched.values()];
+  raiseShares(predicted, tasks, actions, settings, now);
+  return [...actions.values()];
 }
 
-function cutFor(
+function cutShares(
   predicted: Forecast,
   memory: PolicyMemory,
   service: ServiceForecast,
   tasks: readonly PlannedTask[],
-  touched: Map<PlannedTask, ThrottleAction>,
+  actions: Map<PlannedTask, ThrottleAction>,
   settings: PolicySettings,
   now: Instant,
 ): void {
-  const workers = new Set(service.nodes.map(node => node.worker.name));
-  const beside = tasks.filter(
-    task => workers.has(task.worker.name) && mayCut(memory, task, now),
+  const workers = new Set(service.backends.map(backend => backend.worker.name));
+  const candidates = tasks.filter(
+    task => workers.has(task.worker.name) && canCut(memory, task, now),
   );
   const cuts = new Map<PlannedTask, Cut | undefined>();
-  const least = LEAST_GAIN * (1 - service.view.target) * service.totalRate;
+  const minGain = MIN_GAIN * (1 - service.view.target) * service.totalRate;
   for (let i = 0; i < MAX_CUTS_PER_ROUND; i++) {
-    if (spending(service) <= settings.aimFor) {
+    if (predictedBurn(service) <= settings.targetBurn) {
       return;
     }
-    const best = bestCut(predicted, service, beside, cuts, least);
+    const best = bestCut(predicted, service, candidates, cuts, minGain);
     if (best === undefined) {
       return;
     }
-    applyShare(predicted, best.task, best.share, SUSPICION);
-    touched.set(best.task, throttle(best.task, 'objective_at_risk'));
-    const { known, worker } = best.task;
-    noteChange(known, now);
-    known.throttledSince ??= now;
-    memory.settledAt.set(worker.name, now);
-    for (const task of beside) {
+    applyShare(predicted, best.task, best.share, CUT_DEVIATIONS);
+    actions.set(best.task, throttle(best.task, 'objective_at_risk'));
+    const { history, worker } = best.task;
+    recordChange(history, now);
+    history.throttledSince ??= now;
+    memory.lastCutAt.set(worker.name, now);
+    for (const task of candidates) {
       if (task.worker === worker) {
         cuts.delete(task);
       }
@@ -126,17 +126,19 @@
   }
 }
 
-function mayCut(
+function canCut(
   memory: PolicyMemory,
   task: PlannedTask,
   now: Instant,
 ): boolean {
-  const settledAt = memory.settledAt.get(task.worker.name) ?? -Infinity;
-  const isNew = task.view.startedAt > settledAt;
-  return (isNew || now - settledAt >= SETTLE_MS) && mayLower(task.known, now);
+  const lastCutAt = memory.lastCutAt.get(task.worker.name) ?? -Infinity;
+  const isNew = task.view.startedAt > lastCutAt;
+  return (
+    (isNew || now - lastCutAt >= SETTLE_MS) && canDecrease(task.history, now)
+  );
 }
 
-/** A further cut of a task and what it would gain; kept until something changes on its worker. */
+/** A candidate cut and its gain; cached until a task on its worker is cut. */
 interface Cut {
   readonly task: PlannedTask;
   readonly share: number;
@@ -149,7 +151,7 @@
   service: ServiceForecast,
   tasks: readonly PlannedTask[],
   cuts: Map<PlannedTask, Cut | undefined>,
-  least: number,
+  minGain: number,
 ): Cut | undefined {
   let best: Cut | undefined;
   for (const task of tasks) {
@@ -157,7 +159,7 @@
       cuts.set(task, nextCut(predicted, service, task));
     }
     const cut = cuts.get(task);
-    if (cut === undefined || cut.gain < least) {
+    if (cut === undefined || cut.gain < minGain) {
       continue;
     }
     if (cut.ratio > (best?.ratio ?? 0)) {
@@ -187,19 +189,25 @@
   task: PlannedTask,
   share: number,
 ): number {
-  const change = usedChange(task, share);
+  const change = useChange(task, share);
   let gain = 0;
-  for (const node of predicted.byWorker.get(task.worker.name) ?? []) {
-    if (node.service === service) {
+  for (const backend of predicted.byWorker.get(task.worker.name) ?? []) {
+    if (backend.service === service) {
       const { batchClass } = task.view;
-      const level = levelChange(predicted, node, batchClass, change, SUSPICION);
-      gain -= badRateChange(node, level);
+      const level = levelChange(
+        predicted,
+        backend,
+        batchClass,
+        change,
+        CUT_DEVIATIONS,
+      );
+      gain -= badRateChange(backend, level);
     }
   }
   return gain;
 }
 
-function usedChange(task: PlannedTask, share: number): number {
+function useChange(task: PlannedTask, share: number): number {
   return (task.view.cores * (share - task.share)) / task.worker.cores;
 }
 
@@ -209,12 +217,12 @@
   share: number,
   deviations: number,
 ): void {
-  const change = usedChange(task, share);
+  const change = useChange(task, share);
   const { batchClass } = task.view;
-  for (const node of predicted.byWorker.get(task.worker.name) ?? []) {
+  for (const backend of predicted.byWorker.get(task.worker.name) ?? []) {
     applyLevel(
-      node,
-      levelChange(predicted, node, batchClass, change, deviations),
+      backend,
+      levelChange(predicted, backend, batchClass, change, deviations),
     );
   }
   task.share = share;
@@ -236,22 +244,24 @@
   };
 }
 
-function raiseSafe(
+function raiseShares(
   predicted: Forecast,
   tasks: readonly PlannedTask[],
-  touched: Map<PlannedTask, ThrottleAction>,
+  actions: Map<PlannedTask, ThrottleAction>,
   settings: PolicySettings,
   now: Instant,
 ): void {
   const throttled = tasks.filter(task => task.share < 1);
   const ready = throttled.filter(
-    task => !touched.has(task) && mayRaise(task.known, now),
+    task => !actions.has(task) && canIncrease(task.history, now),
+  );
+  const costs = new Map(
+    ready.map(task => [task, budgetCostPerCore(predicted, task)]),
   );
-  const harms = new Map(ready.map(task => [task, harmOf(predicted, task)]));
-  ready.sort((a, b) => (harms.get(a) ?? 0) - (harms.get(b) ?? 0));
-  let left = Math.max(
-    LEAST_RAISES,
-    Math.floor(RAISED_SHARE * throttled.length),
+  ready.sort((a, b) => (costs.get(a) ?? 0) - (costs.get(b) ?? 0));
+  let remaining = Math.max(
+    MIN_RAISES,
+    Math.floor(RAISED_FRACTION * throttled.length),
   );
   for (const task of ready) {
     const share = THROTTLE_LEVELS.find(
@@ -260,27 +270,28 @@
     if (share === undefined) {
       continue;
     }
-    applyShare(predicted, task, share, settings.caution);
-    touched.set(task, throttle(task, 'objective_safe'));
-    noteChange(task.known, now);
-    left -= 1;
-    if (left === 0) {
+    applyShare(predicted, task, share, settings.safetyDeviations);
+    actions.set(task, throttle(task, 'objective_safe'));
+    recordChange(task.history, now);
+    remaining -= 1;
+    if (remaining === 0) {
       return;
     }
   }
 }
 
-/** Error budget that a task would spend by core when no longer throttled. */
-function harmOf(predicted: Forecast, task: PlannedTask): number {
-  const change = usedChange(task, 1);
-  let harm = 0;
-  for (const node of predicted.byWorker.get(task.worker.name) ?? []) {
+/** Returns the burn per regained core if a task were no longer throttled. */
+function budgetCostPerCore(predicted: Forecast, task: PlannedTask): number {
+  const change = useChange(task, 1);
+  let cost = 0;
+  for (const backend of predicted.byWorker.get(task.worker.name) ?? []) {
     const { batchClass } = task.view;
-    const level = levelChange(predicted, node, batchClass, change, 0);
-    const bad = badRateChange(node, level);
-    harm += spending(node.service, bad) - spending(node.service);
+    const level = levelChange(predicted, backend, batchClass, change, 0);
+    const bad = badRateChange(backend, level);
+    cost +=
+      predictedBurn(backend.service, bad) - predictedBurn(backend.service);
   }
-  return harm / (task.view.cores * (1 - task.share));
+  return cost / (task.view.cores * (1 - task.share));
 }
 
 function isSafe(
@@ -289,18 +300,20 @@
   share: number,
   settings: PolicySettings,
 ): boolean {
-  const change = usedChange(task, share);
+  const change = useChange(task, share);
   const { batchClass } = task.view;
-  const nodes = predicted.byWorker.get(task.worker.name) ?? [];
-  return nodes.every(node => {
+  const backends = predicted.byWorker.get(task.worker.name) ?? [];
+  return backends.every(backend => {
     const level = levelChange(
       predicted,
-      node,
+      backend,
       batchClass,
       change,
-      settings.caution,
+      settings.safetyDeviations,
+    );
+    const bad = badRateChange(backend, level);
+    return (
+      bad === 0 || predictedBurn(backend.service, bad) <= settings.targetBurn
     );
-    const bad = badRateChange(node, level);
-    return bad === 0 || spending(node.service, bad) <= settings.aimFor;
   });
 }
--- a/packages/domain/src/interference/view.ts
+++ b/packages/domain/src/interference/view.ts
@@ -1,61 +1,61 @@
-/** What the policy sees of the workers of a shard, and the actions that it asks for. */
+/** Input of the interference policy, the workers of a shard, and the actions that it returns. */
 import type { Instant } from '../core/time.js';
 
 /** A service and its objective. */
 export interface ServiceView {
   readonly name: string;
-  /** Share of requests that must be good, such as 0.99. */
+  /** Required share of good requests, such as 0.99. */
   readonly target: number;
   readonly latencyMs: number;
 }
 
-/** A batch task that runs on a worker. */
+/** A batch task running on a worker. */
 export interface BatchTaskView {
   readonly task: string;
   readonly attempt: number;
   readonly batchClass: string;
-  /** Cores in use when not throttled: observed where reported, else declared. */
+  /** Cores used when not throttled: as reported, or else as declared. */
   readonly cores: number;
-  /** Share that the task is throttled to now, 1 for not at all. */
+  /** Share to which the task is currently throttled; 1 if it is not. */
   readonly share: number;
   readonly preemptible: boolean;
   readonly evictionsPerHour: number;
-  /** Work since the last checkpoint, in seconds; lost if the checkpoint on eviction fails. */
+  /** Work since the last checkpoint in seconds, lost if the checkpoint on eviction fails. */
   readonly uncheckpointedSeconds: number;
   readonly startedAt: Instant;
 }
 
-/** A worker with the services whose backend servers it runs. */
+/** A worker with its batch tasks and the services whose backend servers it runs. */
 export interface WorkerView {
   readonly name: string;
   readonly cores: number;
-  /** Cores that no task or service holds. */
+  /** Cores not allocated to a task or service. */
   readonly freeCores: number;
   readonly services: readonly string[];
   readonly tasks: readonly BatchTaskView[];
 }
 
-/** What the policy decides on. */
+/** Services and workers for which the policy decides. */
 export interface InterferenceView {
   readonly services: readonly ServiceView[];
   readonly workers: readonly WorkerView[];
 }
 
-/** Why an action is asked for. */
+/** Reason for an action. */
 export type ActionReason =
   'objective_at_risk' | 'objective_safe' | 'runs_better_elsewhere';
 
-/** Asks routers to send a service's backend server fewer requests, or more again. */
+/** Sets the weight with which routers send requests to a service's backend server. */
 export interface SteerAction {
   readonly kind: 'steer';
   readonly service: string;
   readonly worker: string;
-  /** 1 for a full part of the requests, towards 0 for none. */
+  /** 1 for a full share of the requests, less for fewer. */
   readonly weight: number;
   readonly reason: ActionReason;
 }
 
-/** Asks a worker to run an attempt at a share of its cores. */
+/** Throttles an attempt to a share of its cores. */
 export interface ThrottleAction {
   readonly kind: 'throttle';
   readonly task: string;
@@ -65,7 +65,7 @@
   readonly reason: ActionReason;
 }
 
-/** Asks for a checkpoint and an eviction of an attempt. */
+/** Checkpoints and evicts an attempt. */
 export interface EvictAction {
   readonly kind: 'evict';
   readonly task: string;
@@ -74,5 +74,5 @@
   readonly reason: ActionReason;
 }
 
-/** What the policy asks for, by rising cost. */
+/** An action of the policy, in order of rising cost. */
 export type Action = SteerAction | ThrottleAction | EvictAction;
--- a/packages/domain/src/objectives/alerts.ts
+++ b/packages/domain/src/objectives/alerts.ts
@@ -1,11 +1,11 @@
-/** Alerts on burn over two windows: the long one shows that it matters, the short one that it goes on. */
+/** Burn rate alerts over two windows: the long one shows significance, the short one that the burn is ongoing. */
 import type { Millis } from '../core/time.js';
 import { type BurnCounts, burnRate, type Objective, periodMs } from './burn.js';
 
-/** How soon a person should look: `fast` at once, `slow` within a day or so. */
+/** How soon an alert needs attention: `fast` immediately, `slow` within about a day. */
 export type AlertSeverity = 'fast' | 'slow';
 
-/** A rule: the share of the period's budget spent in the long window at which it fires. */
+/** Alert rule; `budgetShare` is the share of the period's budget that has to be spent in the long window. */
 export interface AlertRule {
   readonly severity: AlertSeverity;
   readonly longMs: Millis;
@@ -16,7 +16,7 @@
 const MINUTE_MS = 60_000;
 const HOUR_MS = 60 * MINUTE_MS;
 
-/** Rules after the SRE workbook, "Alerting on SLOs", multiwindow and multi-burn-rate. */
+/** Multiwindow, multi-burn-rate rules from "Alerting on SLOs" in the SRE workbook. */
 export const ALERT_RULES: readonly AlertRule[] = [
   {
     severity: 'fast',
@@ -38,15 +38,15 @@
   },
 ];
 
-/** Fewer bad requests than this in the long window raise no alert. */
+/** Minimum number of bad requests in the long window for an alert. */
 const MIN_BAD = 5;
 
-/** Returns the burn rate from which a rule fires. */
+/** Returns the burn rate at which a rule fires. */
 export function alertThreshold(rule: AlertRule, objective: Objective): number {
   return (rule.budgetShare * periodMs(objective)) / rule.longMs;
 }
 
-/** Returns the severities that fire, given the counts of a window. */
+/** Returns the severities that fire; `countsOver` returns the counts of a window. */
 export function firingAlerts(
   objective: Objective,
   countsOver: (windowMs: Millis) => BurnCounts,
@@ -55,10 +55,10 @@
   for (const rule of ALERT_RULES) {
     const long = countsOver(rule.longMs);
     const threshold = alertThreshold(rule, objective);
-    const burns = [long, countsOver(rule.shortMs)].every(
+    const exceeded = [long, countsOver(rule.shortMs)].every(
       counts => burnRate(counts, objective.target) >= threshold,
     );
-    if (burns && long.failed + long.slow >= MIN_BAD) {
+    if (exceeded && long.failed + long.slow >= MIN_BAD) {
       firing.add(rule.severity);
     }
   }
--- a/packages/domain/src/objectives/burn.ts
+++ b/packages/domain/src/objectives/burn.ts
@@ -1,15 +1,15 @@
-/** Burn of an error budget. */
+/** Error budget burn. */
 import type { Millis } from '../core/time.js';
 
-/** An objective as far as burn needs it. */
+/** The parts of a service-level objective that determine burn. */
 export interface Objective {
-  /** Share of requests that must be good. */
+  /** Required share of good requests. */
   readonly target: number;
   readonly latencyMs: Millis;
   readonly periodDays: number;
 }
 
-/** Requests of one window. */
+/** Request counts of one window; failed and slow requests are bad. */
 export interface BurnCounts {
   readonly requests: number;
   readonly failed: number;
@@ -23,7 +23,7 @@
   return objective.periodDays * DAY_MS;
 }
 
-/** Returns the rate at which the budget is spent: 1 spends it in exactly the period; 0 without requests. */
+/** Returns the burn rate: at 1 the budget lasts exactly its period; 0 if there are no requests. */
 export function burnRate(counts: BurnCounts, target: number): number {
   if (counts.requests === 0) {
     return 0;
@@ -32,7 +32,7 @@
   return bad / counts.requests / (1 - target);
 }
 
-/** Returns the share of the period's budget that a window spent, if traffic was even over the period. */
+/** Returns the share of the period's budget spent in a window, assuming constant traffic over the period. */
 export function budgetSpent(
   rate: number,
   windowMs: Millis,
--- a/packages/domain/src/objectives/ledger.ts
+++ b/packages/domain/src/objectives/ledger.ts
@@ -1,10 +1,10 @@
-/** Outcomes of the requests of each service, in all, by availability zone and by batch neighbour. */
+/** Request outcomes of each service: in total, by availability zone and by batch job on the same worker. */
 import type { Instant, Millis } from '../core/time.js';
 import type { BurnCounts } from './burn.js';
 import type { RequestOutcome } from './outcome.js';
 import { createWindowCounter, type WindowCounter } from './window-counter.js';
 
-/** What a series counts; `without_batch` is for requests whose worker ran no batch work. */
+/** Key of a series; `without_batch` counts requests to workers without batch work. */
 export type SeriesKey =
   | { readonly kind: 'all' }
   | { readonly kind: 'zone'; readonly zone: string }
@@ -16,14 +16,14 @@
   readonly service: string;
   readonly zone: string;
   readonly outcome: RequestOutcome;
-  /** Batch jobs on the worker; undefined when unknown, or no worker was reached. */
+  /** Batch jobs on the worker; undefined if unknown or no worker was reached. */
   readonly neighbours: readonly string[] | undefined;
 }
 
-/** Outcomes by service. */
+/** Counts of request outcomes by service and series. */
 export interface ObjectiveLedger {
   record(req: ServedRequest, now: Instant): void;
-  /** Services with a series, in order of name. */
+  /** Returns the services with recorded requests, sorted by name. */
   services(): string[];
   series(service: string): SeriesKey[];
   counts(
@@ -32,13 +32,13 @@
     windowMs: Millis,
     now: Instant,
   ): BurnCounts;
-  /** Forgets services that are no longer declared. */
+  /** Deletes all services except the given ones. */
   retain(services: ReadonlySet<string>): void;
 }
 
-/** Neighbours remembered for a service; the one not seen for longest gives way. */
+/** Maximum batch jobs with a series per service; the least recently seen one is dropped first. */
 const MAX_NEIGHBOURS = 32;
-/** Zones remembered for a service. */
+/** Maximum availability zones with a series per service. */
 const MAX_ZONES = 32;
 
 const OUTCOMES: readonly RequestOutcome[] = ['good', 'failed', 'slow'];
@@ -50,7 +50,7 @@
 
 type ServiceSeries = Map<string, Series>;
 
-function nameOf(key: SeriesKey): string {
+function seriesName(key: SeriesKey): string {
   switch (key.kind) {
     case 'all':
     case 'without_batch':
@@ -62,7 +62,7 @@
   }
 }
 
-function keysOf(req: ServedRequest): SeriesKey[] {
+function seriesKeys(req: ServedRequest): SeriesKey[] {
   const keys: SeriesKey[] = [{ kind: 'all' }, { kind: 'zone', zone: req.zone }];
   if (req.neighbours?.length === 0) {
     keys.push({ kind: 'without_batch' });
@@ -74,8 +74,8 @@
   ];
 }
 
-/** Drops the least recently used series of a kind beyond `limit`; a map keeps the order of use. */
-function bound(
+/** Drops the least recently used series of a kind beyond `limit`; the map is in order of use. */
+function trimSeries(
   all: ServiceSeries,
   kind: SeriesKey['kind'],
   limit: number,
@@ -85,8 +85,8 @@
   names.slice(0, excess).forEach(([name]) => all.delete(name));
 }
 
-function touch(all: ServiceSeries, key: SeriesKey, now: Instant): Series {
-  const name = nameOf(key);
+function touchSeries(all: ServiceSeries, key: SeriesKey, now: Instant): Series {
+  const name = seriesName(key);
   const known = all.get(name);
   const series = known ?? {
     key,
@@ -95,13 +95,13 @@
   all.delete(name);
   all.set(name, series);
   if (known === undefined) {
-    bound(all, 'neighbour', MAX_NEIGHBOURS);
-    bound(all, 'zone', MAX_ZONES);
+    trimSeries(all, 'neighbour', MAX_NEIGHBOURS);
+    trimSeries(all, 'zone', MAX_ZONES);
   }
   return series;
 }
 
-/** Starts empty. */
+/** Creates an empty ledger. */
 export function createObjectiveLedger(): ObjectiveLedger {
   const services = new Map<string, ServiceSeries>();
   return {
@@ -109,18 +109,18 @@
       const all = services.get(req.service) ?? new Map<string, Series>();
       services.set(req.service, all);
       const kind = OUTCOMES.indexOf(req.outcome);
-      for (const key of keysOf(req)) {
-        touch(all, key, now).counter.add(kind, now);
+      for (const key of seriesKeys(req)) {
+        touchSeries(all, key, now).counter.add(kind, now);
       }
     },
     services: () => [...services.keys()].sort(),
     series(service) {
       const all = [...(services.get(service)?.values() ?? [])];
       const keys = all.map(series => series.key);
-      return keys.sort((a, b) => (nameOf(a) < nameOf(b) ? -1 : 1));
+      return keys.sort((a, b) => (seriesName(a) < seriesName(b) ? -1 : 1));
     },
     counts(service, key, windowMs, now) {
-      const series = services.get(service)?.get(nameOf(key));
+      const series = services.get(service)?.get(seriesName(key));
       const sums = series?.counter.sum(windowMs, now) ?? [];
       const [good = 0, failed = 0, slow = 0] = sums;
       return { requests: good + failed + slow, failed, slow };
--- a/packages/domain/src/objectives/objectives.test.ts
+++ b/packages/domain/src/objectives/objectives.test.ts
@@ -12,7 +12,7 @@
 const HOUR_MS = 3_600_000;
 const OBJECTIVE = { target: 0.999, latencyMs: 100, periodDays: 28 };
 
-test('window counts agree with a list of events to within a bucket', () => {
+test('window counts match a list of events to within one bucket', () => {
   const gaps = fc.array(fc.integer({ min: 0, max: 4 * HOUR_MS }), {
     maxLength: 200,
   });
@@ -36,7 +36,7 @@
   fc.assert(fc.property(gaps, check), { seed: 7, numRuns: 100 });
 });
 
-test('counts fall out of their windows', () => {
+test('counts expire after their window', () => {
   const counter = createWindowCounter(2, 0);
   counter.add(1, 1_000);
   assert.deepEqual(counter.sum(HOUR_MS, 2_000), [0, 1]);
@@ -45,7 +45,7 @@
   assert.deepEqual(counter.sum(6 * HOUR_MS, 10_000 * HOUR_MS), [0, 0]);
 });
 
-test('a request is judged by its end and its time', () => {
+test('classifies requests by how they ended and how long they took', () => {
   const answered = (status: number) => ({ kind: 'answered' as const, status });
   assert.equal(outcomeOf(answered(200), 100, 100), 'good');
   assert.equal(outcomeOf(answered(404), 10, 100), 'good');
@@ -68,15 +68,15 @@
   assert.equal(budgetSpent(1, weekMs, OBJECTIVE), 0.25);
 });
 
-test('an alert needs both windows and enough bad requests', () => {
+test('an alert requires burn in both windows and enough bad requests', () => {
   const [fast] = ALERT_RULES;
   assert.ok(fast !== undefined);
   assert.ok(Math.abs(alertThreshold(fast, OBJECTIVE) - 13.44) < 1e-9);
   const burning = { requests: 1_000, failed: 20, slow: 0 };
   const calm = { requests: 1_000, failed: 0, slow: 0 };
-  const over = (shortBurns: boolean) => (windowMs: number) =>
+  const countsOver = (shortBurns: boolean) => (windowMs: number) =>
     windowMs >= HOUR_MS || shortBurns ? burning : calm;
-  assert.ok(firingAlerts(OBJECTIVE, over(true)).has('fast'));
+  assert.ok(firingAlerts(OBJECTIVE, countsOver(true)).has('fast'));
   const past = firingAlerts(OBJECTIVE, ms =>
     ms === 72 * HOUR_MS ? burning : calm,
   );
@@ -85,7 +85,7 @@
   assert.equal(firingAlerts(OBJECTIVE, () => few).size, 0);
 });
 
-test('a ledger counts by zone and neighbour, in bounded memory', () => {
+test('the ledger counts by zone and batch job in bounded memory', () => {
   const ledger = createObjectiveLedger();
   const record = (neighbours: string[] | undefined, zone = 'salem') => {
     const outcome = neighbours?.length === 0 ? 'good' : 'slow';
--- a/packages/domain/src/objectives/outcome.ts
+++ b/packages/domain/src/objectives/outcome.ts
@@ -1,19 +1,19 @@
-/** What the end of a request means for a service-level objective. */
+/** Classifies requests for service-level objectives. */
 import type { Millis } from '../core/time.js';
 import type { ErrorKind } from '../errors/kinds.js';
 
-/** How a request ended for its caller. */
+/** How a request ended, as seen by its caller. */
 export type RequestEnd =
   | { readonly kind: 'answered'; readonly status: number }
   | { readonly kind: 'refused'; readonly error: ErrorKind }
   | { readonly kind: 'broken_off' }
   | { readonly kind: 'canceled' };
 
-/** A request that counts is good, failed or slow. */
+/** Outcome of a request that counts towards the objective. */
 export type RequestOutcome = 'good' | 'failed' | 'slow';
 
-/** Refusals for which the caller is to blame. */
-const CALLERS_FAULT: ReadonlySet<ErrorKind> = new Set([
+/** Errors caused by the caller, which do not count towards the objective. */
+const CALLER_ERRORS: ReadonlySet<ErrorKind> = new Set([
   'invalid',
   'unauthenticated',
   'not_found',
@@ -24,7 +24,7 @@
 
 const FIRST_SERVER_ERROR = 500;
 
-/** Classifies a request; undefined when it does not count, as when its caller gave up before it was slow. */
+/** Returns the outcome of a request; undefined if it does not count, such as when its caller canceled it in time. */
 export function outcomeOf(
   end: RequestEnd,
   durationMs: Millis,
@@ -38,7 +38,7 @@
       }
       return inTime ? 'good' : 'slow';
     case 'refused':
-      return CALLERS_FAULT.has(end.error) ? undefined : 'failed';
+      return CALLER_ERRORS.has(end.error) ? undefined : 'failed';
     case 'broken_off':
       return 'failed';
     case 'canceled':
