--- a/packages/cli/src/losses/phases.ts
+++ b/packages/cli/src/losses/phases.ts
@@ -116,7 +116,7 @@
   addSpan('running', orderedAt);
 }
 
-/** Returns the runs of the task that ended last in each step, latest first, starting with the last step. */
+/** Returns, from the last step to the first, all runs of the task that ended last before the next step's runs. */
 function criticalPath({ runs }: LoggedJob, end: number): LoggedRun[] {
   const found: LoggedRun[] = [];
   const steps = [...new Set(runs.map(({ step }) => step))].sort(
