--- a/packages/daemon/src/interference/attempt-book.ts
+++ b/packages/daemon/src/interference/attempt-book.ts
@@ -1,79 +1,86 @@
-/** What is known of each running attempt: the share that it was throttled to, and its use. */
+/** Tracks the CPU share and the CPU use of each running attempt. */
 import type { Instant, Millis } from '@paddlewind/domain';
 import type { AttemptRef, WorkerReport } from '@paddlewind/ports';
 
 import type { RunningAttempt } from '../scheduler/index.js';
 
-/** Time constant over which reported use is averaged, in milliseconds. */
-const USE_TIME_MS = 50_000;
+/** Time constant of the moving average of reported use. */
+const USE_TIME_CONSTANT_MS = 50_000;
 
-/** Least share by which a report is scaled up. */
-const LEAST_SHARE = 0.05;
+/** Smallest share by which reported use is divided. */
+const MIN_SHARE = 0.05;
 
-/** An attempt as followed here. */
-export interface BookedAttempt {
+/** A running attempt and what is known about its CPU use. */
+export interface TrackedAttempt {
   readonly attempt: RunningAttempt;
   readonly firstSeenAt: Instant;
-  /** Share that the agent last took; undefined until it took one, or the attempt began here. */
+  /**
+   * Share that the agent last accepted; undefined for an attempt that was not new when first seen,
+   * until the agent accepts one.
+   */
   share: number | undefined;
   shareSince: Instant;
   shareBefore: number;
-  /** Cores in use when not throttled, averaged; what is set aside until reported. */
+  /** Average cores that the attempt would use unthrottled; the requested cores until a report arrives. */
   cores: number;
   reportedAt: Instant | undefined;
 }
 
-/** The attempts that run now. */
-export interface AttemptBook {
-  /** Takes the attempts that run now; forgets all others. */
+/** Tracks the running attempts. */
+export interface AttemptTracker {
+  /** Adds newly running attempts and removes those that no longer run. */
   refresh(running: readonly RunningAttempt[], now: Instant): void;
-  all(): Iterable<BookedAttempt>;
-  find(ref: AttemptRef): BookedAttempt | undefined;
-  /** Notes that the agent took a share. */
+  /** Returns all tracked attempts. */
+  all(): Iterable<TrackedAttempt>;
+  find(ref: AttemptRef): TrackedAttempt | undefined;
+  /** Records that the agent accepted a share. */
   setShare(ref: AttemptRef, share: number, now: Instant): void;
-  /** Averages the use in a report whose figures were true at `asOf`. */
-  takeReport(report: WorkerReport, asOf: Instant): void;
+  /** Adds the use in a report to the averages; `asOf` is when it was measured. */
+  recordReport(report: WorkerReport, asOf: Instant): void;
 }
 
-/** Creates an empty book; attempts that began before `freshMs` ago may have been throttled by another owner. */
-export function createAttemptBook(
+/**
+ * Creates an empty tracker. An attempt that started at least `newAttemptAgeMs` before it is first seen
+ * may have been throttled by another owner.
+ */
+export function createAttemptTracker(
   wall: () => Instant,
-  freshMs: Millis,
-): AttemptBook {
-  const booked = new Map<string, BookedAttempt>();
+  newAttemptAgeMs: Millis,
+): AttemptTracker {
+  const tracked = new Map<string, TrackedAttempt>();
 
   function refresh(running: readonly RunningAttempt[], now: Instant): void {
     const keys = new Set<string>();
     for (const attempt of running) {
       const key = keyOf(attempt.ref);
       keys.add(key);
-      if (!booked.has(key)) {
-        const fresh = wall() - attempt.startedAtWall < freshMs;
-        booked.set(key, newEntry(attempt, fresh, now));
+      if (!tracked.has(key)) {
+        const isNew = wall() - attempt.startedAtWall < newAttemptAgeMs;
+        tracked.set(key, newEntry(attempt, isNew, now));
       }
     }
-    for (const key of booked.keys()) {
+    for (const key of tracked.keys()) {
       if (!keys.has(key)) {
-        booked.delete(key);
+        tracked.delete(key);
       }
     }
   }
 
   return {
     refresh,
-    all: () => booked.values(),
-    find: ref => booked.get(keyOf(ref)),
+    all: () => tracked.values(),
+    find: ref => tracked.get(keyOf(ref)),
     setShare: (ref, share, now) => {
-      const entry = booked.get(keyOf(ref));
+      const entry = tracked.get(keyOf(ref));
       if (entry !== undefined) {
         entry.shareBefore = entry.share ?? share;
         entry.share = share;
         entry.shareSince = now;
       }
     },
-    takeReport: (report, asOf) => {
+    recordReport: (report, asOf) => {
       for (const { task, attempt, state, usage } of report.attempts) {
-        const entry = booked.get(keyOf({ task, attempt }));
+        const entry = tracked.get(keyOf({ task, attempt }));
         if (entry !== undefined && state === 'running') {
           averageUse(entry, usage.cpu, asOf);
         }
@@ -88,13 +95,13 @@
 
 function newEntry(
   attempt: RunningAttempt,
-  fresh: boolean,
+  isNew: boolean,
   now: Instant,
-): BookedAttempt {
+): TrackedAttempt {
   return {
     attempt,
     firstSeenAt: now,
-    share: fresh ? 1 : undefined,
+    share: isNew ? 1 : undefined,
     shareSince: now,
     shareBefore: 1,
     cores: attempt.size.cpu,
@@ -102,7 +109,7 @@
   };
 }
 
-function averageUse(entry: BookedAttempt, cpu: number, asOf: Instant): void {
+function averageUse(entry: TrackedAttempt, cpu: number, asOf: Instant): void {
   if (asOf < entry.firstSeenAt) {
     return;
   }
@@ -110,7 +117,7 @@
   const elapsed = Math.max(0, asOf - before);
   entry.reportedAt = Math.max(before, asOf);
   const share = asOf >= entry.shareSince ? entry.share : entry.shareBefore;
-  const whole = cpu / Math.max(LEAST_SHARE, share ?? 1);
-  const weight = 1 - Math.exp(-elapsed / USE_TIME_MS);
-  entry.cores += weight * (whole - entry.cores);
+  const unthrottledCpu = cpu / Math.max(MIN_SHARE, share ?? 1);
+  const weight = 1 - Math.exp(-elapsed / USE_TIME_CONSTANT_MS);
+  entry.cores += weight * (unthrottledCpu - entry.cores);
 }
--- a/packages/daemon/src/interference/build-view.ts
+++ b/packages/daemon/src/interference/build-view.ts
@@ -1,4 +1,4 @@
-/** The view of workers, services and batch tasks that the policy against interference decides on. */
+/** Builds the view of workers, services and batch tasks that the interference policy reads. */
 import {
   batchClassOf,
   matches,
@@ -16,22 +16,22 @@
 } from '@paddlewind/domain';
 import type { Host } from '@paddlewind/ports';
 
-import type { AttemptBook, BookedAttempt } from './attempt-book.js';
+import type { AttemptTracker, TrackedAttempt } from './attempt-book.js';
 
-/** What a view is built of. */
+/** The data from which a view is built. */
 export interface ViewInput {
   readonly config: ConfigState;
   readonly hosts: readonly Host[];
   readonly region: string;
-  /** Workers of this zone are seen even when other processes decide on their shards. */
+  /** Zone whose workers are all in the view, including those of shards that other processes schedule. */
   readonly availabilityZone: string;
-  readonly book: AttemptBook;
+  readonly tracker: AttemptTracker;
   readonly now: Instant;
   readonly wallNow: Instant;
 }
 
-/** Weights in force until a deployment declares its own. */
-const EVEN_WEIGHTS: InterferenceWeights = {
+/** Weights of a deployment that declares none. */
+const DEFAULT_WEIGHTS: InterferenceWeights = {
   tailLatency: 1,
   batchThroughput: 1,
   evictions: 1,
@@ -39,13 +39,13 @@
 
 /** Returns the weights of the deployment. */
 export function weightsOf(config: ConfigState): InterferenceWeights {
-  return objectsOf(config, 'weights')[0] ?? EVEN_WEIGHTS;
+  return objectsOf(config, 'weights')[0] ?? DEFAULT_WEIGHTS;
 }
 
-/** Builds the view. */
+/** Builds the view of the workers in the own zone and of all other workers with tracked attempts. */
 export function buildView(input: ViewInput): InterferenceView {
   const services = objectsOf(input.config, 'service');
-  const byWorker = attemptsByWorker(input.book);
+  const byWorker = attemptsByWorker(input.tracker);
   const workers = input.hosts.filter(
     host =>
       host.role === 'worker' &&
@@ -65,9 +65,11 @@
   };
 }
 
-function attemptsByWorker(book: AttemptBook): Map<string, BookedAttempt[]> {
-  const byWorker = new Map<string, BookedAttempt[]>();
-  for (const entry of book.all()) {
+function attemptsByWorker(
+  tracker: AttemptTracker,
+): Map<string, TrackedAttempt[]> {
+  const byWorker = new Map<string, TrackedAttempt[]>();
+  for (const entry of tracker.all()) {
     const { worker } = entry.attempt;
     const list = byWorker.get(worker);
     if (list === undefined) {
@@ -83,29 +85,29 @@
   input: ViewInput,
   host: Host,
   services: readonly ServiceSpec[],
-  attempts: readonly BookedAttempt[],
+  attempts: readonly TrackedAttempt[],
 ): WorkerView {
   const served = services.filter(
     service =>
       host.endpoints[service.name] !== undefined &&
       matches(service.workers, host.labels),
   );
-  const held =
+  const reservedCores =
     served.reduce((sum, service) => sum + service.size.cpu, 0) +
     attempts.reduce((sum, { attempt }) => sum + attempt.size.cpu, 0);
   return {
     name: host.id,
     cores: Math.max(1, host.capacity.cpu),
-    freeCores: Math.max(0, host.capacity.cpu - held),
+    freeCores: Math.max(0, host.capacity.cpu - reservedCores),
     services: served.map(service => service.name),
     tasks: attempts.flatMap(entry => toTask(input, entry) ?? []),
   };
 }
 
-/** Returns the task's view; undefined for work that is not batch. */
+/** Returns the view of a task, or undefined if it is not batch work. */
 function toTask(
   { config, now, wallNow }: ViewInput,
-  entry: BookedAttempt,
+  entry: TrackedAttempt,
 ): BatchTaskView | undefined {
   const { attempt, cores, share } = entry;
   const { job, ref, startedAtWall, savedAtWall } = attempt;
@@ -128,12 +130,12 @@
 
 type Policy = ReturnType<typeof policyFor>;
 
-/** Policies by configuration and job, as long as both are in use. */
-const policies = new WeakMap<ConfigState, WeakMap<JobSpec, Policy>>();
+/** Policies by configuration and job; an entry is dropped with either of them. */
+const policyCache = new WeakMap<ConfigState, WeakMap<JobSpec, Policy>>();
 
 function policyOf(config: ConfigState, job: JobSpec): Policy {
-  const known = policies.get(config) ?? new WeakMap<JobSpec, Policy>();
-  policies.set(config, known);
+  const known = policyCache.get(config) ?? new WeakMap<JobSpec, Policy>();
+  policyCache.set(config, known);
   const found = known.get(job) ?? findPolicy(config, job);
   known.set(job, found);
   return found;
--- a/packages/daemon/src/interference/index.ts
+++ b/packages/daemon/src/interference/index.ts
@@ -1,2 +1,2 @@
-/** The policy against interference between services and batch work. */
+/** Limits interference between services and batch work. */
 export * from './start-interference.js';
--- a/packages/daemon/src/interference/interference.test.ts
+++ b/packages/daemon/src/interference/interference.test.ts
@@ -91,15 +91,15 @@
   };
 }
 
-interface BedOptions {
+interface FixtureOptions {
   readonly preemptible?: boolean;
   readonly startedAtWall?: number;
-  /** Tells whether the agent takes a throttle command. */
-  readonly takes?: () => boolean;
+  /** Tells whether the agent accepts a throttle command; always if absent. */
+  readonly acceptsThrottle?: () => boolean;
 }
 
-/** Workers with one task each; noisy tasks slow the service beside them by their share of cores. */
-function makeBed(options: BedOptions) {
+/** Creates workers with one task each; noisy tasks slow the service on their worker by their share of cores. */
+function createFixture(options: FixtureOptions) {
   const time = createVirtualTime();
   const random = seededRandom(3);
   const wall = () => WALL + time.clock();
@@ -114,11 +114,11 @@
     running: () => attempts,
     throttle: ({ ref }, share) => {
       commands.push({ task: ref.task, share, at: time.clock() });
-      const taken = options.takes?.() ?? true;
-      if (taken) {
+      const accepted = options.acceptsThrottle?.() ?? true;
+      if (accepted) {
         shares.set(ref.task, share);
       }
-      return Promise.resolve(taken);
+      return Promise.resolve(accepted);
     },
     evict: ({ ref }) => {
       evicted.push(ref.task);
@@ -198,57 +198,59 @@
   return { run, part, shares, commands, evicted, weights };
 }
 
-test('the noisy batch class is throttled, the calm one is not', async () => {
-  const bed = makeBed({});
-  await bed.run(300);
-  bed.part.stop();
-  const even = (task: string) => Number(/\d+/.exec(task)?.[0]) % 2 === 0;
-  const low = [...bed.shares].filter(([, share]) => share < 1);
-  assert.ok(low.length > 0);
-  assert.ok(low.every(([task]) => even(task)));
+test('only the noisy batch class is throttled', async () => {
+  const fixture = createFixture({});
+  await fixture.run(300);
+  fixture.part.stop();
+  const isNoisy = (task: string) => Number(/\d+/.exec(task)?.[0]) % 2 === 0;
+  const throttled = [...fixture.shares].filter(([, share]) => share < 1);
+  assert.ok(throttled.length > 0);
+  assert.ok(throttled.every(([task]) => isNoisy(task)));
 });
 
-test('one more noisy task costs more than one more calm task', async () => {
-  const bed = makeBed({});
-  await bed.run(300);
-  const noisy = bed.part.penalty('w1', 'back/noisy', 4);
-  assert.ok(noisy > 2 * bed.part.penalty('w1', 'back/calm', 4));
-  assert.equal(bed.part.penalty('w1', 'back/noisy', 4), noisy);
-  bed.part.stop();
+test('a noisy task has a higher placement penalty than a calm one', async () => {
+  const fixture = createFixture({});
+  await fixture.run(300);
+  const noisy = fixture.part.penalty('w1', 'back/noisy', 4);
+  assert.ok(noisy > 2 * fixture.part.penalty('w1', 'back/calm', 4));
+  assert.equal(fixture.part.penalty('w1', 'back/noisy', 4), noisy);
+  fixture.part.stop();
 });
 
-test('a throttle that is not taken is sent again', async () => {
-  let lost = 5;
-  const bed = makeBed({ takes: () => lost-- <= 0 });
-  await bed.run(120);
-  bed.part.stop();
-  const [first] = bed.commands;
+test('a throttle command that is not accepted is sent again', async () => {
+  let remainingLosses = 5;
+  const fixture = createFixture({
+    acceptsThrottle: () => remainingLosses-- <= 0,
+  });
+  await fixture.run(120);
+  fixture.part.stop();
+  const [first] = fixture.commands;
   assert.ok(first !== undefined && first.share < 1);
-  assert.ok([...bed.shares.values()].some(share => share < 1));
+  assert.ok([...fixture.shares.values()].some(share => share < 1));
 });
 
-test('attempts of an earlier owner are released once', async () => {
-  const bed = makeBed({ startedAtWall: WALL - 3_600_000 });
-  await bed.run(2);
-  bed.part.stop();
+test('attempts of an earlier owner are unthrottled once', async () => {
+  const fixture = createFixture({ startedAtWall: WALL - 3_600_000 });
+  await fixture.run(2);
+  fixture.part.stop();
   assert.deepEqual(
-    bed.commands.map(command => command.share),
+    fixture.commands.map(command => command.share),
     new Array(WORKERS).fill(1),
   );
 });
 
 test('work that is not preemptible is never evicted', async () => {
-  const bed = makeBed({ preemptible: false });
-  await bed.run(900);
-  bed.part.stop();
-  assert.deepEqual(bed.evicted, []);
+  const fixture = createFixture({ preemptible: false });
+  await fixture.run(900);
+  fixture.part.stop();
+  assert.deepEqual(fixture.evicted, []);
 });
 
-test('nothing is sent after the stop', async () => {
-  const bed = makeBed({});
-  await bed.run(60);
-  bed.part.stop();
-  const sent = bed.commands.length;
-  await bed.run(60);
-  assert.equal(bed.commands.length, sent);
+test('no commands are sent after the policy is stopped', async () => {
+  const fixture = createFixture({});
+  await fixture.run(60);
+  fixture.part.stop();
+  const sent = fixture.commands.length;
+  await fixture.run(60);
+  assert.equal(fixture.commands.length, sent);
 });
--- a/packages/daemon/src/interference/metrics.ts
+++ b/packages/daemon/src/interference/metrics.ts
@@ -1,14 +1,15 @@
-/** Metrics of the policy against interference. */
+/** Metrics of the interference policy. */
 import type { Action } from '@paddlewind/domain';
 import { Counter, Gauge, type Registry } from 'prom-client';
 
-/** What the policy counts. */
+/** Metrics that the interference policy updates. */
 export interface InterferenceMetrics {
-  acted(action: Action, taken: boolean): void;
-  throttled(tasks: number): void;
+  /** Counts an action; `taken` tells whether it was carried out. */
+  countAction(action: Action, taken: boolean): void;
+  setThrottledTasks(tasks: number): void;
 }
 
-/** Registers the metrics. */
+/** Registers the metrics of the interference policy. */
 export function createInterferenceMetrics(
   registry: Registry,
 ): InterferenceMetrics {
@@ -25,10 +26,10 @@
     registers,
   });
   return {
-    acted: ({ kind, reason }, taken) => {
+    countAction: ({ kind, reason }, taken) => {
       actions.inc({ kind, reason, taken: String(taken) });
     },
-    throttled: tasks => {
+    setThrottledTasks: tasks => {
       throttled.set(tasks);
     },
   };
--- a/packages/daemon/src/interference/start-interference.ts
+++ b/packages/daemon/src/interference/start-interference.ts
@@ -1,4 +1,4 @@
-/** Learns interference from response times and usage reports, and acts on it every second. */
+/** Learns how batch work slows services from response times and usage reports, and acts on it every second. */
 import {
   adviseActions,
   batchClassOf,
@@ -25,9 +25,9 @@
 } from '../parts.js';
 import type { AttemptControl } from '../scheduler/index.js';
 import {
-  createAttemptBook,
-  type AttemptBook,
-  type BookedAttempt,
+  createAttemptTracker,
+  type AttemptTracker,
+  type TrackedAttempt,
 } from './attempt-book.js';
 import { buildView, weightsOf } from './build-view.js';
 import {
@@ -37,29 +37,29 @@
 
 const TICK_MS = 1_000;
 
-/** Attempts that began longer ago when first seen may still be throttled by an earlier owner. */
-const FRESH_MS = 10_000;
+/** Attempts at least this old when first seen may still be throttled by an earlier owner. */
+const NEW_ATTEMPT_AGE_MS = 10_000;
 
-/** Part of an error budget that one more task may spend at the worst, as the planner's 1. */
-const WORST_TOLERATED = 0.05;
+/** Share of an error budget that one more task may spend at most; the planner sees it as a penalty of 1. */
+const MAX_BUDGET_SHARE = 0.05;
 
-/** What the policy is given. */
+/** Dependencies of the interference policy. */
 export interface InterferenceParts {
   readonly ctx: PartContext;
   readonly cfg: { readonly region: string; readonly availabilityZone: string };
-  /** Wall-clock milliseconds, as in the scheduler's records. */
+  /** Wall clock in milliseconds, as used in the scheduler's records. */
   readonly wall: Clock;
   readonly config: ConfigView;
   readonly hosts: HostView;
 }
 
-/** The policy against interference of one process. */
+/** The interference policy of one process. */
 export interface Interference {
-  /** Harm of one more batch task on a worker: 0 for none, 1 for the worst tolerated. */
+  /** Penalty for one more batch task on a worker: 0 for no harm, 1 for the most that is tolerated. */
   readonly penalty: PlacementPenalty;
-  /** Takes a worker's report of use. */
+  /** Handles a worker's usage report. */
   readonly onReport: (report: WorkerReport, at: Instant) => void;
-  /** Begins to act, once the scheduler and the router run. */
+  /** Starts acting; called once the scheduler and the router run. */
   connect(attempts: AttemptControl, latency: LatencyFeed): void;
   stop: Stop;
 }
@@ -68,24 +68,24 @@
   readonly parts: InterferenceParts;
   readonly model: ReturnType<typeof createInterferenceModel>;
   readonly memory: ReturnType<typeof createPolicyMemory>;
-  readonly book: AttemptBook;
+  readonly tracker: AttemptTracker;
   readonly metrics: InterferenceMetrics;
-  /** Attempts with a command under way. */
-  readonly commanded: Set<BookedAttempt>;
+  /** Attempts with a throttle command in flight. */
+  readonly pendingThrottles: Set<TrackedAttempt>;
   penalty: PlacementPenalty;
   readonly penalties: Map<string, number>;
 }
 
-/** Starts the policy; it learns and acts once it is connected. */
+/** Creates the policy; it learns and acts once it is connected. */
 export function startInterference(parts: InterferenceParts): Interference {
   const { ctx, wall } = parts;
   const state: State = {
     parts,
     model: createInterferenceModel(),
     memory: createPolicyMemory(),
-    book: createAttemptBook(wall, FRESH_MS),
+    tracker: createAttemptTracker(wall, NEW_ATTEMPT_AGE_MS),
     metrics: createInterferenceMetrics(ctx.metrics),
-    commanded: new Set(),
+    pendingThrottles: new Set(),
     penalty: () => 0,
     penalties: new Map(),
   };
@@ -102,7 +102,7 @@
       () => {
         cancel();
       },
-      // A changed service may get a new router, which knows no weights.
+      // A changed service may get a new router, which has no weights yet.
       parts.config.onChange(() => {
         for (const steered of steeredWeights(state.memory)) {
           latency.steer(steered.service, steered.worker, steered.weight);
@@ -118,7 +118,7 @@
     penalty: (worker, batchClass, cores) =>
       penaltyOf(state, worker, batchClass, cores),
     onReport: (report, at) => {
-      takeReport(state, report, at);
+      handleReport(state, report, at);
     },
     connect,
     stop: () => {
@@ -140,13 +140,13 @@
   if (known !== undefined) {
     return known;
   }
-  const found = penalty(worker, batchClass, cores) / WORST_TOLERATED;
+  const found = penalty(worker, batchClass, cores) / MAX_BUDGET_SHARE;
   penalties.set(key, found);
   return found;
 }
 
-function takeReport(
-  { parts, model, book }: State,
+function handleReport(
+  { parts, model, tracker }: State,
   report: WorkerReport,
   at: Instant,
 ): void {
@@ -156,15 +156,15 @@
     return;
   }
   const asOf = at - report.lagMs;
-  book.takeReport(report, asOf);
+  tracker.recordReport(report, asOf);
   const uses = report.attempts.flatMap(attempt =>
-    useOf(book, attempt, host.capacity.cpu),
+    useOf(tracker, attempt, host.capacity.cpu),
   );
   observeUsage(model, { worker, asOf, uses }, at);
 }
 
-function useOf(book: AttemptBook, attempt: AttemptReport, cores: number) {
-  const job = book.find(attempt)?.attempt.job;
+function useOf(tracker: AttemptTracker, attempt: AttemptReport, cores: number) {
+  const job = tracker.find(attempt)?.attempt.job;
   if (job === undefined || attempt.state !== 'running') {
     return [];
   }
@@ -177,55 +177,57 @@
   attempts: AttemptControl,
   latency: LatencyFeed,
 ): void {
-  const { parts, model, memory, book, metrics } = state;
+  const { parts, model, memory, tracker, metrics } = state;
   const now = parts.ctx.clock();
   const config = parts.config.current();
-  book.refresh(attempts.running(), now);
+  tracker.refresh(attempts.running(), now);
   const view = buildView({
     config,
     hosts: parts.hosts.hosts(),
     region: parts.cfg.region,
     availabilityZone: parts.cfg.availabilityZone,
-    book,
+    tracker,
     now,
     wallNow: parts.wall(),
   });
   const weights = weightsOf(config);
   const actions = adviseActions(model, memory, view, weights, now);
   for (const action of actions) {
-    carryOut(state, attempts, latency, action);
+    applyAction(state, attempts, latency, action);
   }
-  releaseAdopted(state, attempts);
+  unthrottleAdopted(state, attempts);
   state.penalty = placementPenalty(model, view, weights, now);
   state.penalties.clear();
-  metrics.throttled([...book.all()].filter(e => (e.share ?? 1) < 1).length);
+  metrics.setThrottledTasks(
+    [...tracker.all()].filter(e => (e.share ?? 1) < 1).length,
+  );
 }
 
-function carryOut(
+function applyAction(
   state: State,
   attempts: AttemptControl,
   latency: LatencyFeed,
   action: Action,
 ): void {
-  const { parts, book, metrics } = state;
+  const { parts, tracker, metrics } = state;
   switch (action.kind) {
     case 'steer':
       latency.steer(action.service, action.worker, action.weight);
-      metrics.acted(action, true);
+      metrics.countAction(action, true);
       return;
     case 'throttle': {
-      const entry = book.find(action);
+      const entry = tracker.find(action);
       if (entry !== undefined) {
         void throttle(state, attempts, entry, action.share).then(taken => {
-          metrics.acted(action, taken);
+          metrics.countAction(action, taken);
         });
       }
       return;
     }
     case 'evict': {
-      const entry = book.find(action);
+      const entry = tracker.find(action);
       const taken = entry !== undefined && attempts.evict(entry.attempt);
-      metrics.acted(action, taken);
+      metrics.countAction(action, taken);
       const { task, worker, reason } = action;
       parts.ctx.log.info(
         { task, worker, reason, taken },
@@ -236,29 +238,29 @@
   }
 }
 
-/** Attempts that an earlier owner may have throttled are released once, so that none is forgotten. */
-function releaseAdopted(state: State, attempts: AttemptControl): void {
-  for (const entry of state.book.all()) {
-    if (entry.share === undefined && !state.commanded.has(entry)) {
+/** Resets once the share of attempts that an earlier owner may have throttled, so that none stays throttled. */
+function unthrottleAdopted(state: State, attempts: AttemptControl): void {
+  for (const entry of state.tracker.all()) {
+    if (entry.share === undefined && !state.pendingThrottles.has(entry)) {
       void throttle(state, attempts, entry, 1);
     }
   }
 }
 
 async function throttle(
-  { parts, book, commanded }: State,
+  { parts, tracker, pendingThrottles }: State,
   attempts: AttemptControl,
-  entry: BookedAttempt,
+  entry: TrackedAttempt,
   share: number,
 ): Promise<boolean> {
-  if (commanded.has(entry)) {
+  if (pendingThrottles.has(entry)) {
     return false;
   }
-  commanded.add(entry);
+  pendingThrottles.add(entry);
   const taken = await attempts.throttle(entry.attempt, share);
-  commanded.delete(entry);
+  pendingThrottles.delete(entry);
   if (taken) {
-    book.setShare(entry.attempt.ref, share, parts.ctx.clock());
+    tracker.setShare(entry.attempt.ref, share, parts.ctx.clock());
   }
   return taken;
 }
--- a/packages/daemon/src/objectives/collect.ts
+++ b/packages/daemon/src/objectives/collect.ts
@@ -1,4 +1,4 @@
-/** Adds up the burn that all entry hosts measure. */
+/** Adds up the error budget burn measured by all entry hosts. */
 import { createClient } from '@connectrpc/connect';
 import { OperatorService } from '@paddlewind/protocol';
 
@@ -7,11 +7,12 @@
 import type { Peer, PeerView } from '../parts.js';
 import { alertsOf, mergeRows } from './rows.js';
 
-/** A peer that does not answer within this time is missing from the report. */
+/** A peer that does not answer within this time is listed as missing in the report. */
 const PEER_TIMEOUT_MS = 2_000;
 
-/** What the collection needs. */
+/** Dependencies of the burn report. */
 export interface BurnCollection {
+  /** Returns the burn measured by this host. */
   readonly own: () => BurnFields;
   readonly peers: Pick<PeerView, 'peers'>;
   readonly transports: PeerTransports;
@@ -31,7 +32,7 @@
   };
 }
 
-async function ask(
+async function requestBurn(
   transports: PeerTransports,
   peer: Peer,
 ): Promise<BurnFields | undefined> {
@@ -43,7 +44,7 @@
   }
 }
 
-/** Returns the operators' call. */
+/** Creates the operator call that reports the burn of this host alone (`local`) or of all entry hosts. */
 export function createBurn(collection: BurnCollection): OperatorFleet['burn'] {
   const { own, peers, transports } = collection;
   return async local => {
@@ -51,7 +52,9 @@
       return own();
     }
     const asked = peers.peers();
-    const answers = await Promise.all(asked.map(peer => ask(transports, peer)));
+    const answers = await Promise.all(
+      asked.map(peer => requestBurn(transports, peer)),
+    );
     const missing = asked
       .filter((_, index) => answers[index] === undefined)
       .map(peer => peer.id);
--- a/packages/daemon/src/objectives/index.ts
+++ b/packages/daemon/src/objectives/index.ts
@@ -1,3 +1,3 @@
-/** Measurement of service-level objectives and the report on burn. */
+/** Measures service-level objectives and reports how fast their error budgets burn. */
 export * from './collect.js';
 export * from './objectives.js';
--- a/packages/daemon/src/objectives/metrics.ts
+++ b/packages/daemon/src/objectives/metrics.ts
@@ -20,7 +20,10 @@
   };
 }
 
-/** Registers gauges that read the rows at each scrape; rows by neighbour would make labels without bound. */
+/**
+ * Registers gauges that read the rows at each scrape. The rows must not be broken down by neighbour,
+ * which would make the number of labels unbounded.
+ */
 export function registerBurnGauges(
   registry: Registry,
   rows: () => readonly BurnRow[],
--- a/packages/daemon/src/objectives/objectives.test.ts
+++ b/packages/daemon/src/objectives/objectives.test.ts
@@ -37,15 +37,15 @@
 };
 
 const ANSWERED: RequestEnd = { kind: 'answered', status: 200 };
-const nothing = () => () => undefined;
+const ignoreListener = () => () => undefined;
 
-interface Bed {
+interface Fixture {
   readonly objectives: Objectives;
   readonly metrics: Registry;
   end(req: Partial<EndedRequest>, times?: number): void;
 }
 
-function start(id: string): Bed {
+function start(id: string): Fixture {
   const listeners: ((req: EndedRequest) => void)[] = [];
   const metrics = new Registry();
   const objectives = startObjectives({
@@ -56,8 +56,12 @@
       metrics,
     },
     self: { id, availabilityZone: 'salem' },
-    config: { current: () => CONFIG, inForce: () => true, onChange: nothing },
-    hosts: { hosts: () => [], onChange: nothing },
+    config: {
+      current: () => CONFIG,
+      inForce: () => true,
+      onChange: ignoreListener,
+    },
+    hosts: { hosts: () => [], onChange: ignoreListener },
     requests: {
       onEnded: listener => {
         listeners.push(listener);
@@ -92,11 +96,11 @@
 }
 
 test('burn is measured by service and by batch neighbour', () => {
-  const bed = start('a');
-  bed.end({}, 90);
-  bed.end({ worker: 'w1', durationMs: 500 }, 10);
-  bed.end({ service: 'undeclared' });
-  const burn = bed.objectives.burn();
+  const fixture = start('a');
+  fixture.end({}, 90);
+  fixture.end({ worker: 'w1', durationMs: 500 }, 10);
+  fixture.end({ service: 'undeclared' });
+  const burn = fixture.objectives.burn();
   const all = row(burn, 300);
   assert.deepEqual([all?.requests, all?.slow], [100n, 10n]);
   assert.equal(all?.burnRate.toFixed(6), '10.000000');
@@ -105,10 +109,10 @@
   assert.deepEqual(severities, ['fast', 'slow']);
 });
 
-test('metrics tell burn rates and alerts', async () => {
-  const bed = start('a');
-  bed.end({ end: { kind: 'broken_off' } }, 10);
-  const text = await bed.metrics.metrics();
+test('metrics report burn rates and alerts', async () => {
+  const fixture = start('a');
+  fixture.end({ end: { kind: 'broken_off' } }, 10);
+  const text = await fixture.metrics.metrics();
   assert.match(
     text,
     /burn_rate\{service="memberlink",availability_zone="",window_seconds="300"\} 99\.9/,
@@ -120,7 +124,7 @@
   );
 });
 
-test('the burn of all hosts is added up and silent ones are named', async () => {
+test('the burn of all hosts is added up and hosts without an answer are listed as missing', async () => {
   const [a, b] = [start('a'), start('b')];
   a.end({}, 50);
   b.end({ durationMs: 500 }, 50);
@@ -130,13 +134,13 @@
       return b.objectives.burn();
     });
   });
-  const dead = createRouterTransport(() => undefined);
+  const unavailable = createRouterTransport(() => undefined);
   const peer = (id: string) => ({ id, address: id }) as Peer;
   const burn = await createBurn({
     own: () => a.objectives.burn(),
     peers: { peers: () => [peer('b'), peer('c')] },
     transports: {
-      to: address => (address === 'b' ? transport : dead),
+      to: address => (address === 'b' ? transport : unavailable),
       forget: () => undefined,
       retain: () => undefined,
       close: () => undefined,
--- a/packages/daemon/src/objectives/objectives.ts
+++ b/packages/daemon/src/objectives/objectives.ts
@@ -1,4 +1,4 @@
-/** Measures service-level objectives by the ends of requests. */
+/** Measures service-level objectives from ended requests. */
 import {
   createObjectiveLedger,
   type Instant,
@@ -23,7 +23,7 @@
 } from './metrics.js';
 import { alertsOf, rowsOf, type RowScope } from './rows.js';
 
-/** What the part is given. */
+/** Dependencies of the measurement of objectives. */
 export interface ObjectivesOptions {
   readonly ctx: PartContext;
   /** This host's id and availability zone. */
@@ -31,48 +31,49 @@
   readonly config: ConfigView;
   readonly hosts: HostView;
   readonly requests: RequestFeed;
-  /** Jobs with a task on a worker; undefined when not known here. */
+  /** Returns the jobs with a task on a worker, or undefined if this process does not know them. */
   readonly jobsOn: (worker: string) => readonly string[] | undefined;
+  /** Returns the batch evictions and completions to report. */
   readonly batchTotals: () => {
     readonly evictions: number;
     readonly completed: number;
   };
 }
 
-/** The running part. */
+/** The running measurement of objectives. */
 export interface Objectives {
-  /** Burn as this host measures it. */
+  /** Returns the burn measured by this host. */
   burn(): BurnFields;
   stop: Stop;
 }
 
-/** Jobs on a worker are looked up at most so often. */
-const NEIGHBOURS_FRESH_MS = 1_000;
+/** Time for which the jobs on a worker are cached. */
+const NEIGHBOURS_CACHE_MS = 1_000;
 
-/** Returns the jobs on a worker, remembered for a second. */
-function createNeighbours(
+/** Returns a cached lookup of the jobs on a worker. */
+function createNeighbourLookup(
   options: ObjectivesOptions,
   zones: ReadonlyMap<string, string>,
 ) {
   const { clock } = options.ctx;
-  const remembered = new Map<
+  const cache = new Map<
     string,
     { until: Instant; jobs: readonly string[] | undefined }
   >();
   return (worker: string): readonly string[] | undefined => {
     const now = clock();
-    const known = remembered.get(worker);
+    const known = cache.get(worker);
     if (known !== undefined && known.until > now) {
       return known.jobs;
     }
-    const near = zones.get(worker) === options.self.availabilityZone;
-    const jobs = options.jobsOn(worker) ?? (near ? [] : undefined);
-    remembered.set(worker, { until: now + NEIGHBOURS_FRESH_MS, jobs });
+    const isInOwnZone = zones.get(worker) === options.self.availabilityZone;
+    const jobs = options.jobsOn(worker) ?? (isInOwnZone ? [] : undefined);
+    cache.set(worker, { until: now + NEIGHBOURS_CACHE_MS, jobs });
     return jobs;
   };
 }
 
-function followObjectives(
+function trackObjectives(
   config: ConfigView,
   onChange: (declared: ReadonlySet<string>) => void,
 ) {
@@ -88,7 +89,7 @@
   return { objectives, stop: config.onChange(update) };
 }
 
-function followZones(hosts: HostView) {
+function trackZones(hosts: HostView) {
   const zones = new Map<string, string>();
   const update = (): void => {
     zones.clear();
@@ -100,19 +101,19 @@
   return { zones, stop: hosts.onChange(update) };
 }
 
-/** Starts to measure. */
+/** Starts measuring objectives. */
 export function startObjectives(options: ObjectivesOptions): Objectives {
   const { ctx, self } = options;
   const ledger = createObjectiveLedger();
   const metrics: ObjectiveMetrics = createObjectiveMetrics(ctx.metrics);
-  const followed = followObjectives(options.config, declared => {
+  const objectiveTracker = trackObjectives(options.config, declared => {
     ledger.retain(declared);
   });
-  const { objectives } = followed;
-  const hosts = followZones(options.hosts);
-  const neighboursOf = createNeighbours(options, hosts.zones);
+  const { objectives } = objectiveTracker;
+  const zoneTracker = trackZones(options.hosts);
+  const neighboursOf = createNeighbourLookup(options, zoneTracker.zones);
 
-  function take(req: EndedRequest): void {
+  function recordRequest(req: EndedRequest): void {
     const { service, end, worker, durationMs } = req;
     const objective = objectives.get(service);
     const outcome =
@@ -120,7 +121,7 @@
     if (outcome === undefined) {
       return;
     }
-    const zone = hosts.zones.get(worker ?? '') ?? self.availabilityZone;
+    const zone = zoneTracker.zones.get(worker ?? '') ?? self.availabilityZone;
     const neighbours = worker === undefined ? undefined : neighboursOf(worker);
     ledger.record({ service, zone, outcome, neighbours }, ctx.clock());
     metrics.requests.inc({ service, outcome });
@@ -134,7 +135,7 @@
   }
 
   registerBurnGauges(ctx.metrics, () => rows('bounded_series'));
-  const stopFeed = options.requests.onEnded(take);
+  const stopFeed = options.requests.onEnded(recordRequest);
   return {
     burn() {
       const windows = rows('every_series');
@@ -150,8 +151,8 @@
     },
     stop() {
       stopFeed();
-      followed.stop();
-      hosts.stop();
+      objectiveTracker.stop();
+      zoneTracker.stop();
     },
   };
 }
--- a/packages/daemon/src/objectives/rows.ts
+++ b/packages/daemon/src/objectives/rows.ts
@@ -1,4 +1,4 @@
-/** Rows of the report on burn. */
+/** Rows of the burn report. */
 import {
   BURN_WINDOWS_MS,
   budgetSpent,
@@ -13,7 +13,7 @@
 
 import type { BurnFields } from '../operator/deps.js';
 
-/** One row of the report. */
+/** One row of the report: the burn of a service over a window. */
 export type BurnRow = BurnFields['windows'][number];
 
 /** One alert of the report. */
@@ -22,8 +22,8 @@
 const MS_PER_SECOND = 1_000;
 const PERCENT = 100;
 
-/** Names an objective, such as `99.9 % within 100 ms`. */
-export function nameObjective(objective: Objective): string {
+/** Describes an objective, such as `99.9 % within 100 ms`. */
+export function describeObjective(objective: Objective): string {
   const percent = Number((objective.target * PERCENT).toPrecision(6));
   return `${percent} % within ${objective.latencyMs} ms`;
 }
@@ -48,7 +48,7 @@
   return {
     service,
     ...keyFields(key),
-    objective: nameObjective(objective),
+    objective: describeObjective(objective),
     target: objective.target,
     periodDays: objective.periodDays,
     windowSeconds: windowMs / MS_PER_SECOND,
@@ -60,7 +60,7 @@
   };
 }
 
-/** Which series rows are built for; the bounded ones are those in all and by zone. */
+/** Series for which rows are built; the bounded ones are the totals and the series by zone. */
 export type RowScope = 'every_series' | 'bounded_series';
 
 /** Returns the rows of a service, one for each series and window. */
@@ -89,7 +89,7 @@
   return { target: row.target, periodDays: row.periodDays, latencyMs: 0 };
 }
 
-function isWhole(row: BurnRow): boolean {
+function coversAllRequests(row: BurnRow): boolean {
   return (
     row.availabilityZone === '' &&
     row.batchNeighbours.length === 0 &&
@@ -103,12 +103,12 @@
   return { requests: Number(row?.requests ?? 0), failed: bad - slow, slow };
 }
 
-/** Returns the alerts that fire by the rows over all requests of each service. */
+/** Returns the firing alerts of each service, judged by its rows over all requests. */
 export function alertsOf(rows: readonly BurnRow[]): BurnAlertFields[] {
-  const whole = rows.filter(isWhole);
-  const services = [...new Set(whole.map(row => row.service))];
+  const totals = rows.filter(coversAllRequests);
+  const services = [...new Set(totals.map(row => row.service))];
   return services.flatMap(service => {
-    const own = whole.filter(row => row.service === service);
+    const own = totals.filter(row => row.service === service);
     const [first] = own;
     if (first === undefined) {
       return [];
@@ -146,7 +146,7 @@
   return { ...sum, burnRate: rate, budgetSpent: spent };
 }
 
-/** Adds up the rows of several hosts. */
+/** Adds up the rows of several hosts that have the same key. */
 export function mergeRows(rows: readonly BurnRow[]): BurnRow[] {
   const merged = new Map<string, BurnRow>();
   for (const row of rows) {
