--- a/packages/domain/src/config/affected.ts
+++ b/packages/domain/src/config/affected.ts
@@ -1,8 +1,11 @@
-/** What one change set can break, so that a change costs by its own size and not by the whole. */
+/**
+ * Checks only the rules that a change set can break, so that the cost of a change depends on its own size
+ * rather than on the size of the configuration.
+ */
 import type { Problem } from '../core/problem.js';
 import type { ConfigObject, ObjectKind } from '../declarations/schemas.js';
 import type { ConfigChange } from './change-set.js';
-import { charsOf, ruleProblems, sizeProblems } from './rules.js';
+import { jsonChars, ruleProblems, sizeProblems } from './rules.js';
 import type { ConfigState, ObjectKey, VersionedObject } from './state.js';
 
 type Objects = ReadonlyMap<ObjectKey, VersionedObject>;
@@ -10,26 +13,29 @@
   readonly declaration: unknown;
 };
 
-/** Characters of configurations, which are never changed; counted anew where they are not known. */
-const knownChars = new WeakMap<Objects, number>();
+/** Cached size of each configuration in characters; valid for good, since configurations are immutable. */
+const charCounts = new WeakMap<Objects, number>();
 
-/** Returns what is wrong between the objects after `changes`, when nothing was before them. */
+/** Returns the problems between the objects after `changes`; assumes that there were none before them. */
 export function problemsAfter(
   before: ConfigState,
   after: Objects,
   changes: readonly ChangeOutline[],
 ): Problem[] {
   const chars = charsAfter(before.objects, after, changes);
-  knownChars.set(after, chars);
-  const kinds = kindsAtRisk(changes);
+  charCounts.set(after, chars);
+  const kinds = kindsToCheck(changes);
   return [
     ...sizeProblems(after.size, chars),
     ...(kinds.size > 0 ? ruleProblems(specsOf(after), kinds) : []),
   ];
 }
 
-/** Kinds whose rules may be broken: putting a team breaks none, deleting breaks only a team's. */
-function kindsAtRisk(changes: readonly ChangeOutline[]): Set<ObjectKind> {
+/**
+ * Returns the kinds whose rules the changes can break. Creating or updating a team breaks no rule;
+ * a deletion can break a rule only if it is that of a team.
+ */
+function kindsToCheck(changes: readonly ChangeOutline[]): Set<ObjectKind> {
   const risky = changes.filter(({ kind, declaration }) =>
     kind === 'team' ? declaration === null : declaration !== null,
   );
@@ -42,21 +48,21 @@
   after: Objects,
   changes: readonly ChangeOutline[],
 ): number {
-  let chars = knownChars.get(before) ?? countChars(before);
+  let total = charCounts.get(before) ?? countChars(before);
   for (const { kind, name } of changes) {
     const key: ObjectKey = `${kind}/${name}`;
-    chars += charsAt(after, key) - charsAt(before, key);
+    total += jsonCharsAt(after, key) - jsonCharsAt(before, key);
   }
-  return chars;
+  return total;
 }
 
 function countChars(objects: Objects): number {
-  return specsOf(objects).reduce((sum, object) => sum + charsOf(object), 0);
+  return specsOf(objects).reduce((sum, object) => sum + jsonChars(object), 0);
 }
 
-function charsAt(objects: Objects, key: ObjectKey): number {
+function jsonCharsAt(objects: Objects, key: ObjectKey): number {
   const held = objects.get(key);
-  return held === undefined ? 0 : charsOf(held.object);
+  return held === undefined ? 0 : jsonChars(held.object);
 }
 
 function specsOf(objects: Objects): ConfigObject[] {
--- a/packages/domain/src/config/change-set.ts
+++ b/packages/domain/src/config/change-set.ts
@@ -1,30 +1,30 @@
-/** Change sets: what operators write to the configuration stream. */
+/** Change sets, which operators write to the configuration stream. */
 import { z } from 'zod';
 
 import type { ConfigObject, ObjectKind } from '../declarations/schemas.js';
 import type { StreamRecord } from '../streams/record.js';
 
-/** Kind of the record that carries a change set. */
+/** Kind of the records that contain a change set. */
 export const CONFIG_CHANGE_KIND = 'config.change';
 
 /**
- * Version of the rules by which change sets are judged. It grows with every change of a
- * schema or rule, so that hosts of two versions never judge one record differently.
+ * Version of the rules for validating change sets. It is incremented with every change to a schema
+ * or rule, so that hosts of different versions never reach different verdicts on the same record.
  */
 export const CONFIG_RULES = 1;
 
-/** Changes of one set. */
+/** Maximum number of changes in a set. */
 export const MAX_CHANGES = 500;
-/** Characters of one declaration in JSON. */
+/** Maximum size of a declaration as JSON. */
 export const MAX_DECLARATION_CHARS = 16 * 1024;
-/** Characters of one change set in JSON; a record must fit into a batch of the log. */
+/** Maximum size of a change set as JSON, since a record must fit into a batch of the log. */
 export const MAX_CHANGE_SET_CHARS = 192 * 1024;
-/** Objects of the whole configuration. */
+/** Maximum number of objects in the configuration. */
 export const MAX_OBJECTS = 10_000;
-/** Characters of the whole configuration in JSON. */
+/** Maximum size of the whole configuration as JSON. */
 export const MAX_CONFIG_CHARS = 4 * 1024 * 1024;
 
-/** Kinds of objects. */
+/** All kinds of configuration objects. */
 export const OBJECT_KINDS = [
   'service',
   'team',
@@ -34,29 +34,29 @@
   'worker',
 ] as const satisfies readonly ObjectKind[];
 
-/** A change as an operator proposes it, not yet checked. */
+/** A change proposed by an operator, not yet validated. */
 export interface ProposedChange {
   readonly kind: string;
   readonly name: string;
-  /** Version of the object that the change is based on; 0 to create. */
+  /** Version of the object on which the change is based; 0 to create the object. */
   readonly baseVersion: number;
-  /** A new declaration, or null to delete the object. */
+  /** The new declaration, or null to delete the object. */
   readonly declaration: unknown;
 }
 
-/** A checked change. */
+/** A validated change. */
 export interface ConfigChange extends ProposedChange {
   readonly kind: ObjectKind;
   readonly declaration: ConfigObject | null;
 }
 
-/** Changes that are accepted or refused together; a retry carries the same id. */
+/** Changes that are accepted or rejected together; a retry has the same id. */
 export interface ChangeSet {
   readonly id: string;
   readonly changes: readonly ProposedChange[];
 }
 
-/** Schema of a change set's record body; declarations are checked one by one. */
+/** Schema of the body of a change set's record; declarations are validated separately, one by one. */
 export const changeSetBodySchema = z.object({
   rules: z.int().positive(),
   changes: z
@@ -72,7 +72,7 @@
     .max(MAX_CHANGES),
 });
 
-/** Returns the record of a change set. */
+/** Returns the record that writes a change set to the stream. */
 export function changeSetRecord(set: ChangeSet): StreamRecord {
   return {
     id: set.id,
--- a/packages/domain/src/config/diff.ts
+++ b/packages/domain/src/config/diff.ts
@@ -1,17 +1,17 @@
-/** Differences between declarations and the configuration in force. */
+/** Compares declarations with the configuration in force. */
 import type { ConfigObject } from '../declarations/schemas.js';
 import type { ConfigChange } from './change-set.js';
 import { joinPath } from '../core/problem.js';
 import { objectKey, type ConfigState, type ObjectKey } from './state.js';
 
-/** A field that differs; undefined where it is missing. */
+/** A field that differs; a missing value is undefined. */
 export interface FieldDifference {
   readonly path: string;
   readonly before: unknown;
   readonly after: unknown;
 }
 
-/** An object that differs, and the change that would make it as declared. */
+/** An object that differs from its declaration, and the change that would apply the declaration. */
 export interface ObjectDifference {
   readonly action: 'create' | 'update' | 'delete';
   readonly key: ObjectKey;
@@ -19,14 +19,14 @@
   readonly fields: readonly FieldDifference[];
 }
 
-/** How objects that are in force but not declared are taken. */
-export type Undeclared = 'keep' | 'delete';
+/** What happens to objects that are in force but not declared. */
+export type UndeclaredHandling = 'keep' | 'delete';
 
-/** Returns the differences from `state` to `wanted`, in order of key. */
+/** Returns the differences between `state` and the declared objects `wanted`, sorted by key. */
 export function diffObjects(
   state: ConfigState,
   wanted: readonly ConfigObject[],
-  undeclared: Undeclared = 'keep',
+  undeclared: UndeclaredHandling = 'keep',
 ): ObjectDifference[] {
   const differences = wanted.flatMap(object => diffObject(state, object));
   if (undeclared === 'delete') {
@@ -56,12 +56,12 @@
   state: ConfigState,
   wanted: readonly ConfigObject[],
 ): ObjectDifference[] {
-  const kept = new Set<string>(
+  const declaredKeys = new Set<string>(
     wanted.map(object => objectKey(object.kind, object.name)),
   );
   const differences: ObjectDifference[] = [];
   for (const [key, { object, version }] of state.objects) {
-    if (!kept.has(key)) {
+    if (!declaredKeys.has(key)) {
       const { kind, name } = object;
       const change = { kind, name, baseVersion: version, declaration: null };
       const fields = diffFields(object, undefined, '');
@@ -76,7 +76,7 @@
   after: unknown,
   path: string,
 ): FieldDifference[] {
-  if (!isBranch(before) || !isBranch(after)) {
+  if (!isPlainObject(before) || !isPlainObject(after)) {
     const isSame = JSON.stringify(before) === JSON.stringify(after);
     return isSame ? [] : [{ path, before, after }];
   }
@@ -88,6 +88,6 @@
     );
 }
 
-function isBranch(value: unknown): value is Record<string, unknown> {
+function isPlainObject(value: unknown): value is Record<string, unknown> {
   return typeof value === 'object' && value !== null && !Array.isArray(value);
 }
--- a/packages/domain/src/config/fold.test.ts
+++ b/packages/domain/src/config/fold.test.ts
@@ -77,7 +77,7 @@
     : verdict.kind;
 }
 
-test('of two changes on one base the first wins', () => {
+test('the first of two changes with the same base version wins', () => {
   const ledger = createConfigLedger();
   const kinds = kindsOf(ledger, [
     [set('a', put(team('core')))],
@@ -92,7 +92,7 @@
   assert.equal(ledger.state().objects.get('team/core')?.version, 1);
 });
 
-test('a change set is taken whole or not at all', () => {
+test('an invalid change rejects the whole change set', () => {
   const { state } = applyConfigRecord(
     EMPTY_CONFIG,
     set('a', put(team('core')), put(service('web', { team: 'none' }))),
@@ -101,7 +101,7 @@
   assert.equal(state.objects.size, 0);
 });
 
-test('verdicts name the place', () => {
+test('verdicts contain the path of the problem', () => {
   const based = applyConfigRecord(
     EMPTY_CONFIG,
     set(
@@ -113,7 +113,7 @@
     ),
     4,
   ).state;
-  const gone = {
+  const deletion = {
     kind: 'team',
     name: 'core',
     baseVersion: 4,
@@ -125,7 +125,10 @@
     errorOf(based, set('b', put(team('core', 2), 3))),
     'conflict at changes[0]',
   );
-  assert.equal(errorOf(based, set('b', gone)), 'invalid at service/web.team');
+  assert.equal(
+    errorOf(based, set('b', deletion)),
+    'invalid at service/web.team',
+  );
   assert.equal(
     errorOf(based, set('b', put(broken))),
     'invalid at changes[0].declaration.weight',
@@ -157,22 +160,22 @@
   );
 });
 
-test('verdicts do not depend on the order in which objects came', () => {
+test('verdicts do not depend on the order in which objects were created', () => {
   const live = createConfigLedger();
   const first = set('a', put(team('core')), put(service('web')));
-  const gone = { ...put(team('core'), 1), declaration: null };
+  const deletion = { ...put(team('core'), 1), declaration: null };
   live.fold([first, set('b', put(service('api')))], 1);
   const restored = createConfigLedger();
   restored.restore(live.capture(), 1);
   for (const ledger of [live, restored]) {
-    ledger.fold([set('c', gone)], 2);
+    ledger.fold([set('c', deletion)], 2);
   }
   const verdict = live.verdictOf('c');
   assert.equal(verdict?.kind, 'invalid');
   assert.deepEqual(restored.verdictOf('c'), verdict);
 });
 
-test('rules of a newer build stop the fold and change nothing', () => {
+test('a record that needs newer rules stops the fold and changes nothing', () => {
   const ledger = createConfigLedger();
   const newer = { id: 'n', kind: 'config.change', body: { rules: 99, any: 1 } };
   const folded = ledger.fold([set('a', put(team('core'))), newer], 1);
@@ -180,7 +183,7 @@
   assert.equal(ledger.state().offset, 0);
 });
 
-test('a captured ledger goes on alike', () => {
+test('a restored ledger continues with the same state and verdicts', () => {
   const ledger = createConfigLedger();
   kindsOf(ledger, [
     [set('a', put(team('core')))],
@@ -196,7 +199,7 @@
   assert.equal(refused.isErr && refused.error.kind, 'unsupported_record');
 });
 
-test('whole declarations are checked with their places', () => {
+test('validation of declarations reports all problems with their paths', () => {
   const { problems } = validateObjects(
     [team('core'), team('core'), { kind: 'team' }],
     ['a.json', 'b.json', 'c.json'],
@@ -213,7 +216,7 @@
   );
 });
 
-test('differences name fields and carry the base version', () => {
+test('differences contain the changed fields and the base version', () => {
   const { state } = applyConfigRecord(
     EMPTY_CONFIG,
     set('a', put(team('core')), put(team('ops'))),
@@ -242,7 +245,7 @@
   assert.deepEqual(diffObjects(state, [team('core')]), []);
 });
 
-/** A change of any kind, from few names so that rules clash. */
+/** A change to an object of any kind, with few names so that rules are often broken. */
 const anyChange = fc.record({
   object: fc.oneof(
     fc.constantFrom('core', 'ops').map(name => team(name)),
@@ -269,7 +272,7 @@
   isDeletion: fc.boolean(),
 });
 
-test('a change is judged by what it can break as by the whole', () => {
+test('checking only the rules that a change can break gives the same verdict as checking all', () => {
   fc.assert(
     fc.property(fc.array(anyChange, { maxLength: 40 }), changes => {
       let state = EMPTY_CONFIG;
@@ -307,7 +310,7 @@
   );
 });
 
-/** An operator's change: a team, a weight, and how far behind its base is. */
+/** An operator's change to a team: its new weight, or its deletion, and how many versions its base lags. */
 const operation = fc.record({
   name: fc.constantFrom('a', 'b', 'c'),
   weight: fc.integer({ min: -1, max: 3 }),
@@ -315,7 +318,7 @@
   isDeletion: fc.boolean(),
 });
 
-test('the fold agrees with a simple oracle, from any snapshot', () => {
+test('the fold agrees with a simple model, also after a restore at any point', () => {
   fc.assert(
     fc.property(
       fc.array(operation, { maxLength: 30 }),
--- a/packages/domain/src/config/fold.ts
+++ b/packages/domain/src/config/fold.ts
@@ -1,4 +1,4 @@
-/** The fold of the configuration stream: every host reaches the same verdict on every record. */
+/** Folds the configuration stream; all hosts reach the same verdict on each record. */
 import { z } from 'zod';
 
 import { appError, type AppError } from '../errors/app-error.js';
@@ -19,15 +19,15 @@
 } from './state.js';
 import { validateObject } from './validate.js';
 
-/** The verdict on one record. */
+/** The verdict on a record. */
 export type ConfigVerdict =
-  /** In force on hosts whose configuration is at `offset` or beyond. */
+  /** In force on all hosts whose configuration has reached `offset`. */
   | { readonly kind: 'accepted'; readonly offset: number }
   | { readonly kind: 'conflict'; readonly error: AppError }
   | { readonly kind: 'invalid'; readonly error: AppError }
-  /** Judged by newer rules than this build has: the fold must stop here. */
+  /** Needs newer rules than this build has; the fold must stop here. */
   | { readonly kind: 'unsupported'; readonly error: AppError }
-  /** Not a change of the configuration, such as a chunk of a snapshot. */
+  /** Not a change set; a chunk of a snapshot, for example. */
   | { readonly kind: 'ignored' };
 
 /** The verdict on a record and the state after it. */
@@ -42,8 +42,8 @@
 export const EMPTY_CONFIG: ConfigState = { offset: 0, objects: new Map() };
 
 /**
- * Judges a record of the entry before offset `next`; the state is unchanged unless it is accepted.
- * What it writes gets version `next`, so that no version is 0, which means no object.
+ * Applies a record of the entry before offset `next`; the state changes only if the record is accepted.
+ * Objects that it writes get version `next`, which is never 0, since version 0 means that there is no object.
  */
 export function applyConfigRecord(
   state: ConfigState,
@@ -53,18 +53,18 @@
   if (record.kind !== CONFIG_CHANGE_KIND) {
     return { verdict: { kind: 'ignored' }, state };
   }
-  const newer = newerRules(record);
+  const newer = newerRulesError(record);
   if (newer !== undefined) {
     return { verdict: { kind: 'unsupported', error: newer }, state };
   }
   const body = changeSetBodySchema.safeParse(record.body);
   if (!body.success) {
-    return invalid(state, issuesOf(body.error));
+    return invalidOutcome(state, problemsIn(body.error));
   }
   return applyChanges(state, body.data, record, next);
 }
 
-function newerRules(record: StreamRecord): AppError | undefined {
+function newerRulesError(record: StreamRecord): AppError | undefined {
   const head = z.object({ rules: z.int().positive() }).safeParse(record.body);
   if (!head.success || head.data.rules <= CONFIG_RULES) {
     return undefined;
@@ -75,7 +75,7 @@
   );
 }
 
-function issuesOf(error: z.ZodError): Problem[] {
+function problemsIn(error: z.ZodError): Problem[] {
   return error.issues.map(issue => ({
     path: joinPath('', issue.path),
     message: issue.message,
@@ -90,9 +90,9 @@
 ): ConfigOutcome {
   if (JSON.stringify(record).length > MAX_CHANGE_SET_CHARS) {
     const message = `is larger than ${MAX_CHANGE_SET_CHARS} characters`;
-    return invalid(state, [{ path: 'changes', message }]);
+    return invalidOutcome(state, [{ path: 'changes', message }]);
   }
-  const conflict = conflictOf(state, body);
+  const conflict = findConflict(state, body);
   if (conflict !== undefined) {
     return { verdict: { kind: 'conflict', error: conflict }, state };
   }
@@ -101,11 +101,11 @@
     applyChange(objects, change, `changes[${index}]`, next),
   );
   if (problems.length > 0) {
-    return invalid(state, problems);
+    return invalidOutcome(state, problems);
   }
-  const crossing = problemsAfter(state, objects, body.changes);
-  if (crossing.length > 0) {
-    return invalid(state, crossing);
+  const ruleViolations = problemsAfter(state, objects, body.changes);
+  if (ruleViolations.length > 0) {
+    return invalidOutcome(state, ruleViolations);
   }
   return {
     verdict: { kind: 'accepted', offset: next },
@@ -113,7 +113,7 @@
   };
 }
 
-function conflictOf(state: ConfigState, body: Body): AppError | undefined {
+function findConflict(state: ConfigState, body: Body): AppError | undefined {
   const seen = new Set<ObjectKey>();
   for (const [index, change] of body.changes.entries()) {
     const key = objectKey(change.kind, change.name);
@@ -125,16 +125,20 @@
       });
     }
     if (current !== change.baseVersion) {
-      return appError('conflict', staleBase(key, change.baseVersion, current), {
-        path,
-      });
+      return appError(
+        'conflict',
+        staleBaseMessage(key, change.baseVersion, current),
+        {
+          path,
+        },
+      );
     }
     seen.add(key);
   }
   return undefined;
 }
 
-function staleBase(key: string, base: number, current: number): string {
+function staleBaseMessage(key: string, base: number, current: number): string {
   const present =
     current === 0 ? 'does not exist now' : `is at version ${current} now`;
   const basis = base === 0 ? 'would create it' : `was based on version ${base}`;
@@ -153,10 +157,10 @@
       ? []
       : [{ path, message: `${key} does not exist` }];
   }
-  const place = `${path}.declaration`;
+  const declarationPath = `${path}.declaration`;
   const { objects: valid, problems } = validateObject(
     change.declaration,
-    place,
+    declarationPath,
   );
   const object = valid[0];
   if (object === undefined) {
@@ -164,13 +168,15 @@
   }
   if (object.kind !== change.kind || object.name !== change.name) {
     const found = objectKey(object.kind, object.name);
-    return [{ path: place, message: `declares ${found}, not ${key}` }];
+    return [
+      { path: declarationPath, message: `declares ${found}, not ${key}` },
+    ];
   }
   objects.set(key, { object, version });
   return [];
 }
 
-function invalid(
+function invalidOutcome(
   state: ConfigState,
   problems: readonly Problem[],
 ): ConfigOutcome {
--- a/packages/domain/src/config/ledger.ts
+++ b/packages/domain/src/config/ledger.ts
@@ -1,4 +1,4 @@
-/** The configuration with what a host needs to go on from it: verdicts and known record ids. */
+/** The folded configuration together with the recent verdicts by record id, as a host needs it to continue. */
 import { Result } from 'true-myth';
 import { z } from 'zod';
 
@@ -16,28 +16,29 @@
   type VersionedObject,
 } from './state.js';
 
-/** Verdicts remembered, so that a retry through another host gets the same answer. */
+/** Number of verdicts that are kept, so that a retry through another host gets the same answer. */
 export const REMEMBERED_VERDICTS = 256;
 
-/** A verdict as remembered: accepted at an offset, or refused. */
+/** A verdict that is kept: accepted at an offset, or rejected. */
 export type KnownVerdict = Exclude<
   ConfigVerdict,
   { kind: 'ignored' } | { kind: 'unsupported' }
 >;
 
-/** The configuration stream folded up to some offset. */
+/** Folds the configuration stream and keeps the recent verdicts. */
 export interface ConfigLedger {
+  /** Returns the configuration after the last folded entry. */
   state(): ConfigState;
-  /** Verdict on a change set, while it is remembered. */
+  /** Returns the verdict on a change set, or undefined if it is not known or no longer kept. */
   verdictOf(id: string): KnownVerdict | undefined;
-  /** Folds the new records of one entry; fails with `unsupported_record` and changes nothing. */
+  /** Folds the new records of one entry; on `unsupported_record` it fails and changes nothing. */
   fold(
     records: readonly StreamRecord[],
     next: number,
   ): Result<readonly ConfigVerdict[], AppError>;
-  /** Text of the present state, the same on every host at this offset. */
+  /** Serializes the current state; the text is the same on all hosts at this offset. */
   capture(): string;
-  /** Takes over a captured state; fails with `invalid`, or `unsupported_record` by newer rules. */
+  /** Restores a captured state; fails with `invalid`, or with `unsupported_record` if it needs newer rules. */
   restore(text: string, offset: number): Result<ConfigState, AppError>;
 }
 
@@ -63,7 +64,7 @@
 
 type Snapshot = z.output<typeof snapshotSchema>;
 
-/** Creates a ledger before the first entry. */
+/** Creates a ledger with the empty configuration. */
 export function createConfigLedger(): ConfigLedger {
   let state = EMPTY_CONFIG;
   let verdicts = new Map<string, KnownVerdict>();
@@ -72,21 +73,21 @@
     records: readonly StreamRecord[],
     next: number,
   ): Result<readonly ConfigVerdict[], AppError> {
-    const reached: ConfigVerdict[] = [];
-    const known = new Map(verdicts);
-    let objects = state;
+    const newVerdicts: ConfigVerdict[] = [];
+    const keptVerdicts = new Map(verdicts);
+    let folded = state;
     for (const record of records) {
-      const outcome = applyConfigRecord(objects, record, next);
+      const outcome = applyConfigRecord(folded, record, next);
       if (outcome.verdict.kind === 'unsupported') {
         return Result.err(outcome.verdict.error);
       }
-      objects = outcome.state;
-      reached.push(outcome.verdict);
-      remember(known, record.id, outcome.verdict);
+      folded = outcome.state;
+      newVerdicts.push(outcome.verdict);
+      rememberVerdict(keptVerdicts, record.id, outcome.verdict);
     }
-    state = { offset: next, objects: objects.objects };
-    verdicts = known;
-    return Result.ok(reached);
+    state = { offset: next, objects: folded.objects };
+    verdicts = keptVerdicts;
+    return Result.ok(newVerdicts);
   }
 
   function restore(
@@ -97,7 +98,7 @@
     if (parsed.isErr) {
       return Result.err(parsed.error);
     }
-    state = { offset, objects: objectsIn(parsed.value) };
+    state = { offset, objects: objectsOfSnapshot(parsed.value) };
     verdicts = new Map(parsed.value.verdicts as [string, KnownVerdict][]);
     return Result.ok(state);
   }
@@ -106,12 +107,12 @@
     state: () => state,
     verdictOf: id => verdicts.get(id),
     fold,
-    capture: () => captureOf(state, verdicts),
+    capture: () => serialize(state, verdicts),
     restore,
   };
 }
 
-function remember(
+function rememberVerdict(
   known: Map<string, KnownVerdict>,
   id: string,
   verdict: ConfigVerdict,
@@ -126,7 +127,7 @@
   }
 }
 
-function captureOf(
+function serialize(
   state: ConfigState,
   verdicts: ReadonlyMap<string, KnownVerdict>,
 ): string {
@@ -158,7 +159,9 @@
       );
 }
 
-function objectsIn(snapshot: Snapshot): Map<ObjectKey, VersionedObject> {
+function objectsOfSnapshot(
+  snapshot: Snapshot,
+): Map<ObjectKey, VersionedObject> {
   return new Map(
     snapshot.objects.map(({ object, version }) => [
       objectKey(object.kind, object.name),
--- a/packages/domain/src/config/rules.ts
+++ b/packages/domain/src/config/rules.ts
@@ -1,4 +1,4 @@
-/** Rules that hold between the objects of a configuration. */
+/** Rules between the objects of a configuration, such as references and uniqueness. */
 import type {
   ConfigObject,
   ObjectKind,
@@ -20,22 +20,22 @@
 
 const ALL_KINDS: ReadonlySet<ObjectKind> = new Set(OBJECT_KINDS);
 
-/** Returns what is wrong between `objects`, each of which is valid by itself. */
+/** Checks all rules between `objects`, each of which is valid by itself, and the size of the whole. */
 export function crossProblems(objects: Iterable<ConfigObject>): Problem[] {
   const all = [...objects];
-  const chars = all.reduce((sum, object) => sum + charsOf(object), 0);
+  const chars = all.reduce((sum, object) => sum + jsonChars(object), 0);
   return [...sizeProblems(all.length, chars), ...ruleProblems(all, ALL_KINDS)];
 }
 
 /**
- * Returns what is wrong by the rules that a change of the kinds `changed` may have broken;
- * the problems are in the same order whatever the order of `objects`.
+ * Checks the rules that a change to objects of the kinds `changed` may have broken.
+ * The order of the problems does not depend on the order of `objects`.
  */
 export function ruleProblems(
   objects: Iterable<ConfigObject>,
   changed: ReadonlySet<ObjectKind>,
 ): Problem[] {
-  const grouped = group(objects);
+  const grouped = groupByKind(objects);
   const hasTeamChange = changed.has('service') || changed.has('team');
   return [
     ...(hasTeamChange ? teamProblems(grouped) : []),
@@ -45,7 +45,7 @@
   ];
 }
 
-function group(objects: Iterable<ConfigObject>): Grouped {
+function groupByKind(objects: Iterable<ConfigObject>): Grouped {
   const grouped: Grouped = {
     services: [],
     teams: [],
@@ -78,7 +78,7 @@
   }
 }
 
-/** Returns what is wrong with a configuration of so many objects and characters. */
+/** Returns the problems of a configuration with too many objects or characters. */
 export function sizeProblems(count: number, chars: number): Problem[] {
   const problems: Problem[] = [];
   if (count > MAX_OBJECTS) {
@@ -92,8 +92,8 @@
   return problems;
 }
 
-/** Returns the characters of an object in JSON. */
-export function charsOf(object: ConfigObject): number {
+/** Returns the number of characters of an object as JSON. */
+export function jsonChars(object: ConfigObject): number {
   return JSON.stringify(object).length;
 }
 
@@ -108,7 +108,7 @@
 }
 
 function routeProblems(services: readonly ServiceSpec[]): Problem[] {
-  return clashes(
+  return findDuplicates(
     services,
     ({ name, route }) => [`${route.host ?? name}${route.pathPrefix}`],
     (service, other, route) => ({
@@ -119,7 +119,7 @@
 }
 
 function shardProblems(shards: readonly ShardSpec[]): Problem[] {
-  return clashes(
+  return findDuplicates(
     shards,
     ({ availabilityZone, racks }) =>
       racks.map(rack => `${availabilityZone}/${rack}`),
@@ -130,8 +130,8 @@
   );
 }
 
-/** Finds values that two of `objects` hold; the first holder in order of name is kept. */
-function clashes<T extends { readonly name: string }>(
+/** Reports values that several objects have; the first object by name keeps the value, and the others get a problem. */
+function findDuplicates<T extends { readonly name: string }>(
   objects: readonly T[],
   valuesOf: (object: T) => readonly string[],
   problem: (object: T, holder: T, value: string) => Problem,
@@ -156,9 +156,11 @@
   const problems: Problem[] = [];
   for (const policy of byName(policies)) {
     const others = byOrder.get(policy.order) ?? [];
-    const rival = others.find(other => !areDisjoint(other.work, policy.work));
-    if (rival !== undefined) {
-      const message = `policy ${rival.name} has the same order and may match the same work`;
+    const conflicting = others.find(
+      other => !areDisjoint(other.work, policy.work),
+    );
+    if (conflicting !== undefined) {
+      const message = `policy ${conflicting.name} has the same order and may match the same work`;
       problems.push({ path: `policy/${policy.name}.order`, message });
     }
     byOrder.set(policy.order, [...others, policy]);
--- a/packages/domain/src/config/selector-overlap.ts
+++ b/packages/domain/src/config/selector-overlap.ts
@@ -1,21 +1,21 @@
-/** Whether two selectors can match the same work. */
+/** Checks whether two selectors can match the same work. */
 import type { Selector } from '../declarations/schemas.js';
 
-/** What a selector requires of one label. */
+/** Requirements of a selector for one label. */
 interface Requirement {
-  /** Values that are allowed; undefined when any is. */
+  /** Allowed values; undefined if all are allowed. */
   readonly allowed: ReadonlySet<string> | undefined;
   readonly denied: ReadonlySet<string>;
   readonly isPresent: boolean;
   readonly isAbsent: boolean;
 }
 
-/** Tells whether no labels can match both; errs towards false. */
+/** Tells whether no labels can match both selectors; may return false for selectors that are disjoint. */
 export function areDisjoint(a: Selector, b: Selector): boolean {
   return labelsOf(a).some(
     label =>
       labelsOf(b).includes(label) &&
-      exclude(requirementOf(a, label), requirementOf(b, label)),
+      areExclusive(requirementOf(a, label), requirementOf(b, label)),
   );
 }
 
@@ -38,11 +38,11 @@
   const denied = conditions
     .filter(condition => condition.operator === 'not_in')
     .flatMap(condition => condition.values);
-  const isExisting = conditions.some(each => each.operator === 'exists');
+  const mustExist = conditions.some(each => each.operator === 'exists');
   return {
     allowed: sets.length === 0 ? undefined : intersection(sets),
     denied: new Set(denied),
-    isPresent: sets.length > 0 || isExisting,
+    isPresent: sets.length > 0 || mustExist,
     isAbsent: conditions.some(condition => condition.operator === 'absent'),
   };
 }
@@ -52,7 +52,7 @@
   return new Set(first.filter(value => rest.every(set => set.includes(value))));
 }
 
-function exclude(a: Requirement, b: Requirement): boolean {
+function areExclusive(a: Requirement, b: Requirement): boolean {
   if ((a.isAbsent && b.isPresent) || (a.isPresent && b.isAbsent)) {
     return true;
   }
--- a/packages/domain/src/config/state.ts
+++ b/packages/domain/src/config/state.ts
@@ -1,7 +1,7 @@
-/** The configuration in force: the fold's state over the configuration stream. */
+/** The configuration in force, which is the folded state of the configuration stream. */
 import type { ConfigObject, ObjectKind } from '../declarations/schemas.js';
 
-/** An object and its version: the offset after the entry that wrote it, never 0. */
+/** An object and its version, which is the offset after the entry that wrote it and never 0. */
 export interface VersionedObject {
   readonly object: ConfigObject;
   readonly version: number;
@@ -10,7 +10,7 @@
 /** Key of an object: `kind/name`. */
 export type ObjectKey = `${ObjectKind}/${string}`;
 
-/** The configuration after every entry before `offset`. */
+/** The configuration after all entries before `offset`. */
 export interface ConfigState {
   readonly offset: number;
   readonly objects: ReadonlyMap<ObjectKey, VersionedObject>;
@@ -21,7 +21,7 @@
   return `${kind}/${name}`;
 }
 
-/** Returns the objects of one kind, in order of name. */
+/** Returns the objects of one kind, sorted by name. */
 export function objectsOf<K extends ObjectKind>(
   state: ConfigState,
   kind: K,
--- a/packages/domain/src/config/validate.ts
+++ b/packages/domain/src/config/validate.ts
@@ -1,24 +1,24 @@
-/** Checks of declarations, one by one and together. */
+/** Validates declarations, both individually and as a whole configuration. */
 import { parseObject } from '../declarations/parse.js';
 import type { ConfigObject } from '../declarations/schemas.js';
-import { charsOf, crossProblems } from './rules.js';
+import { jsonChars, crossProblems } from './rules.js';
 import { MAX_DECLARATION_CHARS } from './change-set.js';
 import type { Problem } from '../core/problem.js';
 import { objectKey } from './state.js';
 
-/** The objects that are valid by themselves, and everything that is wrong. */
+/** The objects that are valid by themselves, and all problems. */
 export interface Validation {
   readonly objects: readonly ConfigObject[];
   readonly problems: readonly Problem[];
 }
 
-/** Checks one declaration; `path` is its place in the input. */
+/** Validates one declaration; `path` is its path in the input. */
 export function validateObject(input: unknown, path: string): Validation {
   const parsed = parseObject(input, path);
   if (parsed.isErr) {
     return { objects: [], problems: parsed.error };
   }
-  const chars = charsOf(parsed.value);
+  const chars = jsonChars(parsed.value);
   if (chars > MAX_DECLARATION_CHARS) {
     const message = `${chars} characters, at most ${MAX_DECLARATION_CHARS} are kept`;
     return { objects: [], problems: [{ path, message }] };
@@ -27,8 +27,8 @@
 }
 
 /**
- * Checks declarations as a whole configuration: each by the schema, at `paths[i]` or `[i]`,
- * and then the rules between those that are valid.
+ * Validates declarations as a whole configuration: each against its schema, with problems at `paths[i]`
+ * or `[i]`, and, if all are valid, the rules between them.
  */
 export function validateObjects(
   inputs: readonly unknown[],
@@ -43,14 +43,14 @@
     objects,
     problems: [
       ...problems,
-      ...repeated(objects),
-      // A broken object would be missed by those that refer to it.
+      ...duplicateProblems(objects),
+      // An invalid object would be missing, so that references to it would be reported as well.
       ...(problems.length === 0 ? crossProblems(objects) : []),
     ],
   };
 }
 
-function repeated(objects: readonly ConfigObject[]): Problem[] {
+function duplicateProblems(objects: readonly ConfigObject[]): Problem[] {
   const seen = new Set<string>();
   const problems: Problem[] = [];
   for (const object of objects) {
--- a/packages/domain/src/declarations/index.ts
+++ b/packages/domain/src/declarations/index.ts
@@ -1,4 +1,4 @@
-/** Declarations of operators and their selectors. */
+/** Operator declarations and their label selectors. */
 export * from './parse.js';
 export * from './schemas.js';
 export * from './selector.js';
--- a/packages/domain/src/declarations/parse.ts
+++ b/packages/domain/src/declarations/parse.ts
@@ -1,4 +1,4 @@
-/** Checked reading of declarations, with the place of each fault. */
+/** Parses and validates declarations; problems are reported with their paths. */
 import { Result } from 'true-myth';
 import type { z } from 'zod';
 
@@ -10,7 +10,7 @@
   type JobSpec,
 } from './schemas.js';
 
-/** Reads one configuration object; fails with every problem. */
+/** Parses a configuration object; fails with all problems found. */
 export function parseObject(
   value: unknown,
   path = '',
@@ -18,7 +18,7 @@
   return parseWith(objectSchema, value, path);
 }
 
-/** Reads a job's declaration; fails with every problem. */
+/** Parses a job declaration; fails with all problems found. */
 export function parseJob(
   value: unknown,
   path = '',
@@ -26,7 +26,7 @@
   return parseWith(jobSchema, value, path);
 }
 
-/** Checks `value` by `schema`; each problem tells its place, what is expected and what is found. */
+/** Validates `value` against `schema`; each problem has its path, what was expected and what was found. */
 export function parseWith<T>(
   schema: z.ZodType<T>,
   value: unknown,
@@ -41,7 +41,7 @@
   );
 }
 
-const MAX_SHOWN_VALUE = 60;
+const MAX_SHOWN_VALUE_CHARS = 60;
 
 function problemOf(
   issue: z.core.$ZodIssue,
@@ -69,7 +69,7 @@
     return 'nothing';
   }
   const text = JSON.stringify(value);
-  return text.length > MAX_SHOWN_VALUE
-    ? `${text.slice(0, MAX_SHOWN_VALUE)}…`
+  return text.length > MAX_SHOWN_VALUE_CHARS
+    ? `${text.slice(0, MAX_SHOWN_VALUE_CHARS)}…`
     : text;
 }
--- a/packages/domain/src/declarations/schemas.ts
+++ b/packages/domain/src/declarations/schemas.ts
@@ -14,7 +14,7 @@
     'expected 1 to 63 lower-case letters, digits, ".", "-" or "_", with a letter or digit at each end',
   );
 
-/** Schema of labels: at most 32 pairs of short strings. */
+/** Schema of labels: at most 32 key-value pairs of short strings. */
 export const labelsSchema = z
   .record(z.string().min(1).max(63), z.string().max(63))
   .refine(
@@ -29,7 +29,7 @@
   values: z.array(z.string().max(63)).max(64).default([]),
 });
 
-/** Schema of a selector: all equalities and conditions must hold; an empty one selects everything. */
+/** Schema of a selector: all its labels and conditions must match; an empty selector matches everything. */
 export const selectorSchema = z.strictObject({
   labels: labelsSchema.default({}),
   conditions: z.array(conditionSchema).max(16).default([]),
@@ -121,7 +121,7 @@
   objective: objectiveSchema,
 });
 
-/** Schema of a job: tasks of one size that run to their end. */
+/** Schema of a job: tasks of the same size that run to completion. */
 export const jobSchema = z.strictObject({
   kind: z.literal('job'),
   name: nameSchema,
@@ -147,7 +147,7 @@
     ),
 });
 
-/** Schema of a team and its quota of running work. */
+/** Schema of a team and its quota for running work. */
 export const teamSchema = z.strictObject({
   kind: z.literal('team'),
   name: nameSchema,
@@ -159,7 +159,7 @@
     .describe('Share in fair ordering relative to other teams.'),
 });
 
-/** Schema of a policy: the class of the work that a selector matches. */
+/** Schema of a policy: the class, priority and eviction terms of the work that its selector matches. */
 export const policySchema = z.strictObject({
   kind: z.literal('policy'),
   name: nameSchema,
@@ -180,7 +180,7 @@
     .describe('Evictions allowed per task and hour.'),
 });
 
-/** Schema of a shard: the workers that one owner schedules. */
+/** Schema of a shard: a group of racks whose workers are scheduled by one owner. */
 export const shardSchema = z.strictObject({
   kind: z.literal('shard'),
   name: nameSchema,
@@ -189,7 +189,7 @@
   racks: z.array(nameSchema).min(1).max(64),
 });
 
-/** Schema of the weights of a deployment. */
+/** Schema of a deployment's weights, which trade off tail latency, batch throughput and evictions. */
 export const weightsSchema = z.strictObject({
   kind: z.literal('weights'),
   name: z.literal('default'),
@@ -205,7 +205,7 @@
   drained: z.boolean().default(false),
 });
 
-/** Schema of any object of the configuration; jobs are submitted, not configured. */
+/** Schema of a configuration object of any kind; jobs are not among them, since they are submitted. */
 export const objectSchema = z.discriminatedUnion('kind', [
   serviceSchema,
   teamSchema,
--- a/packages/domain/src/declarations/selector.test.ts
+++ b/packages/domain/src/declarations/selector.test.ts
@@ -8,14 +8,14 @@
   assert.equal(matches(selectorSchema.parse({}), { tier: 'web' }), true);
 });
 
-test('equality needs the same value', () => {
+test('a selector label matches only the same value', () => {
   const selector = selectorSchema.parse({ labels: { tier: 'web' } });
   assert.equal(matches(selector, { tier: 'web', az: 'salem' }), true);
   assert.equal(matches(selector, { tier: 'batch' }), false);
   assert.equal(matches(selector, {}), false);
 });
 
-test('conditions', () => {
+test('conditions match by their operators', () => {
   const condition = (operator: string, values: string[] = []) =>
     selectorSchema.parse({ conditions: [{ label: 'az', operator, values }] });
   assert.equal(matches(condition('in', ['salem']), { az: 'salem' }), true);
@@ -26,7 +26,7 @@
   assert.equal(matches(condition('absent'), { az: '' }), false);
 });
 
-test('first policy by order decides', () => {
+test('the matching policy with the lowest order applies', () => {
   const policy = (name: string, order: number, priority: string) =>
     policySchema.parse({
       kind: 'policy',
--- a/packages/domain/src/declarations/selector.ts
+++ b/packages/domain/src/declarations/selector.ts
@@ -1,19 +1,21 @@
-/** Matching of labels by selectors. */
+/** Matches labels against selectors. */
 import type { PolicySpec, Selector } from './schemas.js';
 
 type Labels = Readonly<Record<string, string>>;
 
-/** Tells whether every equality and condition of `selector` holds for `labels`. */
+/** Tells whether all labels and conditions of `selector` match `labels`. */
 export function matches(selector: Selector, labels: Labels): boolean {
   for (const [label, value] of Object.entries(selector.labels)) {
     if (labels[label] !== value) {
       return false;
     }
   }
-  return selector.conditions.every(condition => holds(condition, labels));
+  return selector.conditions.every(condition =>
+    conditionHolds(condition, labels),
+  );
 }
 
-function holds(
+function conditionHolds(
   condition: Selector['conditions'][number],
   labels: Labels,
 ): boolean {
@@ -30,7 +32,7 @@
   }
 }
 
-/** Class of work that no policy matches. */
+/** Policy for work that no declared policy matches. */
 export const DEFAULT_POLICY: Pick<
   PolicySpec,
   'class' | 'priority' | 'preemptible' | 'evictionsPerHour'
--- a/packages/domain/src/shards/assignment.test.ts
+++ b/packages/domain/src/shards/assignment.test.ts
@@ -17,14 +17,14 @@
   }));
 }
 
-function moved(
+function countMoved(
   before: ReadonlyMap<string, string>,
   after: ReadonlyMap<string, string>,
 ): number {
   return [...before].filter(([shard, id]) => after.get(shard) !== id).length;
 }
 
-test('shards are owned in their availability zone, within the bound', () => {
+test('shards are assigned within their availability zone and the load bound', () => {
   const all = members(9);
   const assigned = assignShards(SHARDS, all);
   const counts = new Map<string, number>();
@@ -37,19 +37,25 @@
   assert.ok(Math.max(...counts.values()) <= Math.ceil((20 / 3) * 1.25));
 });
 
-test('a zone without members is owned from elsewhere', () => {
+test('the shards of a zone without members are assigned to other zones', () => {
   const only = members(9).filter(m => m.availabilityZone !== 'salem');
   assert.equal(assignShards(SHARDS, only).size, SHARDS.length);
 });
 
-test('nobody owns anything without members', () => {
+test('no shard is assigned without members', () => {
   assert.equal(assignShards(SHARDS, []).size, 0);
 });
 
-test('a join or leave moves few shards, all in its zone', () => {
+test('a join or leave moves few shards', () => {
   const before = assignShards(SHARDS, members(9));
   const joined = assignShards(SHARDS, members(10));
   const left = assignShards(SHARDS, members(8));
-  assert.ok(moved(before, joined) <= 10, `join moved ${moved(before, joined)}`);
-  assert.ok(moved(before, left) <= 12, `leave moved ${moved(before, left)}`);
+  assert.ok(
+    countMoved(before, joined) <= 10,
+    `join moved ${countMoved(before, joined)}`,
+  );
+  assert.ok(
+    countMoved(before, left) <= 12,
+    `leave moved ${countMoved(before, left)}`,
+  );
 });
--- a/packages/domain/src/shards/assignment.ts
+++ b/packages/domain/src/shards/assignment.ts
@@ -1,4 +1,7 @@
-/** Which member should own which shard: rendezvous hashing with bounded loads, near first. */
+/**
+ * Assigns shards to members by rendezvous hashing with bounded loads; members in the shard's
+ * availability zone are preferred.
+ */
 import { rendezvousOrder } from '../core/random.js';
 
 /** A process that may own shards. */
@@ -7,71 +10,71 @@
   readonly availabilityZone: string;
 }
 
-/** A shard and where its workers are. */
-export interface ShardPlace {
+/** A shard and the availability zone of its workers. */
+export interface ShardLocation {
   readonly name: string;
   readonly availabilityZone: string;
 }
 
-/** How far over the mean a member's count of shards may go. */
-const LOAD_BOUND = 1.25;
+/** Largest ratio of a member's number of shards to the mean. */
+const MAX_LOAD_RATIO = 1.25;
 
-/** Returns the members in the order in which they should own `shard`; those of its zone come first. */
-export function ownerOrder(
-  shard: ShardPlace,
+/** Returns the members in the order in which they are preferred as owner of `shard`, its own zone first. */
+export function rankOwners(
+  shard: ShardLocation,
   members: readonly ShardMember[],
 ): string[] {
-  const near = members.filter(
+  const sameZone = members.filter(
     member => member.availabilityZone === shard.availabilityZone,
   );
-  const far = members.filter(
+  const otherZones = members.filter(
     member => member.availabilityZone !== shard.availabilityZone,
   );
   return [
     ...rendezvousOrder(
       shard.name,
-      near.map(member => member.id),
+      sameZone.map(member => member.id),
     ),
     ...rendezvousOrder(
       shard.name,
-      far.map(member => member.id),
+      otherZones.map(member => member.id),
     ),
   ];
 }
 
 /**
- * Returns the member that should own each shard, by shard; the same on every host with the same members.
- * A member that joins or leaves moves about its own share of the shards of its availability zone.
+ * Returns the member that should own each shard, by shard name. Hosts that know the same members get the
+ * same result. A member that joins or leaves moves about its own share of the shards of its availability zone.
  */
 export function assignShards(
-  shards: readonly ShardPlace[],
+  shards: readonly ShardLocation[],
   members: readonly ShardMember[],
 ): Map<string, string> {
   const assigned = new Map<string, string>();
   const zones = new Set(shards.map(shard => shard.availabilityZone));
   for (const zone of zones) {
     const group = shards.filter(shard => shard.availabilityZone === zone);
-    const near = members.filter(member => member.availabilityZone === zone);
-    const candidates = near.length > 0 ? near : members;
+    const sameZone = members.filter(member => member.availabilityZone === zone);
+    const candidates = sameZone.length > 0 ? sameZone : members;
     assignGroup(group, candidates, assigned);
   }
   return assigned;
 }
 
 function assignGroup(
-  shards: readonly ShardPlace[],
+  shards: readonly ShardLocation[],
   members: readonly ShardMember[],
   assigned: Map<string, string>,
 ): void {
-  const bound = Math.ceil((shards.length / members.length) * LOAD_BOUND);
+  const maxCount = Math.ceil((shards.length / members.length) * MAX_LOAD_RATIO);
   const counts = new Map<string, number>();
   const ordered = [...shards].sort((a, b) => (a.name < b.name ? -1 : 1));
   for (const shard of ordered) {
-    const order = ownerOrder(shard, members);
-    const choice = order.find(id => (counts.get(id) ?? 0) < bound);
-    if (choice !== undefined) {
-      counts.set(choice, (counts.get(choice) ?? 0) + 1);
-      assigned.set(shard.name, choice);
+    const order = rankOwners(shard, members);
+    const owner = order.find(id => (counts.get(id) ?? 0) < maxCount);
+    if (owner !== undefined) {
+      counts.set(owner, (counts.get(owner) ?? 0) + 1);
+      assigned.set(shard.name, owner);
     }
   }
 }
--- a/packages/domain/src/shards/decide.test.ts
+++ b/packages/domain/src/shards/decide.test.ts
@@ -52,13 +52,13 @@
   );
 }
 
-test('members claim a free shard one after the other', () => {
+test('members may claim a free shard in order of preference', () => {
   assert.equal(claimers({}, 0).length, 1);
   assert.equal(claimers({}, 1_000).length, 2);
   assert.equal(claimers({}, 2_000).length, 3);
 });
 
-test('a lapsed lease is claimed after the margin, later while its holder is heard', () => {
+test('an expired lease is claimed after the margin, and later while its holder is alive', () => {
   const leases = heldBy('gone', 0);
   assert.equal(claimers({ leases }, 10_499).length, 0);
   assert.equal(claimers({ leases }, 10_500).length, 1);
@@ -67,7 +67,7 @@
   assert.equal(claimers({ leases, heard }, 14_500).length, 1);
 });
 
-test('nothing is claimed in an outage, nor within a lease after it', () => {
+test('no shard is claimed during an outage of the log or within one lease after it', () => {
   const leases = heldBy('gone', 0);
   const inOutage = { leases, logGoodSince: Number.POSITIVE_INFINITY };
   assert.equal(claimers(inOutage, 1e9).length, 0);
@@ -76,12 +76,12 @@
   assert.equal(claimers(after, 70_500).length, 1);
 });
 
-test('a shard moves to its place only when members and holder are settled', () => {
+test('a shard is handed over only after members and holder have been stable', () => {
   const [preferred = ''] = claimers({}, 0);
   const other = preferred === 'a' ? 'b' : 'a';
   const leases = heldBy(other, 5_000);
-  const young = decideOwnership(view(other, { leases }), 34_999);
-  assert.deepEqual(young, []);
+  const unsettled = decideOwnership(view(other, { leases }), 34_999);
+  assert.deepEqual(unsettled, []);
   const settled = decideOwnership(view(other, { leases }), 35_000);
   assert.deepEqual(settled, [{ kind: 'release', shard: 's', epoch: 1 }]);
   assert.deepEqual(
--- a/packages/domain/src/shards/decide.ts
+++ b/packages/domain/src/shards/decide.ts
@@ -1,10 +1,10 @@
-/** What one process should do about shards now: claim free ones, hand over others. */
+/** Decides which shards a process should claim, and which one it should hand over. */
 import type { Instant, Millis } from '../core/time.js';
 import {
   assignShards,
-  ownerOrder,
+  rankOwners,
   type ShardMember,
-  type ShardPlace,
+  type ShardLocation,
 } from './assignment.js';
 import {
   isHolder,
@@ -16,38 +16,38 @@
 
 /** A member as this process sees it. */
 export interface LiveMember extends ShardMember {
-  /** Since when this process has taken it for live without a break. */
+  /** Start of the uninterrupted time during which this process has considered the member live. */
   readonly liveSince: Instant;
 }
 
-/** Times of the decision. */
+/** Delays that the decision uses. */
 export interface OwnershipTiming extends LeaseMargin {
-  /** A member claims this much later for each member that is preferred to it. */
+  /** Delay of a member's claim for each member that is preferred over it. */
   readonly claimStepMs: Millis;
-  /** A holder that is heard of keeps a lapsed shard this much longer, as after an outage of the log. */
+  /** Delay of a claim while the holder of the expired lease is alive, as after an outage of the log. */
   readonly aliveGraceMs: Millis;
-  /** A shard is handed over only after members and holder have stayed the same for this long. */
+  /** Time for which members and holder must be unchanged before a shard is handed over. */
   readonly settleMs: Millis;
 }
 
-/** What the decision sees. */
+/** Input of the decision. */
 export interface OwnershipView {
   readonly self: string;
   readonly incarnation: string;
-  readonly shards: readonly ShardPlace[];
-  /** Members that may own shards, this process included unless it is stopping. */
+  readonly shards: readonly ShardLocation[];
+  /** Members that may own shards, including this process unless it is stopping. */
   readonly members: readonly LiveMember[];
-  /** Processes that are heard of, whether or not they may own shards. */
+  /** Processes that are known to be alive, whether or not they may own shards. */
   readonly heard: ReadonlySet<string>;
   readonly leases: LeaseState;
-  /** Shards that are not to be handed over; none when absent. */
+  /** Shards that must not be handed over; none if absent. */
   readonly kept?: ReadonlySet<string>;
-  /** Since when the log has answered this process without a failure. */
+  /** Start of the time during which the log has answered this process without failure; infinity in an outage. */
   readonly logGoodSince: Instant;
   readonly timing: OwnershipTiming;
 }
 
-/** A step to take. */
+/** A claim or release of a shard. */
 export type OwnershipAction =
   | { readonly kind: 'claim'; readonly shard: string; readonly epoch: number }
   | {
@@ -74,15 +74,15 @@
   return handover === undefined ? actions : [...actions, handover];
 }
 
-/** Returns when this process may claim the shard; infinity when it may not. */
+/** Returns when this process may claim the shard, or infinity if it must not. */
 function claimableAt(
   view: OwnershipView,
-  shard: ShardPlace,
+  shard: ShardLocation,
   lease: ShardLease | undefined,
   assigned: string | undefined,
 ): Instant {
   const ownRank = claimRank(view, shard, assigned);
-  if (ownRank < 0 || isOwn(view, lease)) {
+  if (ownRank < 0 || isOwnLease(view, lease)) {
     return Number.POSITIVE_INFINITY;
   }
   const wait = ownRank * view.timing.claimStepMs;
@@ -90,50 +90,53 @@
     const freeAt = lease?.observedAt ?? 0;
     return Math.max(freeAt, view.logGoodSince) + wait;
   }
-  // Renewals that an outage held back must be read before a lapse is believed.
-  const known = Math.max(lease.observedAt, view.logGoodSince);
-  const lapse = lapsesAt({ ...lease, observedAt: known }, view.timing);
+  // An outage may have delayed renewals; they must be read before the lease counts as expired.
+  const observedAt = Math.max(lease.observedAt, view.logGoodSince);
+  const expiresAt = lapsesAt({ ...lease, observedAt }, view.timing);
   const { owner } = lease.holder;
-  const heard = owner !== view.self && view.heard.has(owner);
-  return lapse + wait + (heard ? view.timing.aliveGraceMs : 0);
+  const isHolderAlive = owner !== view.self && view.heard.has(owner);
+  return expiresAt + wait + (isHolderAlive ? view.timing.aliveGraceMs : 0);
 }
 
-function isOwn(view: OwnershipView, lease: ShardLease | undefined): boolean {
+function isOwnLease(
+  view: OwnershipView,
+  lease: ShardLease | undefined,
+): boolean {
   return isHolder(lease, { owner: view.self, incarnation: view.incarnation });
 }
 
-/** Returns how many members come before this process in the order of claims, or -1. */
+/** Returns how many members may claim the shard before this process, or -1 if this process must not claim it. */
 function claimRank(
   view: OwnershipView,
-  shard: ShardPlace,
+  shard: ShardLocation,
   assigned: string | undefined,
 ): number {
   if (assigned === view.self) {
     return 0;
   }
   const others = view.members.filter(member => member.id !== assigned);
-  const rank = ownerOrder(shard, others).indexOf(view.self);
+  const rank = rankOwners(shard, others).indexOf(view.self);
   return rank < 0 ? -1 : rank + 1;
 }
 
-/** Returns the release of a shard that belongs elsewhere by now, if there is one. */
+/** Returns the release of a shard that is now assigned to another member, if there is one. */
 function decideHandover(
   view: OwnershipView,
   assigned: ReadonlyMap<string, string>,
   now: Instant,
 ): OwnershipAction | undefined {
-  const settled = view.members.every(
+  const isSettled = view.members.every(
     member => now - member.liveSince >= view.timing.settleMs,
   );
-  if (!settled || now - view.logGoodSince < view.timing.settleMs) {
+  if (!isSettled || now - view.logGoodSince < view.timing.settleMs) {
     return undefined;
   }
   for (const shard of view.shards) {
     const lease = view.leases.shards.get(shard.name);
-    const to = assigned.get(shard.name);
-    const belongsElsewhere = to !== undefined && to !== view.self;
-    const kept = view.kept?.has(shard.name) === true;
-    if (!lease || !isOwn(view, lease) || !belongsElsewhere || kept) {
+    const assignee = assigned.get(shard.name);
+    const isReassigned = assignee !== undefined && assignee !== view.self;
+    const isKept = view.kept?.has(shard.name) === true;
+    if (!lease || !isOwnLease(view, lease) || !isReassigned || isKept) {
       continue;
     }
     if (now - lease.claimedAt >= view.timing.settleMs) {
--- a/packages/domain/src/shards/index.ts
+++ b/packages/domain/src/shards/index.ts
@@ -1,4 +1,4 @@
-/** Ownership of shards by leases in the log. */
+/** Shard ownership through leases in the log. */
 export * from './assignment.js';
 export * from './decide.js';
 export * from './leases.js';
--- a/packages/domain/src/shards/leases.test.ts
+++ b/packages/domain/src/shards/leases.test.ts
@@ -50,7 +50,7 @@
   assert.equal(state.shards.get('s')?.holder?.owner, 'a');
 });
 
-test('a claim is void when its writer missed a renewal', () => {
+test('a claim is void if the claimer has not read the latest renewal', () => {
   const state = createLeaseState();
   const verdicts = apply(state, [
     claim(A, 1, 0),
@@ -66,7 +66,7 @@
   ]);
 });
 
-test('a released shard may be claimed at once, also unseen', () => {
+test('a released shard may be claimed at once, even by a claimer that has not read the release', () => {
   const state = createLeaseState();
   const verdicts = apply(state, [
     claim(A, 1, 0),
@@ -76,7 +76,7 @@
   assert.deepEqual(verdicts, ['claimed', 'released', 'claimed']);
 });
 
-test('a superseded owner neither renews nor releases', () => {
+test('a superseded owner cannot renew, release or claim again with an old epoch', () => {
   const state = createLeaseState();
   apply(state, [claim(A, 1, 0), claim(B, 2, 1)]);
   const late = [renew(A), release(A, 1), release(A, 2), claim(A, 2, 9)];
@@ -89,14 +89,14 @@
   assert.equal(state.shards.get('s')?.epoch, 2);
 });
 
-test('another start of the same host is another holder', () => {
+test('a restarted process is not the holder of its earlier leases', () => {
   const state = createLeaseState();
   const restarted = { owner: 'a', incarnation: '2' };
   const verdicts = apply(state, [claim(A, 1, 0), renew(restarted)]);
   assert.deepEqual(verdicts, ['claimed', 'not_holder']);
 });
 
-test('an observer waits from when it read the renewal, plus drift and margin', () => {
+test('a lease expires for an observer its duration, drift and margin after the renewal was read', () => {
   const state = createLeaseState();
   apply(state, [claim(A, 1, 0), renew(A)]);
   const lease = state.shards.get('s');
@@ -104,7 +104,7 @@
   assert.equal(lapsesAt(lease, MARGIN), 100 + 10_010 + 500);
 });
 
-test('a snapshot gives the same verdicts and starts the waits anew', () => {
+test('a state restored from a snapshot gives the same verdicts and restarts all waits', () => {
   const state = createLeaseState();
   apply(state, [claim(A, 1, 0), renew(A)]);
   const text = JSON.stringify(exportLeases(state));
@@ -115,7 +115,7 @@
   assert.deepEqual(apply(restored, next, 2), apply(state, next, 2));
 });
 
-test('records survive their envelope and malformed ones are named', () => {
+test('records are decoded from their envelopes and malformed ones are rejected', () => {
   const record = claim(A, 1, 0);
   const back = decodeLeaseRecord(leaseEnvelope('x', record));
   assert.deepEqual(back.unwrapOr(undefined), record);
--- a/packages/domain/src/shards/leases.ts
+++ b/packages/domain/src/shards/leases.ts
@@ -1,37 +1,37 @@
-/** The fold of the lease stream: which process holds which shard, by log order alone. */
+/** Folds the lease stream into the current holder of each shard; only the order of the log decides. */
 import type { Instant, Millis } from '../core/time.js';
 import type { Position } from '../streams/record.js';
 import type { ClaimRecord, LeaseRecord, RenewRecord } from './records.js';
 
-/** The process that holds a shard. */
+/** The process that holds a shard, and the duration of its lease. */
 export interface LeaseHolder {
   readonly owner: string;
   readonly incarnation: string;
   readonly leaseMs: Millis;
 }
 
-/** A shard's place in the fold. */
+/** The lease of a shard. */
 export interface ShardLease {
   readonly shard: string;
   readonly epoch: number;
-  /** Undefined once released. */
+  /** Undefined after a release. */
   readonly holder: LeaseHolder | undefined;
-  /** Offset of the last claim, renewal or release that counted. */
+  /** Offset of the last claim, renewal or release that took effect. */
   readonly offset: number;
-  /** When this process read that record, on its own clock; plays no part in verdicts. */
+  /** When this process read that record, on its own clock; verdicts do not depend on it. */
   readonly observedAt: Instant;
   /** When this process read the claim of this epoch, on its own clock. */
   readonly claimedAt: Instant;
-  /** When this process read the latest claim over a holder that had not released; undefined without one. */
+  /** When this process read the latest claim of a shard whose holder had not released it; undefined if none. */
   readonly takenOverAt: Instant | undefined;
 }
 
-/** The fold's state; verdicts depend on the records and their order only. */
+/** State of the fold; verdicts depend only on the records and their order. */
 export interface LeaseState {
   readonly shards: Map<string, ShardLease>;
 }
 
-/** What a record did. */
+/** Effect of a record. */
 export type LeaseVerdict =
   | { readonly kind: 'claimed'; readonly lease: ShardLease }
   | { readonly kind: 'renewed'; readonly shards: readonly string[] }
@@ -47,7 +47,7 @@
   return { shards: new Map() };
 }
 
-/** Applies one record that this process read at `readAt` (monotonic). */
+/** Applies a record that this process read at `readAt` on its monotonic clock. */
 export function applyLeaseRecord(
   state: LeaseState,
   record: LeaseRecord,
@@ -86,7 +86,7 @@
   if (record.epoch !== (current?.epoch ?? 0) + 1) {
     return { kind: 'void', reason: 'stale_epoch' };
   }
-  // A claimer waits from the last renewal that it read; one that it missed proves the wait too short.
+  // A claimer waits from the last renewal that it has read; if it missed one, it did not wait long enough.
   if (current?.holder !== undefined && current.offset >= record.seen) {
     return { kind: 'void', reason: 'renewed_meanwhile' };
   }
@@ -129,7 +129,7 @@
     : { kind: 'void', reason: 'not_holder' };
 }
 
-/** Tells whether the process `by` holds `lease`. */
+/** Tells whether `by` is the process that holds `lease`. */
 export function isHolder(
   lease: ShardLease | undefined,
   by: Pick<LeaseHolder, 'owner' | 'incarnation'>,
@@ -140,14 +140,14 @@
   );
 }
 
-/** How much later than the holder an observer counts the end of a lease. */
+/** Safety margin by which an observer waits longer for the expiry of a lease than its holder. */
 export interface LeaseMargin {
   /** Largest difference in rate between two hosts' clocks, such as 0.001. */
   readonly drift: number;
   readonly marginMs: Millis;
 }
 
-/** Returns when an observer may take the lease for lapsed, on its own clock; a released one at once. */
+/** Returns when the lease has expired for an observer, on the observer's clock; a released lease expires at once. */
 export function lapsesAt(lease: ShardLease, margin: LeaseMargin): Instant {
   if (lease.holder === undefined) {
     return lease.observedAt;
--- a/packages/domain/src/shards/records.ts
+++ b/packages/domain/src/shards/records.ts
@@ -1,11 +1,11 @@
-/** Records of the lease stream and their checked decoding. */
+/** Records of the lease stream and their validated decoding. */
 import { Result } from 'true-myth';
 import { z } from 'zod';
 
 import { appError, type AppError } from '../errors/app-error.js';
 import type { StreamRecord } from '../streams/record.js';
 
-/** A process that may own shards: the host's id and the number of this start of its process. */
+/** Identifies a process that may own shards: the id of its host and the incarnation of the process. */
 const ownerFields = {
   owner: z.string().min(1),
   incarnation: z.string().min(1),
@@ -17,7 +17,7 @@
   epoch: z.int().positive(),
   ...ownerFields,
   leaseMs: z.int().positive(),
-  /** Next offset of the lease stream that the claimer had still to read. */
+  /** Next offset of the lease stream that the claimer had not yet read. */
   seen: z.int().nonnegative(),
 });
 
@@ -40,16 +40,16 @@
   releaseSchema,
 ]);
 
-/** Asks for a shard that is free, or whose lease the claimer saw lapse. */
+/** Claims a shard that is free or whose lease has expired for the claimer. */
 export type ClaimRecord = z.output<typeof claimSchema>;
-/** Prolongs the leases of every shard that the owner holds. */
+/** Extends the leases of all shards that the owner holds. */
 export type RenewRecord = z.output<typeof renewSchema>;
-/** Gives a shard up before its lease ends. */
+/** Releases a shard before its lease expires. */
 export type ReleaseRecord = z.output<typeof releaseSchema>;
 /** Any record of the lease stream. */
 export type LeaseRecord = z.output<typeof leaseRecordSchema>;
 
-/** Wraps a lease record in the envelope of streams; `id` is unique. */
+/** Wraps a lease record in a stream record with the unique `id`. */
 export function leaseEnvelope(id: string, record: LeaseRecord): StreamRecord {
   const { kind, ...body } = record;
   return { id, kind, body };
--- a/packages/domain/src/shards/snapshot.ts
+++ b/packages/domain/src/shards/snapshot.ts
@@ -1,4 +1,4 @@
-/** Snapshots of the lease stream's state. */
+/** Exports and imports snapshots of the lease state. */
 import { Result } from 'true-myth';
 import { z } from 'zod';
 
@@ -25,13 +25,13 @@
   }),
 );
 
-/** A lease in a snapshot: what the fold's verdicts depend on. */
+/** Leases in a snapshot, with only the fields on which verdicts depend. */
 export type LeaseSnapshot = readonly Pick<
   ShardLease,
   'shard' | 'epoch' | 'holder' | 'offset'
 >[];
 
-/** Exports the state, in order of shard. */
+/** Exports the state, sorted by shard. */
 export function exportLeases(state: LeaseState): LeaseSnapshot {
   return [...state.shards.values()]
     .map(({ shard, epoch, holder, offset }) => ({
@@ -43,7 +43,10 @@
     .sort((a, b) => (a.shard < b.shard ? -1 : 1));
 }
 
-/** Restores a state from a snapshot that this process read at `readAt`: every wait starts anew; fails with `invalid`. */
+/**
+ * Restores the state from a snapshot that this process read at `readAt`, from which all waits restart.
+ * Fails with `invalid`.
+ */
 export function importLeases(
   snapshot: unknown,
   readAt: Instant,
