--- a/packages/daemon/src/interference/attempt-book.ts
+++ b/packages/daemon/src/interference/attempt-book.ts
@@ -32,6 +32,7 @@
   refresh(running: readonly RunningAttempt[], now: Instant): void;
   /** Returns all tracked attempts. */
   all(): Iterable<TrackedAttempt>;
+  /** Returns an attempt, or undefined if it is not tracked. */
   find(ref: AttemptRef): TrackedAttempt | undefined;
   /** Records that the agent accepted a share. */
   setShare(ref: AttemptRef, share: number, now: Instant): void;
--- a/packages/daemon/src/interference/metrics.ts
+++ b/packages/daemon/src/interference/metrics.ts
@@ -6,6 +6,7 @@
 export interface InterferenceMetrics {
   /** Counts an action; `taken` tells whether it was carried out. */
   countAction(action: Action, taken: boolean): void;
+  /** Sets the number of batch tasks that are throttled now. */
   setThrottledTasks(tasks: number): void;
 }
 
--- a/packages/domain/src/config/affected.ts
+++ b/packages/domain/src/config/affected.ts
@@ -13,7 +13,7 @@
   readonly declaration: unknown;
 };
 
-/** Cached size of each configuration in characters; valid for good, since configurations are immutable. */
+/** Size of each configuration in characters; an entry stays valid, since configurations are immutable. */
 const charCounts = new WeakMap<Objects, number>();
 
 /** Returns the problems between the objects after `changes`; assumes that there were none before them. */
--- a/packages/domain/src/config/index.ts
+++ b/packages/domain/src/config/index.ts
@@ -1,4 +1,4 @@
-/** The configuration in force and its fold. */
+/** Validates, compares and folds the configuration. */
 export * from './change-set.js';
 export * from './diff.js';
 export * from './fold.js';
--- a/packages/domain/src/config/ledger.ts
+++ b/packages/domain/src/config/ledger.ts
@@ -1,4 +1,4 @@
-/** The folded configuration together with the recent verdicts by record id, as a host needs it to continue. */
+/** The folded configuration and the recent verdicts by record id, from which a host can continue the fold. */
 import { Result } from 'true-myth';
 import { z } from 'zod';
 
--- a/packages/domain/src/shards/leases.ts
+++ b/packages/domain/src/shards/leases.ts
@@ -140,7 +140,7 @@
   );
 }
 
-/** Safety margin by which an observer waits longer for the expiry of a lease than its holder. */
+/** Safety margin by which an observer waits longer than the holder until it considers a lease expired. */
 export interface LeaseMargin {
   /** Largest difference in rate between two hosts' clocks, such as 0.001. */
   readonly drift: number;
