--- a/packages/daemon/src/job-host/summary-writer.ts
+++ b/packages/daemon/src/job-host/summary-writer.ts
@@ -41,7 +41,7 @@
   readonly statusMs: Millis;
 }
 
-/** Rows of the jobs that changed since the previous cut. */
+/** Rows of the jobs that changed since the previous call. */
 export interface SummaryChanges {
   readonly rows: readonly SummaryRow[];
   readonly inboxUpTo: number;
@@ -71,8 +71,8 @@
   }
 
   /**
-   * Returns what has changed since the last cut. These decisions are not recorded yet: publish the
-   * cut only once they are.
+   * Returns what has changed since the last call. These decisions are not recorded yet: publish the
+   * changes only once they are.
    */
   takeChanges(): SummaryChanges | undefined {
     const { state, inboxUpTo } = this.options;
@@ -88,7 +88,7 @@
     return { rows, inboxUpTo: inboxUpTo() };
   }
 
-  /** Queues a cut whose decisions are recorded. */
+  /** Queues changes whose decisions are recorded. */
   publish(changes: SummaryChanges | undefined): void {
     if (changes === undefined) {
       return;
