--- a/packages/daemon/src/admin/server.ts
+++ b/packages/daemon/src/admin/server.ts
@@ -1,4 +1,4 @@
-/** The listener for `/metrics`, `/livez` and `/readyz`. */
+/** HTTP server for `/metrics`, `/livez` and `/readyz`. */
 import {
   createServer,
   type IncomingMessage,
@@ -9,22 +9,22 @@
 
 import { listen, type Listening } from '../listening.js';
 
-/** Why the host is not ready; empty when it is. */
+/** Returns the reasons why the host is not ready; empty when it is ready. */
 export type ReadinessCheck = () => readonly string[];
 
-/** Starts the listener on `address` (`ip:port`). */
+/** Starts the server on `address` (`ip:port`). */
 export async function startAdmin(
   address: string,
   metrics: Registry,
   notReady: ReadinessCheck,
 ): Promise<Listening> {
   const server = createServer((req, res) => {
-    void answer(req, res, metrics, notReady);
+    void handleRequest(req, res, metrics, notReady);
   });
   return listen(server, address);
 }
 
-async function answer(
+async function handleRequest(
   req: IncomingMessage,
   res: ServerResponse,
   metrics: Registry,
--- a/packages/daemon/src/core/listeners.ts
+++ b/packages/daemon/src/core/listeners.ts
@@ -1,14 +1,15 @@
-/** Lists of listeners. */
+/** Typed event listeners. */
 import type { Stop } from '../parts.js';
 
-/** Listeners that are called with `Args` and answer with `Answer`. */
+/** Listeners that are called with `Args` and return `Answer`. */
 export interface Listeners<Args extends unknown[], Answer = void> {
+  /** Adds a listener; the returned function removes it. */
   add(listener: (...args: Args) => Answer): Stop;
-  /** Calls every listener in the order of adding and returns their answers. */
+  /** Calls every listener in the order in which they were added and returns their results. */
   tell(...args: Args): Answer[];
 }
 
-/** Creates an empty list. */
+/** Creates an empty list of listeners. */
 export function createListeners<
   Args extends unknown[],
   Answer = void,
--- a/packages/daemon/src/logging/line-budget.ts
+++ b/packages/daemon/src/logging/line-budget.ts
@@ -1,52 +1,52 @@
-/** Bounds how many lines of each message go out in a second. */
+/** Limits the log lines of each message per second. */
 import type { Instant, Millis } from '@paddlewind/domain';
 
-/** Span over which lines are counted. */
-const SPAN_MS: Millis = 1_000;
+/** Length of the window in which lines are counted. */
+const WINDOW_MS: Millis = 1_000;
 
-interface Count {
-  readonly since: Instant;
+interface WindowCount {
+  readonly startedAt: Instant;
   lines: number;
 }
 
-/** Counts lines by message; what is over the budget is left out and told later. */
+/** Counts lines by message; suppresses those over the limit and counts them for a later report. */
 export class LineBudget {
-  private readonly counts = new Map<string, Count>();
-  private leftOut = new Map<string, number>();
+  private readonly counts = new Map<string, WindowCount>();
+  private suppressed = new Map<string, number>();
 
-  /** Creates a budget of `perSecond` lines a message; `always` tells messages without a bound. */
+  /** Allows `linesPerSecond` lines per message; messages for which `isUnlimited` holds have no limit. */
   constructor(
-    private readonly perSecond: number,
-    private readonly always: (msg: string) => boolean,
+    private readonly linesPerSecond: number,
+    private readonly isUnlimited: (msg: string) => boolean,
   ) {}
 
-  /** Tells whether a line may go out at `now`. */
-  admits(msg: string, now: Instant): boolean {
-    if (this.always(msg)) {
+  /** Counts a line and returns whether it may be written at `now`. */
+  allows(msg: string, now: Instant): boolean {
+    if (this.isUnlimited(msg)) {
       return true;
     }
     const count = this.countOf(msg, now);
     count.lines += 1;
-    if (count.lines <= this.perSecond) {
+    if (count.lines <= this.linesPerSecond) {
       return true;
     }
-    this.leftOut.set(msg, (this.leftOut.get(msg) ?? 0) + 1);
+    this.suppressed.set(msg, (this.suppressed.get(msg) ?? 0) + 1);
     return false;
   }
 
-  /** Returns how many lines of each message were left out since the last call. */
-  takeLeftOut(): ReadonlyMap<string, number> {
-    const taken = this.leftOut;
-    this.leftOut = new Map();
+  /** Returns the number of suppressed lines of each message since the last call, and resets it. */
+  takeSuppressed(): ReadonlyMap<string, number> {
+    const taken = this.suppressed;
+    this.suppressed = new Map();
     return taken;
   }
 
-  private countOf(msg: string, now: Instant): Count {
-    const known = this.counts.get(msg);
-    if (known !== undefined && now - known.since < SPAN_MS) {
-      return known;
+  private countOf(msg: string, now: Instant): WindowCount {
+    const current = this.counts.get(msg);
+    if (current !== undefined && now - current.startedAt < WINDOW_MS) {
+      return current;
     }
-    const fresh = { since: now, lines: 0 };
+    const fresh = { startedAt: now, lines: 0 };
     this.counts.set(msg, fresh);
     return fresh;
   }
--- a/packages/daemon/src/logging/logger.ts
+++ b/packages/daemon/src/logging/logger.ts
@@ -1,7 +1,7 @@
-/** The logger: JSON lines by pino; each message starts with the prefix of its part, such as `router: `. */
+/** Logger that writes JSON lines with pino; messages start with a component prefix such as `router: `. */
 import { pino, type Logger } from 'pino';
 
-/** Builds the logger of an entry host. */
+/** Creates the logger of an entry host. */
 export function createLogger(level: string, host: string): Logger {
   return pino({
     level,
--- a/packages/daemon/src/logging/process-log.test.ts
+++ b/packages/daemon/src/logging/process-log.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { mock, test } from 'node:test';
 
-import { createBoundedLog } from './process-log.js';
+import { createRateLimitedLog } from './process-log.js';
 
 interface Line {
   readonly msg: string;
@@ -9,10 +9,10 @@
   readonly lines?: number;
 }
 
-test('an overload is told in a bounded number of lines that say what is missing', () => {
+test('a burst of one message is cut to its limit and the suppressed lines are counted', () => {
   mock.timers.enable({ apis: ['setInterval'] });
   const written: Line[] = [];
-  const log = createBoundedLog('h', () => 0, {
+  const log = createRateLimitedLog('h', () => 0, {
     write: text => {
       written.push(JSON.parse(text) as Line);
     },
@@ -27,8 +27,8 @@
     written.filter(line => line.msg === msg).length;
   assert.equal(count('worker: an order was not accepted'), 1_000);
   assert.equal(count('leader: a run is ordered'), 5_000);
-  const told = written.filter(({ kind }) => kind !== undefined);
-  assert.equal(told.length, 1);
-  assert.equal(told[0]?.kind, 'worker: an order was not accepted');
-  assert.equal(told[0].lines, 4_000);
+  const reports = written.filter(({ kind }) => kind !== undefined);
+  assert.equal(reports.length, 1);
+  assert.equal(reports[0]?.kind, 'worker: an order was not accepted');
+  assert.equal(reports[0].lines, 4_000);
 });
--- a/packages/daemon/src/logging/process-log.ts
+++ b/packages/daemon/src/logging/process-log.ts
@@ -1,26 +1,29 @@
-/** The log of a process: JSON lines on standard output that are bounded and never block. */
+/** Process log: rate-limited JSON lines on standard output, written without blocking. */
 import type { Clock, Millis } from '@paddlewind/domain';
 import { pino, type DestinationStream, type Logger } from 'pino';
 
 import { LineBudget } from './line-budget.js';
 
-/** Lines kept for a reader that is behind, in bytes; more are left out. */
-const MAX_WAITING_BYTES = 1_048_576;
+/** Buffer for a reader that is behind; lines beyond it are dropped. */
+const MAX_BUFFERED_BYTES = 1_048_576;
 /**
- * Most bytes of one write. Some collectors take no more at once: with 16 KiB 1,118 of 6,704 lines of a
- * busy leader did not arrive whole, with 8 KiB none of 6,755 were lost.
+ * Largest single write. Some log collectors cannot take more at once: with 16 KiB, 1,118 of 6,704
+ * lines of a busy leader arrived incomplete; with 8 KiB, none of 6,755 were lost.
  */
 const MAX_WRITE_BYTES = 8_192;
 /**
- * Lines of one message in a second. The busiest one that is bounded, the end of a run, came 155 times
- * in a second of a quiet day of Cascade; the size designed for has 310 starts a second, thrice that.
+ * Limit for one message: three times the 310 starts a second of the design load. The most frequent
+ * limited message, the end of a run, peaked at 155 lines a second on a quiet day at Cascade.
  */
-const LINES_PER_SECOND = 1_000;
-/** How often it is told what was left out. */
-const TELL_EVERY_MS: Millis = 1_000;
+const MAX_LINES_PER_SECOND = 1_000;
+/** Interval between reports of suppressed lines. */
+const REPORT_INTERVAL_MS: Millis = 1_000;
 
-/** One line a start, an answer to a change, a change of leaders, a start or stop: never left out. */
-const ALWAYS = [
+/**
+ * Prefixes of messages that are never suppressed: run starts, replies to changes, leader changes,
+ * process start and stop.
+ */
+const UNLIMITED_PREFIXES = [
   'daemon:',
   'jobs: answered',
   'leader: a run is ordered',
@@ -29,19 +32,19 @@
   'log:',
 ];
 
-/** Builds the log of host `host` on standard output. */
+/** Creates the log of `host` on standard output. */
 export function createProcessLog(host: string, clock: Clock): Logger {
   const destination = pino.destination({
     dest: 1,
     sync: false,
-    maxLength: MAX_WAITING_BYTES,
+    maxLength: MAX_BUFFERED_BYTES,
     maxWrite: MAX_WRITE_BYTES,
   });
   let dropped = 0;
   destination.on('drop', () => {
     dropped += 1;
   });
-  const log = createBoundedLog(host, clock, destination);
+  const log = createRateLimitedLog(host, clock, destination);
   destination.on('drain', () => {
     if (dropped > 0) {
       log.warn({ dropped }, 'log: lines were left out, the reader is behind');
@@ -51,14 +54,14 @@
   return log;
 }
 
-/** Builds a log with a budget of lines on `destination`. */
-export function createBoundedLog(
+/** Creates a log on `destination` that limits the lines of each message. */
+export function createRateLimitedLog(
   host: string,
   clock: Clock,
   destination: DestinationStream,
 ): Logger {
-  const budget = new LineBudget(LINES_PER_SECOND, msg =>
-    ALWAYS.some(prefix => msg.startsWith(prefix)),
+  const budget = new LineBudget(MAX_LINES_PER_SECOND, msg =>
+    UNLIMITED_PREFIXES.some(prefix => msg.startsWith(prefix)),
   );
   const log = pino(
     {
@@ -68,7 +71,7 @@
         logMethod(args, method) {
           const [first, second] = args as unknown[];
           const msg = typeof first === 'string' ? first : String(second);
-          if (budget.admits(msg, clock())) {
+          if (budget.allows(msg, clock())) {
             method.apply(this, args);
           }
         },
@@ -76,11 +79,11 @@
     },
     destination,
   );
-  const tell = setInterval(() => {
-    for (const [kind, lines] of budget.takeLeftOut()) {
+  const reportTimer = setInterval(() => {
+    for (const [kind, lines] of budget.takeSuppressed()) {
       log.warn({ kind, lines }, 'log: lines were left out, over the budget');
     }
-  }, TELL_EVERY_MS);
-  tell.unref();
+  }, REPORT_INTERVAL_MS);
+  reportTimer.unref();
   return log;
 }
--- a/packages/daemon/src/settings/read.test.ts
+++ b/packages/daemon/src/settings/read.test.ts
@@ -14,7 +14,7 @@
   },
 };
 
-function faultsOf(change: object): string[] {
+function errorsOf(change: object): string[] {
   const text = JSON.stringify({ ...VALID, ...change });
   const parsed = parseSettings(text, 'settings.json');
   return parsed.isErr ? parsed.error.map(err => err.message) : [];
@@ -27,17 +27,17 @@
   assert.equal(parsed.value.scheduler.shardLeaseMs, 10_000);
 });
 
-test('a fault names path, expectation and value', () => {
-  const [fault] = faultsOf({ admin: { listen: 'localhost' } });
-  assert.match(fault ?? '', /^admin\.listen: expected an IPv4 .*"localhost"$/);
+test('an error names the path, the expected format and the value', () => {
+  const [error] = errorsOf({ admin: { listen: 'localhost' } });
+  assert.match(error ?? '', /^admin\.listen: expected an IPv4 .*"localhost"$/);
 });
 
-test('unknown keys are refused', () => {
-  assert.match(faultsOf({ colour: 'red' })[0] ?? '', /colour/);
+test('unknown keys are rejected', () => {
+  assert.match(errorsOf({ colour: 'red' })[0] ?? '', /colour/);
 });
 
-test('every fault is told at once', () => {
-  assert.equal(faultsOf({ logLevel: 'loud', admin: {} }).length, 2);
+test('all errors are reported together', () => {
+  assert.equal(errorsOf({ logLevel: 'loud', admin: {} }).length, 2);
 });
 
 test('broken JSON and a missing file are invalid', () => {
--- a/packages/daemon/src/settings/read.ts
+++ b/packages/daemon/src/settings/read.ts
@@ -1,4 +1,4 @@
-/** Checked reading of the settings file. */
+/** Reads and validates the settings file. */
 import { readFileSync } from 'node:fs';
 
 import {
@@ -11,7 +11,7 @@
 
 import { settingsSchema, type Settings } from './schema.js';
 
-/** Reads and checks the settings; fails with `invalid`, one error for each fault. */
+/** Reads and validates the settings; fails with one `invalid` error per problem. */
 export function readSettings(file: string): Result<Settings, AppError[]> {
   const text = readText(file);
   if (text.isErr) {
@@ -20,7 +20,7 @@
   return parseSettings(text.value, file);
 }
 
-/** Checks settings given as JSON text. */
+/** Validates settings given as JSON text; `file` is named in syntax errors. */
 export function parseSettings(
   text: string,
   file: string,
--- a/packages/daemon/src/settings/schema.ts
+++ b/packages/daemon/src/settings/schema.ts
@@ -128,5 +128,5 @@
 /** The daemon's settings. */
 export type Settings = z.output<typeof settingsSchema>;
 
-/** Files of the certificate of an entry host. */
+/** Paths of the TLS files of an entry host. */
 export type TlsSettings = z.output<typeof tlsSchema>;
--- a/packages/daemon/src/tls/credentials.ts
+++ b/packages/daemon/src/tls/credentials.ts
@@ -1,4 +1,4 @@
-/** Certificate, key and authority from files, read again when they change. */
+/** Certificate, key and certificate authority, reloaded when their files change. */
 import { X509Certificate } from 'node:crypto';
 import { readFile } from 'node:fs/promises';
 import { createSecureContext } from 'node:tls';
@@ -10,40 +10,40 @@
 import { createListeners } from '../core/listeners.js';
 import type { PartContext, Stop } from '../parts.js';
 
-/** Files in PEM, as named in the settings. */
+/** Paths of the PEM files named in the settings. */
 export interface TlsFiles {
   readonly certFile: string;
   readonly keyFile: string;
   readonly caFile: string;
 }
 
-/** Certificate, key and authority in PEM. */
+/** Certificate, key and certificate authority in PEM. */
 export interface Credentials {
   readonly cert: string;
   readonly key: string;
   readonly ca: string;
-  /** Wall-clock end of the certificate's validity. */
+  /** Wall-clock time at which the certificate expires. */
   readonly expiresAt: Instant;
 }
 
-/** Credentials in use. */
+/** Provides the credentials in use and notifies of changes. */
 export interface CredentialSource {
   current(): Credentials;
   onChange(listener: (credentials: Credentials) => void): Stop;
-  /** Reads the files now; what is unusable is refused and the last good ones stay. */
+  /** Reads the files now; if they are unusable, the previous credentials stay in use. */
   reload(): Promise<Result<Credentials, AppError>>;
   stop: Stop;
 }
 
 const DEFAULT_POLL_MS = 10_000;
 
-function checkPems(cert: string, key: string, ca: string): Credentials {
+function parseCredentials(cert: string, key: string, ca: string): Credentials {
   createSecureContext({ cert, key, ca });
   const { validTo } = new X509Certificate(cert);
   return { cert, key, ca, expiresAt: Date.parse(validTo) };
 }
 
-/** Reads and checks credentials; fails with `invalid` when a file is missing, malformed or does not match. */
+/** Reads and checks the files; fails with `invalid` if one is missing or malformed or they do not match. */
 export async function readCredentials(
   files: TlsFiles,
 ): Promise<Result<Credentials, AppError>> {
@@ -53,7 +53,7 @@
       readFile(files.keyFile, 'utf8'),
       readFile(files.caFile, 'utf8'),
     ]);
-    return Result.ok(checkPems(cert, key, ca));
+    return Result.ok(parseCredentials(cert, key, ca));
   } catch (err) {
     const reason = err instanceof Error ? err.message : String(err);
     return Result.err(appError('invalid', `TLS files: ${reason}`));
@@ -85,7 +85,7 @@
   });
 }
 
-/** Reads the files and follows them by reading them every `pollMs`; fails when they are unusable at start. */
+/** Reads the files and reloads them every `pollMs`; fails if they are unusable at start. */
 export async function startCredentials(
   ctx: PartContext,
   files: TlsFiles,
@@ -93,31 +93,31 @@
 ): Promise<Result<CredentialSource, AppError>> {
   const first = await readCredentials(files);
   return first.map(credentials =>
-    followCredentials(ctx, files, credentials, pollMs),
+    pollCredentials(ctx, files, credentials, pollMs),
   );
 }
 
-function followCredentials(
+function pollCredentials(
   ctx: PartContext,
   files: TlsFiles,
   first: Credentials,
   pollMs: number,
 ): CredentialSource {
-  const changed = createListeners<[Credentials]>();
+  const listeners = createListeners<[Credentials]>();
   let current = first;
-  let lastFault: string | undefined;
+  let lastError: string | undefined;
   const reloads = createCredentialMetrics(ctx, () => current.expiresAt);
 
-  function noteFault(message: string): void {
-    if (message !== lastFault) {
+  function reportError(message: string): void {
+    if (message !== lastError) {
       ctx.log.warn({ err: message }, 'tls: new certificate files are not used');
       reloads.inc({ result: 'refused' });
     }
-    lastFault = message;
+    lastError = message;
   }
 
-  function use(next: Credentials): void {
-    lastFault = undefined;
+  function applyCredentials(next: Credentials): void {
+    lastError = undefined;
     if (!sameCredentials(next, current)) {
       current = next;
       reloads.inc({ result: 'ok' });
@@ -125,16 +125,16 @@
         { expiresAt: next.expiresAt },
         'tls: certificates are reloaded',
       );
-      changed.tell(next);
+      listeners.tell(next);
     }
   }
 
   async function reload(): Promise<Result<Credentials, AppError>> {
     const read = await readCredentials(files);
     if (read.isOk) {
-      use(read.value);
+      applyCredentials(read.value);
     } else {
-      noteFault(read.error.message);
+      reportError(read.error.message);
     }
     return read;
   }
@@ -142,7 +142,7 @@
   const timer = setInterval(() => void reload(), pollMs);
   return {
     current: () => current,
-    onChange: listener => changed.add(listener),
+    onChange: listener => listeners.add(listener),
     reload,
     stop() {
       clearInterval(timer);
--- a/packages/daemon/src/tls/index.ts
+++ b/packages/daemon/src/tls/index.ts
@@ -1,4 +1,4 @@
-/** Mutual TLS between processes, with certificates that are reloaded without a restart. */
+/** Mutual TLS between processes, with certificates reloaded without a restart. */
 export * from './credentials.js';
 export * from './peer-listener.js';
 export * from './secure-transports.js';
--- a/packages/daemon/src/tls/peer-listener.ts
+++ b/packages/daemon/src/tls/peer-listener.ts
@@ -1,4 +1,4 @@
-/** The listener for other entry hosts and operators: HTTP/2 over mutual TLS, or plain HTTP/1.1. */
+/** Listener for other entry hosts and operators: HTTP/2 over mutual TLS, or plain HTTP/1.1. */
 import { createServer as createPlainServer } from 'node:http';
 import {
   createSecureServer,
@@ -14,15 +14,15 @@
 import { listen, type Listening } from '../listening.js';
 import type { CredentialSource } from './credentials.js';
 
-/** Handles requests of either version of HTTP. */
+/** Handles HTTP/1.1 and HTTP/2 requests. */
 export type PeerHandler = ReturnType<typeof connectNodeAdapter>;
 
 type PeerRequest = Parameters<PeerHandler>[0];
 
-const PEER_PATH = `/${PeerService.typeName}/`;
-const FORBIDDEN = 403;
+const PEER_PATH_PREFIX = `/${PeerService.typeName}/`;
+const STATUS_FORBIDDEN = 403;
 
-/** Sessions that are still open this long after a close are broken off. */
+/** Time after a close at which sessions that are still open are destroyed. */
 const CLOSE_GRACE_MS = 2_000;
 
 function socketOf(req: PeerRequest): unknown {
@@ -31,7 +31,7 @@
     : req.socket;
 }
 
-/** Certificates of entry hosts name an IP address; those of operators do not. */
+/** Returns whether the client is an entry host: operators' certificates name no IP address. */
 function hasHostCertificate(req: PeerRequest): boolean {
   const socket = socketOf(req);
   if (socket === undefined) {
@@ -44,8 +44,8 @@
 
 function requireHostCertificate(handler: PeerHandler): PeerHandler {
   return (req, res) => {
-    if (req.url?.startsWith(PEER_PATH) && !hasHostCertificate(req)) {
-      res.writeHead(FORBIDDEN);
+    if (req.url?.startsWith(PEER_PATH_PREFIX) && !hasHostCertificate(req)) {
+      res.writeHead(STATUS_FORBIDDEN);
       res.end();
       return;
     }
@@ -64,7 +64,7 @@
   return sessions;
 }
 
-function breakOffLater(sessions: ReadonlySet<ServerHttp2Session>): void {
+function destroyAfterGrace(sessions: ReadonlySet<ServerHttp2Session>): void {
   const timer = setTimeout(() => {
     sessions.forEach(session => {
       session.destroy();
@@ -93,7 +93,7 @@
       session.close();
     });
   };
-  const stopFollowing = credentials.onChange(next => {
+  const unsubscribe = credentials.onChange(next => {
     server.setSecureContext({ ...next, minVersion: 'TLSv1.3' });
     closeSessions();
   });
@@ -101,15 +101,15 @@
   return {
     address: listening.address,
     close() {
-      stopFollowing();
+      unsubscribe();
       closeSessions();
-      breakOffLater(sessions);
+      destroyAfterGrace(sessions);
       return listening.close();
     },
   };
 }
 
-/** Listens on `address`; with credentials only peers with a certificate of the authority get in. */
+/** Listens on `address`; with credentials, accepts only clients with a certificate from the authority. */
 export async function listenPeers(
   address: string,
   handler: PeerHandler,
--- a/packages/daemon/src/tls/secure-transports.ts
+++ b/packages/daemon/src/tls/secure-transports.ts
@@ -1,4 +1,4 @@
-/** Connections to peers over HTTP/2 and mutual TLS. */
+/** Transports to peers over HTTP/2 and mutual TLS. */
 import {
   compressionGzip,
   createConnectTransport,
@@ -12,13 +12,16 @@
 } from '../membership/transports.js';
 import type { Credentials, CredentialSource } from './credentials.js';
 
-/** Calls under way on connections with replaced certificates get this long. */
+/** Time that calls in flight get to finish on connections whose certificates were replaced. */
 const REPLACED_GRACE_MS = 10_000;
 
 const PING_INTERVAL_MS = 10_000;
 const PING_TIMEOUT_MS = 2_000;
 
-function openSecure(address: string, credentials: Credentials): OpenTransport {
+function openSecureTransport(
+  address: string,
+  credentials: Credentials,
+): OpenTransport {
   const { cert, key, ca } = credentials;
   const baseUrl = `https://${address}`;
   const sessionManager = new Http2SessionManager(
@@ -41,7 +44,7 @@
   };
 }
 
-function closeLater(replaced: readonly OpenTransport[]): void {
+function closeAfterGrace(replaced: readonly OpenTransport[]): void {
   const timer = setTimeout(() => {
     replaced.forEach(transport => {
       transport.close();
@@ -50,15 +53,15 @@
   timer.unref();
 }
 
-/** HTTP/2 over mutual TLS; new certificates are used for the next call. */
+/** Creates transports that use HTTP/2 over mutual TLS; new certificates apply from the next call. */
 export function secureTransports(
   credentials: CredentialSource,
 ): PeerTransports {
   const cache = cachedTransports(address =>
-    openSecure(address, credentials.current()),
+    openSecureTransport(address, credentials.current()),
   );
-  const stopListening = credentials.onChange(() => {
-    closeLater(cache.reset());
+  const unsubscribe = credentials.onChange(() => {
+    closeAfterGrace(cache.reset());
   });
   return {
     to: address => cache.to(address),
@@ -69,7 +72,7 @@
       cache.retain(addresses);
     },
     close() {
-      stopListening();
+      unsubscribe();
       cache.close();
     },
   };
--- a/packages/daemon/src/tls/tls.test.ts
+++ b/packages/daemon/src/tls/tls.test.ts
@@ -24,19 +24,22 @@
 
 const HOUR_MS = 3_600_000;
 
-async function makeAuthority(): Promise<Authority> {
-  const made = await generate([{ name: 'commonName', value: 'authority' }], {
-    keyType: 'ec',
-    algorithm: 'sha256',
-    extensions: [
-      { name: 'basicConstraints', cA: true, critical: true },
-      { name: 'keyUsage', keyCertSign: true, critical: true },
-    ],
-  });
-  return { cert: made.cert, key: made.private };
+async function createAuthority(): Promise<Authority> {
+  const certificate = await generate(
+    [{ name: 'commonName', value: 'authority' }],
+    {
+      keyType: 'ec',
+      algorithm: 'sha256',
+      extensions: [
+        { name: 'basicConstraints', cA: true, critical: true },
+        { name: 'keyUsage', keyCertSign: true, critical: true },
+      ],
+    },
+  );
+  return { cert: certificate.cert, key: certificate.private };
 }
 
-async function makeCertificate(
+async function createCertificate(
   ca: Authority,
   name: string,
   options: { host?: boolean; expired?: boolean } = {},
@@ -56,7 +59,7 @@
   });
 }
 
-function context(): PartContext {
+function createContext(): PartContext {
   return {
     clock: () => performance.now(),
     random: () => 0.5,
@@ -65,19 +68,19 @@
   };
 }
 
-interface Files {
+interface CredentialFiles {
   readonly source: CredentialSource;
   write(
-    made: { cert: string; private: string },
+    certificate: { cert: string; private: string },
     authorities: readonly Authority[],
   ): Promise<void>;
 }
 
-async function credentialFiles(
+async function startCredentialFiles(
   t: TestContext,
-  made: { cert: string; private: string },
+  certificate: { cert: string; private: string },
   ...authorities: Authority[]
-): Promise<Files> {
+): Promise<CredentialFiles> {
   const dir = await mkdtemp(join(tmpdir(), 'tls-'));
   t.after(() => rm(dir, { recursive: true }));
   const files = {
@@ -85,13 +88,13 @@
     keyFile: join(dir, 'key.pem'),
     caFile: join(dir, 'ca.pem'),
   };
-  const write: Files['write'] = async (next, trusted) => {
+  const write: CredentialFiles['write'] = async (next, trusted) => {
     await writeFile(files.certFile, next.cert);
     await writeFile(files.keyFile, next.private);
     await writeFile(files.caFile, trusted.map(ca => ca.cert).join('\n'));
   };
-  await write(made, authorities);
-  const started = await startCredentials(context(), files);
+  await write(certificate, authorities);
+  const started = await startCredentials(createContext(), files);
   assert.ok(started.isOk);
   const source = started.value;
   t.after(() => {
@@ -112,7 +115,10 @@
   return listening.address;
 }
 
-function open(t: TestContext, credentials: CredentialSource): PeerTransports {
+function openTransports(
+  t: TestContext,
+  credentials: CredentialSource,
+): PeerTransports {
   const transports = secureTransports(credentials);
   t.after(() => {
     transports.close();
@@ -135,25 +141,39 @@
   }
 }
 
-test('peers with certificates of the authority talk', async t => {
-  const ca = await makeAuthority();
-  const server = await credentialFiles(t, await makeCertificate(ca, 'a'), ca);
-  const client = await credentialFiles(t, await makeCertificate(ca, 'b'), ca);
+test('a peer with a certificate from the authority is accepted', async t => {
+  const ca = await createAuthority();
+  const server = await startCredentialFiles(
+    t,
+    await createCertificate(ca, 'a'),
+    ca,
+  );
+  const client = await startCredentialFiles(
+    t,
+    await createCertificate(ca, 'b'),
+    ca,
+  );
   const address = await startServer(t, server.source);
-  assert.ok(await probe(open(t, client.source), address));
+  assert.ok(await probe(openTransports(t, client.source), address));
 });
 
 test('a peer without a valid certificate is refused', async t => {
-  const ca = await makeAuthority();
-  const other = await makeAuthority();
-  const server = await credentialFiles(t, await makeCertificate(ca, 'a'), ca);
+  const ca = await createAuthority();
+  const other = await createAuthority();
+  const server = await startCredentialFiles(
+    t,
+    await createCertificate(ca, 'a'),
+    ca,
+  );
   const address = await startServer(t, server.source);
 
-  const foreign = await makeCertificate(other, 'b');
-  const expired = await makeCertificate(ca, 'c', { expired: true });
-  for (const made of [foreign, expired]) {
-    const client = await credentialFiles(t, made, ca);
-    assert.ok(await isRefused(probe(open(t, client.source), address)));
+  const foreign = await createCertificate(other, 'b');
+  const expired = await createCertificate(ca, 'c', { expired: true });
+  for (const certificate of [foreign, expired]) {
+    const client = await startCredentialFiles(t, certificate, ca);
+    assert.ok(
+      await isRefused(probe(openTransports(t, client.source), address)),
+    );
   }
   const plain = await fetch(`http://${address}/`).then(
     () => true,
@@ -162,51 +182,67 @@
   assert.equal(plain, false);
 });
 
-test('a server with a foreign certificate is not trusted', async t => {
-  const ca = await makeAuthority();
-  const other = await makeAuthority();
-  const foreign = await makeCertificate(other, 'a');
-  const server = await credentialFiles(t, foreign, ca, other);
-  const client = await credentialFiles(t, await makeCertificate(ca, 'b'), ca);
+test('a server with a certificate from another authority is not trusted', async t => {
+  const ca = await createAuthority();
+  const other = await createAuthority();
+  const foreign = await createCertificate(other, 'a');
+  const server = await startCredentialFiles(t, foreign, ca, other);
+  const client = await startCredentialFiles(
+    t,
+    await createCertificate(ca, 'b'),
+    ca,
+  );
   const address = await startServer(t, server.source);
-  assert.ok(await isRefused(probe(open(t, client.source), address)));
+  assert.ok(await isRefused(probe(openTransports(t, client.source), address)));
 });
 
-test("an operator's certificate does not pass for a host's", async t => {
-  const ca = await makeAuthority();
-  const server = await credentialFiles(t, await makeCertificate(ca, 'a'), ca);
-  const made = await makeCertificate(ca, 'operator', { host: false });
-  const client = await credentialFiles(t, made, ca);
+test("an operator's certificate gives no access to the peer service", async t => {
+  const ca = await createAuthority();
+  const server = await startCredentialFiles(
+    t,
+    await createCertificate(ca, 'a'),
+    ca,
+  );
+  const certificate = await createCertificate(ca, 'operator', { host: false });
+  const client = await startCredentialFiles(t, certificate, ca);
   const address = await startServer(t, server.source);
-  const transports = open(t, client.source);
+  const transports = openTransports(t, client.source);
   assert.ok(await isRefused(probe(transports, address)));
   const operators = createClient(OperatorService, transports.to(address));
   await operators.top({}, { timeoutMs: 10_000 });
 });
 
-test('a new authority is taken over without a restart', async t => {
-  const old = await makeAuthority();
-  const next = await makeAuthority();
-  const server = await credentialFiles(t, await makeCertificate(old, 'a'), old);
-  const client = await credentialFiles(t, await makeCertificate(old, 'b'), old);
+test('a new authority is used without a restart', async t => {
+  const old = await createAuthority();
+  const next = await createAuthority();
+  const server = await startCredentialFiles(
+    t,
+    await createCertificate(old, 'a'),
+    old,
+  );
+  const client = await startCredentialFiles(
+    t,
+    await createCertificate(old, 'b'),
+    old,
+  );
   const address = await startServer(t, server.source);
-  const transports = open(t, client.source);
+  const transports = openTransports(t, client.source);
   assert.ok(await probe(transports, address));
 
-  await server.write(await makeCertificate(next, 'a'), [next]);
+  await server.write(await createCertificate(next, 'a'), [next]);
   assert.ok((await server.source.reload()).isOk);
   assert.ok(await isRefused(probe(transports, address)));
 
-  await client.write(await makeCertificate(next, 'b'), [next]);
+  await client.write(await createCertificate(next, 'b'), [next]);
   assert.ok((await client.source.reload()).isOk);
   assert.ok(await probe(transports, address));
 });
 
-test('files that do not match are refused and the last good ones stay', async t => {
-  const ca = await makeAuthority();
-  const good = await makeCertificate(ca, 'a');
-  const other = await makeCertificate(ca, 'b');
-  const files = await credentialFiles(t, good, ca);
+test('files that do not match are rejected and the previous credentials stay in use', async t => {
+  const ca = await createAuthority();
+  const good = await createCertificate(ca, 'a');
+  const other = await createCertificate(ca, 'b');
+  const files = await startCredentialFiles(t, good, ca);
   await files.write({ cert: good.cert, private: other.private }, [ca]);
   const reloaded = await files.source.reload();
   assert.equal(reloaded.isErr && reloaded.error.kind, 'invalid');
--- a/packages/domain/src/core/json.ts
+++ b/packages/domain/src/core/json.ts
@@ -1,6 +1,6 @@
-/** Parsing of JSON without exceptions. */
+/** JSON parsing without exceptions. */
 
-/** Returns the parsed value, or undefined when `text` is not JSON. */
+/** Parses `text`; returns undefined if it is not valid JSON. */
 export function parseJson(text: string): unknown {
   try {
     return JSON.parse(text) as unknown;
--- a/packages/domain/src/core/problem.ts
+++ b/packages/domain/src/core/problem.ts
@@ -1,22 +1,22 @@
-/** Problems of declarations, with their place. */
+/** Problems found in declarations and their paths. */
 import { appError, type AppError } from '../errors/app-error.js';
 
-/** What is wrong, and where. */
+/** Problem at a path of the input. */
 export interface Problem {
-  /** Place in the input, such as `changes[0].declaration.slots` or `service/web.team`. */
+  /** Path in the input, such as `changes[0].declaration.slots` or `service/web.team`. */
   readonly path: string;
-  /** A short sentence for a person. */
+  /** Short, human-readable description. */
   readonly message: string;
 }
 
 const SHOWN_PROBLEMS = 5;
 
-/** Returns the `invalid` error for one problem. */
+/** Creates the `invalid` error of one problem. */
 export function problemError({ path, message }: Problem): AppError {
   return appError('invalid', `${path}: ${message}`, { path });
 }
 
-/** Returns one `invalid` error for `problems`, at the place of the first. */
+/** Creates one `invalid` error for `problems`, with the path of the first. */
 export function problemsError(problems: readonly Problem[]): AppError {
   const shown = problems
     .slice(0, SHOWN_PROBLEMS)
@@ -28,7 +28,7 @@
   });
 }
 
-/** Joins the segments of a path, numbers in brackets. */
+/** Appends segments to a path; numbers are put in brackets. */
 export function joinPath(
   base: string,
   segments: readonly PropertyKey[],
--- a/packages/domain/src/core/random.ts
+++ b/packages/domain/src/core/random.ts
@@ -1,7 +1,7 @@
-/** Seeded randomness for decisions, tests and benchmarks. */
+/** Deterministic random numbers and hashes for decisions, tests and benchmarks. */
 import type { Random } from './time.js';
 
-/** Returns a deterministic generator (mulberry32) for the 32-bit `seed`. */
+/** Creates a deterministic generator (mulberry32) from the 32-bit `seed`. */
 export function seededRandom(seed: number): Random {
   let state = seed >>> 0;
   return () => {
@@ -26,7 +26,7 @@
   return (hash ^ (hash >>> 16)) >>> 0;
 }
 
-/** Returns the candidates ordered by rendezvous weight for `key`, the preferred one first. */
+/** Returns the candidates in rendezvous-hashing order for `key`, the preferred one first. */
 export function rendezvousOrder(
   key: string,
   candidates: readonly string[],
--- a/packages/domain/src/core/resources.ts
+++ b/packages/domain/src/core/resources.ts
@@ -1,21 +1,21 @@
-/** Amounts of what a worker has and a task takes. */
+/** Resource amounts of workers and tasks. */
 import { z } from 'zod';
 
-/** Schema of an amount: processors in cores, memory in mebibytes, accelerators in devices. */
+/** Schema of resources: processors in cores, memory in MiB, accelerators in devices. */
 export const resourcesSchema = z.strictObject({
   cpu: z.number().nonnegative(),
   memoryMiB: z.number().nonnegative(),
   accelerators: z.int().nonnegative().default(0),
 });
 
-/** An amount of processors (cores), memory (MiB) and accelerators (devices). */
+/** Amounts of processors (cores), memory (MiB) and accelerators (devices). */
 export interface Resources {
   readonly cpu: number;
   readonly memoryMiB: number;
   readonly accelerators: number;
 }
 
-/** The amount of nothing. */
+/** Zero resources. */
 export const NO_RESOURCES: Resources = {
   cpu: 0,
   memoryMiB: 0,
@@ -40,7 +40,7 @@
   };
 }
 
-/** Returns the larger of `a` and `b` in each dimension. */
+/** Returns the maximum of `a` and `b` in each dimension. */
 export function maxResources(a: Resources, b: Resources): Resources {
   return {
     cpu: Math.max(a.cpu, b.cpu),
@@ -49,14 +49,14 @@
   };
 }
 
-/** Tolerance for sums of fractional cores. */
+/** Tolerance for rounding errors in sums of fractional cores. */
 const CPU_EPSILON = 1e-9;
 
-/** Tells whether `size` fits within `room` in every dimension. */
-export function fits(size: Resources, room: Resources): boolean {
+/** Returns whether `size` fits within `capacity` in every dimension. */
+export function fits(size: Resources, capacity: Resources): boolean {
   return (
-    size.cpu <= room.cpu + CPU_EPSILON &&
-    size.memoryMiB <= room.memoryMiB &&
-    size.accelerators <= room.accelerators
+    size.cpu <= capacity.cpu + CPU_EPSILON &&
+    size.memoryMiB <= capacity.memoryMiB &&
+    size.accelerators <= capacity.accelerators
   );
 }
--- a/packages/domain/src/core/time.ts
+++ b/packages/domain/src/core/time.ts
@@ -1,12 +1,12 @@
-/** Instants and clocks; the domain reads no clock of its own. */
+/** Types of instants, clocks and timers; the domain never reads a clock itself. */
 
-/** Milliseconds on a clock named by the holder: monotonic for leases and requests, wall for display. */
+/** Milliseconds on the owner's clock: monotonic for leases and requests, wall clock for display. */
 export type Instant = number;
 
-/** A span in milliseconds; settings hold spans, state holds only instants. */
+/** Duration in milliseconds; settings hold durations, state holds only instants. */
 export type Millis = number;
 
-/** Reads the current instant. */
+/** Returns the current instant. */
 export type Clock = () => Instant;
 
 /** Returns a uniformly distributed number in [0, 1). */
@@ -15,12 +15,12 @@
 /** Runs `task` once after `delay`; the returned function cancels it. */
 export type Schedule = (delay: Millis, task: () => void) => () => void;
 
-/** A span of which only bounds are known. */
+/** Bounds of a duration that is not known exactly. */
 export interface SpanBounds {
   readonly from: Millis;
-  /** Infinite where it may be of any length. */
+  /** Infinity if there is no upper bound. */
   readonly to: Millis;
 }
 
-/** Bounds of a span of which nothing is known. */
+/** Bounds of an unknown duration. */
 export const UNKNOWN_SPAN: SpanBounds = { from: 0, to: Infinity };
--- a/packages/domain/src/errors/app-error.ts
+++ b/packages/domain/src/errors/app-error.ts
@@ -1,24 +1,24 @@
-/** The one error value that parts pass to one another, in a true-myth `Result`. */
+/** The error value that components return in a true-myth `Result`. */
 import { ERROR_ANSWERS, type ErrorKind, type Outcome } from './kinds.js';
 
-/** An error of a known kind; `outcome` is the table's unless the raiser knows better. */
+/** Error of a known kind; `outcome` defaults to that of the kind unless the creator overrides it. */
 export interface AppError {
   readonly kind: ErrorKind;
-  /** A short sentence for a person. */
+  /** Short, human-readable description. */
   readonly message: string;
   readonly outcome: Outcome;
-  /** Where in the input it is, such as `services[0].slots`. */
+  /** Path in the input, such as `services[0].slots`. */
   readonly path?: string;
-  /** How long the caller should wait before a retry, in milliseconds. */
+  /** Time that the caller should wait before a retry. */
   readonly retryAfterMs?: number;
 }
 
-/** Details of an error beyond its kind and message. */
+/** Optional fields of an error. */
 export type AppErrorDetails = Partial<
   Pick<AppError, 'outcome' | 'path' | 'retryAfterMs'>
 >;
 
-/** Builds an error of `kind`. */
+/** Creates an error of `kind`. */
 export function appError(
   kind: ErrorKind,
   message: string,
--- a/packages/domain/src/index.ts
+++ b/packages/domain/src/index.ts
@@ -1,4 +1,4 @@
-/** Pure decisions of paddlewind. */
+/** Decision logic of paddlewind, free of I/O. */
 export * from './config/index.js';
 export * from './core/json.js';
 export * from './core/problem.js';
--- a/packages/domain/src/streams/dedupe.ts
+++ b/packages/domain/src/streams/dedupe.ts
@@ -1,17 +1,17 @@
-/** Recognition of repeated records within a bounded window, alike on every host. */
+/** Deduplication of records within a bounded window, with the same result on every host. */
 
-/** Distinct record ids remembered per stream, see docs/design/log.md. */
+/** Number of distinct record ids kept per stream, see docs/design/log.md. */
 export const DEDUPE_WINDOW = 8_192;
 
-/** Remembers the ids of the last distinct records of a stream. */
+/** Ids of the most recent distinct records of a stream. */
 export interface DedupeWindow {
-  /** Tells whether `id` is new within the window, and remembers it if so. */
+  /** Adds `id` to the window; returns false if it is already there. */
   take(id: string): boolean;
-  /** Ids remembered, the oldest first; part of a snapshot. */
+  /** Ids in the window, oldest first; part of a snapshot. */
   ids(): string[];
 }
 
-/** Creates a window of `size` ids, restored from the `ids` of a snapshot. */
+/** Creates a window of at most `size` ids that starts with the `ids` of a snapshot. */
 export function createDedupeWindow(
   ids: readonly string[] = [],
   size: number = DEDUPE_WINDOW,
@@ -24,7 +24,7 @@
     }
     seen.add(id);
     if (seen.size > size) {
-      dropOldest(seen);
+      evictOldest(seen);
     }
     return true;
   }
@@ -33,7 +33,7 @@
   return { take, ids: () => [...seen] };
 }
 
-function dropOldest(seen: Set<string>): void {
+function evictOldest(seen: Set<string>): void {
   for (const id of seen) {
     seen.delete(id);
     return;
--- a/packages/domain/src/streams/record.test.ts
+++ b/packages/domain/src/streams/record.test.ts
@@ -3,7 +3,7 @@
 
 import { RECORD_FORMAT, decodeBatch, encodeBatch } from './record.js';
 
-test('a batch survives encoding', () => {
+test('a batch is the same after encoding and decoding', () => {
   const records = [{ id: 'a', kind: 'claim', body: { epoch: 1 } }];
   const decoded = decodeBatch(encodeBatch(records)).unwrapOr(undefined);
   assert.deepEqual(decoded?.records, records);
--- a/packages/domain/src/streams/record.ts
+++ b/packages/domain/src/streams/record.ts
@@ -1,50 +1,50 @@
-/** The record envelope of every stream, and its checked decoding. */
+/** Record envelope of all streams, with encoding and validated decoding. */
 import { Result } from 'true-myth';
 import { z } from 'zod';
 
 import { parseJson } from '../core/json.js';
 import { appError, type AppError } from '../errors/app-error.js';
 
-/** The newest record format that this build reads and writes. */
+/** Newest record format that this version reads, and the one it writes. */
 export const RECORD_FORMAT = 1;
 
-/** Streams of the log. Decisions are grouped by availability zone, see docs/design/streams.md. */
+/** Stream of configuration changes; docs/design/streams.md describes all streams. */
 export const CONFIG_STREAM = 'config';
 
-/** Returns the stream of shard leases of one region. */
+/** Returns the name of the stream of shard leases of `region`. */
 export function leaseStream(region: string): string {
   return `leases.${region}`;
 }
 
-/** Returns the stream of scheduling decisions of one availability zone. */
+/** Returns the name of the stream of scheduling decisions of one availability zone. */
 export function decisionStream(availabilityZone: string): string {
   return `decisions.${availabilityZone}`;
 }
 
-/** Returns the stream of idempotency keys of one region. */
+/** Returns the name of the stream of idempotency keys of `region`. */
 export function keyStream(region: string): string {
   return `keys.${region}`;
 }
 
-/** Where a record stands in its stream: the log's offset, then the place in the batch. */
+/** Position of a record in its stream: the offset of its entry and its index in the batch. */
 export interface Position {
   readonly offset: number;
   readonly index: number;
 }
 
-/** Compares two positions, as for `Array.sort`. */
+/** Compares two positions, for use with `Array.sort`. */
 export function comparePositions(a: Position, b: Position): number {
   return a.offset - b.offset || a.index - b.index;
 }
 
-/** A record with a unique id; a retry carries the same id and the fold takes the first. */
+/** Record with a unique id; a retry has the same id and only the first one is applied. */
 export interface StreamRecord {
   readonly id: string;
   readonly kind: string;
   readonly body: unknown;
 }
 
-/** One log entry: a group of records committed together. */
+/** Records committed together in one log entry. */
 export interface Batch {
   readonly format: number;
   readonly records: readonly StreamRecord[];
@@ -66,7 +66,7 @@
   return JSON.stringify({ format: RECORD_FORMAT, records });
 }
 
-/** Decodes a payload; fails with `invalid` when malformed and `unsupported_record` when newer. */
+/** Decodes a payload; fails with `invalid` if it is malformed, `unsupported_record` if its format is newer. */
 export function decodeBatch(payload: string): Result<Batch, AppError> {
   const json = parseJson(payload);
   if (json === undefined) {
--- a/packages/domain/src/streams/snapshot.test.ts
+++ b/packages/domain/src/streams/snapshot.test.ts
@@ -7,7 +7,7 @@
 import { createDedupeWindow } from './dedupe.js';
 import { createSnapshotAssembler, snapshotRecords } from './snapshot.js';
 
-test('a snapshot is put together from its chunks in any order', () => {
+test('a snapshot is assembled from its chunks in any order', () => {
   fc.assert(
     fc.property(
       fc.string({ maxLength: 200 }),
@@ -34,7 +34,7 @@
   );
 });
 
-test('half-written and malformed snapshots give nothing', () => {
+test('incomplete and malformed snapshots are not returned', () => {
   const assembler = createSnapshotAssembler();
   const chunks = snapshotRecords({ offset: 1, text: 'abcd', hash: 'h' }, 2);
   const [first] = chunks;
@@ -45,7 +45,7 @@
   assert.equal(assembler.newest(), 1);
 });
 
-test('the dedupe window is bounded, and the same after a restore', () => {
+test('the dedupe window is bounded and the same after a restore', () => {
   const window = createDedupeWindow([], 3);
   assert.deepEqual(
     ['a', 'b', 'a', 'c', 'd', 'a'].map(id => window.take(id)),
--- a/packages/domain/src/streams/snapshot.ts
+++ b/packages/domain/src/streams/snapshot.ts
@@ -1,22 +1,22 @@
-/** Snapshots of a stream's state, kept as chunks in the stream itself. */
+/** Snapshots of a stream's state, stored as chunks in the stream itself. */
 import { z } from 'zod';
 
 import type { StreamRecord } from './record.js';
 
-/** Kind of the record that carries one chunk. */
+/** Kind of the records that contain one chunk each. */
 export const SNAPSHOT_CHUNK_KIND = 'snapshot.chunk';
 
-/** Characters of one chunk; several fit into a batch beside other records. */
+/** Characters per chunk; a batch has space for several chunks and other records. */
 export const SNAPSHOT_CHUNK_CHARS = 48 * 1024;
 
-/** Snapshots being assembled at a time; the oldest are given up beyond that. */
-const MAX_PARTIAL = 4;
+/** Most snapshots assembled at a time; beyond it, the oldest one is discarded. */
+const MAX_PARTIAL_SNAPSHOTS = 4;
 
-/** The state after every entry before `offset`. */
+/** State after all entries before `offset`. */
 export interface Snapshot {
   readonly offset: number;
   readonly text: string;
-  /** Digest of the text by which a reader knows that it is whole. */
+  /** Digest of the text, by which a reader checks that it is intact. */
   readonly hash: string;
 }
 
@@ -28,7 +28,7 @@
   data: z.string(),
 });
 
-/** Splits a snapshot into records; equal snapshots give equal records. */
+/** Splits a snapshot into chunk records; equal snapshots give equal records. */
 export function snapshotRecords(
   snapshot: Snapshot,
   chunkChars: number = SNAPSHOT_CHUNK_CHARS,
@@ -48,24 +48,24 @@
   }));
 }
 
-/** Puts chunks together, in any order. */
+/** Assembles snapshots from chunks in any order. */
 export interface SnapshotAssembler {
-  /** Takes a record; returns a snapshot once all of its chunks were seen, its hash unchecked. */
+  /** Adds a record; returns the snapshot once all its chunks were added, without checking its hash. */
   add(record: StreamRecord): Snapshot | undefined;
-  /** Offset of the newest snapshot of which a chunk was seen. */
+  /** Offset of the newest snapshot that any added chunk belongs to. */
   newest(): number | undefined;
 }
 
-interface Partial {
+interface PartialSnapshot {
   readonly offset: number;
   readonly hash: string;
-  readonly parts: (string | undefined)[];
-  missing: number;
+  readonly chunks: (string | undefined)[];
+  missingCount: number;
 }
 
-/** Creates an assembler with nothing seen. */
+/** Creates an assembler without chunks. */
 export function createSnapshotAssembler(): SnapshotAssembler {
-  const partials = new Map<string, Partial>();
+  const partials = new Map<string, PartialSnapshot>();
   let newest: number | undefined;
 
   function add(record: StreamRecord): Snapshot | undefined {
@@ -78,46 +78,46 @@
     }
     newest = Math.max(newest ?? 0, chunk.offset);
     const key = `${chunk.offset}/${chunk.hash}/${chunk.count}`;
-    const partial = partials.get(key) ?? emptyPartial(chunk);
+    const partial = partials.get(key) ?? createPartial(chunk);
     partials.set(key, partial);
-    dropOldest(partials);
-    return fill(partials, key, partial, chunk);
+    evictOldest(partials);
+    return addChunk(partials, key, partial, chunk);
   }
 
   return { add, newest: () => newest };
 }
 
-function emptyPartial(chunk: z.output<typeof chunkSchema>): Partial {
+function createPartial(chunk: z.output<typeof chunkSchema>): PartialSnapshot {
   const { offset, hash, count } = chunk;
   return {
     offset,
     hash,
-    parts: new Array<string | undefined>(count).fill(undefined),
-    missing: count,
+    chunks: new Array<string | undefined>(count).fill(undefined),
+    missingCount: count,
   };
 }
 
-function fill(
-  partials: Map<string, Partial>,
+function addChunk(
+  partials: Map<string, PartialSnapshot>,
   key: string,
-  partial: Partial,
+  partial: PartialSnapshot,
   chunk: z.output<typeof chunkSchema>,
 ): Snapshot | undefined {
-  if (partial.parts[chunk.index] === undefined) {
-    partial.missing--;
+  if (partial.chunks[chunk.index] === undefined) {
+    partial.missingCount--;
   }
-  partial.parts[chunk.index] = chunk.data;
-  if (partial.missing > 0) {
+  partial.chunks[chunk.index] = chunk.data;
+  if (partial.missingCount > 0) {
     return undefined;
   }
   partials.delete(key);
   const { offset, hash } = partial;
-  return { offset, hash, text: partial.parts.join('') };
+  return { offset, hash, text: partial.chunks.join('') };
 }
 
-function dropOldest(partials: Map<string, Partial>): void {
+function evictOldest(partials: Map<string, PartialSnapshot>): void {
   const [oldest] = partials.keys();
-  if (partials.size > MAX_PARTIAL && oldest !== undefined) {
+  if (partials.size > MAX_PARTIAL_SNAPSHOTS && oldest !== undefined) {
     partials.delete(oldest);
   }
 }
