--- a/packages/daemon/src/log/append-budget.ts
+++ b/packages/daemon/src/log/append-budget.ts
@@ -1,73 +1,80 @@
-/** The budget of appends a second that the streams of this process share. */
+/** Limits the appends per second over all streams of this process. */
 import type { Clock, Millis, Schedule } from '@paddlewind/domain';
 
 import type { Stop } from '../parts.js';
 import { CLASS_WEIGHTS, type AppendClass } from './priority.js';
 
-/** Bounds of the budget, in appends a second. */
+/** Bounds of the budget, in appends per second. */
 export interface AppendBudgetLimits {
   readonly maxPerSecond: number;
   readonly minPerSecond: number;
 }
 
-/** Grants appends in the order of weighted fair queueing; leases go first. */
+/** Grants appends by weighted fair queueing; leases always go first. */
 export interface AppendBudget {
-  /** Runs `start` in a later turn, once the stream may append; the returned function withdraws. */
-  request(stream: string, priority: AppendClass, start: () => void): Stop;
-  /** Tells that the log refused an append as over its rate. */
-  refused(): void;
-  /** Present budget in appends a second. */
+  /** Calls `onGranted` in a later turn, once `stream` may append; the returned function withdraws. */
+  request(
+    stream: string,
+    appendClass: AppendClass,
+    onGranted: () => void,
+  ): Stop;
+  /** Lowers the budget after the log refused an append because of its rate. */
+  onRefused(): void;
+  /** Current budget in appends per second. */
   perSecond(): number;
   stop: Stop;
 }
 
-interface Waiting {
+interface WaitingAppend {
   readonly stream: string;
-  readonly priority: AppendClass;
-  readonly start: () => void;
-  readonly tag: number;
+  readonly appendClass: AppendClass;
+  readonly onGranted: () => void;
+  /** Virtual finish time of the append in weighted fair queueing. */
+  readonly finishTag: number;
 }
 
+/** Time for which unused budget accumulates. */
 const BURST_MS = 100;
-const CUT = 0.7;
-const CUT_INTERVAL_MS = 500;
-const GROWTH_PER_SECOND = 0.05;
+const RATE_CUT_FACTOR = 0.7;
+const MIN_CUT_INTERVAL_MS = 500;
+/** Growth of the budget per second, as a share of its maximum. */
+const GROWTH_SHARE_PER_SECOND = 0.05;
 
-/** Creates a budget that begins at its maximum and adapts to refusals of the log. */
+/** Creates a budget that starts at its maximum, is cut when the log refuses and recovers slowly. */
 export function createAppendBudget(
   clock: Clock,
   schedule: Schedule,
   limits: AppendBudgetLimits,
 ): AppendBudget {
-  const waiting = new Set<Waiting>();
-  const lastTags = new Map<string, number>();
-  let virtual = 0;
+  const waiting = new Set<WaitingAppend>();
+  const lastTagByStream = new Map<string, number>();
+  let virtualTime = 0;
   let rate = limits.maxPerSecond;
   let tokens = burstOf(rate);
-  let filledAt = clock();
-  let cutAt = -Infinity;
+  let refilledAt = clock();
+  let lastCutAt = -Infinity;
   let cancelTimer: Stop | undefined;
 
   function refill(): void {
     const now = clock();
-    const seconds = (now - filledAt) / 1_000;
-    filledAt = now;
+    const seconds = (now - refilledAt) / 1_000;
+    refilledAt = now;
     rate = Math.min(
       limits.maxPerSecond,
-      rate + seconds * GROWTH_PER_SECOND * limits.maxPerSecond,
+      rate + seconds * GROWTH_SHARE_PER_SECOND * limits.maxPerSecond,
     );
     tokens = Math.min(burstOf(rate), tokens + seconds * rate);
   }
 
   function request(
     stream: string,
-    priority: AppendClass,
-    start: () => void,
+    appendClass: AppendClass,
+    onGranted: () => void,
   ): Stop {
-    const earliest = Math.max(virtual, lastTags.get(stream) ?? 0);
-    const tag = earliest + 1 / CLASS_WEIGHTS[priority];
-    lastTags.set(stream, tag);
-    const entry = { stream, priority, start, tag };
+    const earliest = Math.max(virtualTime, lastTagByStream.get(stream) ?? 0);
+    const finishTag = earliest + 1 / CLASS_WEIGHTS[appendClass];
+    lastTagByStream.set(stream, finishTag);
+    const entry = { stream, appendClass, onGranted, finishTag };
     waiting.add(entry);
     queueMicrotask(grant);
     return () => void waiting.delete(entry);
@@ -76,19 +83,19 @@
   function grant(): void {
     refill();
     while (tokens >= 1) {
-      const next = firstOf(waiting);
+      const next = selectNext(waiting);
       if (next === undefined) {
         return;
       }
       waiting.delete(next);
       tokens--;
-      virtual = Math.max(virtual, next.tag);
-      next.start();
+      virtualTime = Math.max(virtualTime, next.finishTag);
+      next.onGranted();
     }
-    grantLater();
+    scheduleGrant();
   }
 
-  function grantLater(): void {
+  function scheduleGrant(): void {
     if (waiting.size === 0 || cancelTimer !== undefined) {
       return;
     }
@@ -99,19 +106,19 @@
     });
   }
 
-  function refused(): void {
+  function onRefused(): void {
     refill();
     tokens = Math.min(tokens, 0);
-    if (clock() - cutAt < CUT_INTERVAL_MS) {
+    if (clock() - lastCutAt < MIN_CUT_INTERVAL_MS) {
       return;
     }
-    cutAt = clock();
-    rate = Math.max(limits.minPerSecond, rate * CUT);
+    lastCutAt = clock();
+    rate = Math.max(limits.minPerSecond, rate * RATE_CUT_FACTOR);
   }
 
   return {
     request,
-    refused,
+    onRefused,
     perSecond: () => rate,
     stop: () => {
       cancelTimer?.();
@@ -124,18 +131,20 @@
   return Math.max(1, (rate * BURST_MS) / 1_000);
 }
 
-function firstOf(waiting: ReadonlySet<Waiting>): Waiting | undefined {
-  let best: Waiting | undefined;
+function selectNext(
+  waiting: ReadonlySet<WaitingAppend>,
+): WaitingAppend | undefined {
+  let best: WaitingAppend | undefined;
   for (const entry of waiting) {
-    if (best === undefined || goesBefore(entry, best)) {
+    if (best === undefined || precedes(entry, best)) {
       best = entry;
     }
   }
   return best;
 }
 
-function goesBefore(a: Waiting, b: Waiting): boolean {
-  const aLease = a.priority === 'leases';
-  const bLease = b.priority === 'leases';
-  return aLease === bLease ? a.tag < b.tag : aLease;
+function precedes(a: WaitingAppend, b: WaitingAppend): boolean {
+  const aLease = a.appendClass === 'leases';
+  const bLease = b.appendClass === 'leases';
+  return aLease === bLease ? a.finishTag < b.finishTag : aLease;
 }
--- a/packages/daemon/src/log/commit-queue.ts
+++ b/packages/daemon/src/log/commit-queue.ts
@@ -1,4 +1,4 @@
-/** Records of one stream that wait to be committed, and how a batch is made of them. */
+/** Queue of records of one stream that wait to be committed, taken out in batches. */
 import {
   appError,
   type AppError,
@@ -10,10 +10,10 @@
 
 import { SNAPSHOT_KIND_PREFIX } from './priority.js';
 
-/** When a caller may try again after the log failed it, in milliseconds. */
+/** Time after which a caller may retry when the log is unavailable. */
 export const LOG_RETRY_AFTER_MS = 1_000;
 
-/** Bounds of a batch and of the records that wait for one stream. */
+/** Limits of a batch and of the waiting records of one stream. */
 export interface CommitLimits {
   readonly maxBatchRecords: number;
   readonly maxBatchBytes: number;
@@ -21,36 +21,36 @@
   readonly maxWaitingBytes: number;
 }
 
-/** What is known of the tries of a record: `unknown` once one may have taken effect unseen. */
-export type TryState = 'not_sent' | 'in_flight' | 'unknown';
+/** State of the append attempts of a record: `unknown` once one may have succeeded without a reply. */
+export type AttemptState = 'not_sent' | 'in_flight' | 'unknown';
 
-/** A record on its way into the log. */
+/** Record that is being committed. */
 export interface PendingRecord {
   readonly record: StreamRecord;
-  /** Bytes of the record's JSON, roughly: characters are counted. */
+  /** Approximate size of the record's JSON: characters are counted. */
   readonly bytes: number;
   readonly deadline: Instant;
-  tries: TryState;
-  /** Head of the stream before the first try; the record cannot stand before it. */
-  since?: number;
+  attemptState: AttemptState;
+  /** Head of the stream before the first attempt; the record cannot be at an earlier offset. */
+  minOffset?: number;
   settled: boolean;
   readonly settle: (result: Result<Position, AppError>) => void;
 }
 
-/** Waiting records in order; snapshot chunks go behind the others. */
+/** Waiting records in order; snapshot chunks come after all others. */
 export interface CommitQueue {
-  /** Adds a record; false when the queue is full. */
+  /** Adds a record; returns false if the queue is full. */
   offer(pending: PendingRecord): boolean;
-  /** Puts back a batch whose append failed, before everything else. */
-  putBack(batch: readonly PendingRecord[]): void;
-  /** Takes the records of the next batch, at most `maxRecords`. */
+  /** Puts the unsettled records of a batch back at the front. */
+  requeue(batch: readonly PendingRecord[]): void;
+  /** Removes and returns the records of the next batch, at most `maxRecords`. */
   takeBatch(maxRecords?: number): PendingRecord[];
-  /** Forgets records that were settled meanwhile. */
-  prune(): void;
-  /** What waits at the front: nothing, ordinary records, or snapshot chunks only. */
+  /** Removes records that were settled while they waited. */
+  removeSettled(): void;
+  /** Returns `records` if ordinary records wait, `snapshots` if only snapshot chunks wait. */
   front(): 'nothing' | 'records' | 'snapshots';
   size(): number;
-  /** Takes everything out. */
+  /** Removes and returns all records. */
   clear(): PendingRecord[];
 }
 
@@ -68,35 +68,38 @@
       return false;
     }
     bytes += pending.bytes;
-    laneOf(pending).push(pending);
+    queueOf(pending).push(pending);
     return true;
   }
 
-  function laneOf(pending: PendingRecord): PendingRecord[] {
+  function queueOf(pending: PendingRecord): PendingRecord[] {
     return isSnapshot(pending) ? snapshots : records;
   }
 
-  function putBack(batch: readonly PendingRecord[]): void {
-    const live = batch.filter(pending => !pending.settled);
-    records.unshift(...live.filter(pending => !isSnapshot(pending)));
-    snapshots.unshift(...live.filter(isSnapshot));
-    bytes += bytesOf(live);
+  function requeue(batch: readonly PendingRecord[]): void {
+    const unsettled = batch.filter(pending => !pending.settled);
+    records.unshift(...unsettled.filter(pending => !isSnapshot(pending)));
+    snapshots.unshift(...unsettled.filter(isSnapshot));
+    bytes += bytesOf(unsettled);
   }
 
   function takeBatch(maxRecords = limits.maxBatchRecords): PendingRecord[] {
-    prune();
-    const most = Math.min(maxRecords, limits.maxBatchRecords);
-    const taken = records.splice(0, countUpTo(most));
-    const room = limits.maxBatchBytes - bytesOf(taken);
+    removeSettled();
+    const maxCount = Math.min(maxRecords, limits.maxBatchRecords);
+    const taken = records.splice(0, countFitting(maxCount));
+    const freeBytes = limits.maxBatchBytes - bytesOf(taken);
     const chunk = snapshots[0];
-    if (chunk !== undefined && (taken.length === 0 || chunk.bytes <= room)) {
+    if (
+      chunk !== undefined &&
+      (taken.length === 0 || chunk.bytes <= freeBytes)
+    ) {
       taken.push(...snapshots.splice(0, 1));
     }
     bytes -= bytesOf(taken);
     return taken;
   }
 
-  function countUpTo(maxRecords: number): number {
+  function countFitting(maxRecords: number): number {
     let size = 0;
     let count = 0;
     for (const pending of records) {
@@ -110,7 +113,7 @@
     return count;
   }
 
-  function prune(): void {
+  function removeSettled(): void {
     records = records.filter(pending => !pending.settled);
     snapshots = snapshots.filter(pending => !pending.settled);
     bytes = bytesOf(records) + bytesOf(snapshots);
@@ -133,9 +136,9 @@
 
   return {
     offer,
-    putBack,
+    requeue,
     takeBatch,
-    prune,
+    removeSettled,
     front,
     size: () => records.length + snapshots.length,
     clear,
@@ -150,9 +153,9 @@
   return batch.reduce((sum, pending) => sum + pending.bytes, 0);
 }
 
-/** The error of a record whose deadline passed, or whose committer stopped. */
-export function expired(pending: PendingRecord): AppError {
-  return pending.tries === 'not_sent'
+/** Creates the error of a record whose deadline passed or whose committer stopped. */
+export function unsettledError(pending: PendingRecord): AppError {
+  return pending.attemptState === 'not_sent'
     ? notWritten('The log did not take the record by its deadline.')
     : appError(
         'log_unavailable',
@@ -161,7 +164,7 @@
       );
 }
 
-/** The error of a record that surely was not written. */
+/** Creates the error of a record that was certainly not written. */
 export function notWritten(message: string): AppError {
   return appError('log_unavailable', message, {
     outcome: 'not_run',
--- a/packages/daemon/src/log/committer.ts
+++ b/packages/daemon/src/log/committer.ts
@@ -1,4 +1,4 @@
-/** Group commit: at most one append in flight per stream, and no guessing of lost answers. */
+/** Group commit with at most one append in flight per stream; lost replies are settled by reading. */
 import {
   appError,
   type AppError,
@@ -14,7 +14,7 @@
 import {
   createCommitQueue,
   LOG_RETRY_AFTER_MS,
-  expired,
+  unsettledError,
   notWritten,
   type CommitLimits,
   type PendingRecord,
@@ -23,18 +23,18 @@
 import { startStreamWriter, type StreamWriter } from './stream-writer.js';
 import { scheduleOf } from './timing.js';
 
-/** What a committer is created with. */
+/** Options of a committer. */
 export interface CommitterOptions {
   readonly log: LogService;
   readonly ctx: PartContext;
   readonly limits?: Partial<CommitLimits>;
-  /** Appends a second that this process may ask of the log; less while the log refuses. */
+  /** Maximum appends per second of this process; reduced while the log refuses appends. */
   readonly appendsPerSecond?: number;
 }
 
-/** A committer that can be stopped; records still waiting are then answered. */
+/** Committer that can be stopped; pending records then fail. */
 export interface StoppableCommitter extends Committer {
-  /** Records that wait, over all streams. */
+  /** Number of pending records over all streams. */
   waiting(): number;
   stop: Stop;
 }
@@ -84,9 +84,9 @@
       return Promise.resolve(Result.err(refusal));
     }
     return new Promise(resolve => {
-      const pending = pend({ record, bytes, deadline }, ctx, resolve);
+      const pending = createPending({ record, bytes, deadline }, ctx, resolve);
       if (!writerOf(stream).offer(pending)) {
-        pending.settle(Result.err(queueFull(stream)));
+        pending.settle(Result.err(queueFullError(stream)));
       }
     });
   }
@@ -119,14 +119,14 @@
     : undefined;
 }
 
-function pend(
+function createPending(
   offered: Pick<PendingRecord, 'record' | 'bytes' | 'deadline'>,
   ctx: PartContext,
   resolve: (result: Result<Position, AppError>) => void,
 ): PendingRecord {
   const pending: PendingRecord = {
     ...offered,
-    tries: 'not_sent',
+    attemptState: 'not_sent',
     settled: false,
     settle: result => {
       if (!pending.settled) {
@@ -137,12 +137,12 @@
     },
   };
   const cancel = scheduleOf(ctx)(offered.deadline - ctx.clock(), () => {
-    pending.settle(Result.err(expired(pending)));
+    pending.settle(Result.err(unsettledError(pending)));
   });
   return pending;
 }
 
-function queueFull(stream: string): AppError {
+function queueFullError(stream: string): AppError {
   return appError('overloaded', `Too many records wait for ${stream}.`, {
     outcome: 'not_run',
     retryAfterMs: LOG_RETRY_AFTER_MS,
--- a/packages/daemon/src/log/fold-follower.ts
+++ b/packages/daemon/src/log/fold-follower.ts
@@ -1,4 +1,4 @@
-/** Folds a stream from its last whole snapshot on, and recovers again when entries expired unread. */
+/** Folds a stream from its last complete snapshot; recovers again if unread entries expire. */
 import {
   createDedupeWindow,
   createSnapshotAssembler,
@@ -17,95 +17,100 @@
 import {
   REACHED,
   createOffsetWaiters,
-  followerStopped,
+  followerStoppedError,
   type OffsetWaiters,
 } from './offset-waiters.js';
-import { findStart, isWhole } from './recovery.js';
+import { findStart, isIntact } from './recovery.js';
 import { decodeSnapshot, encodeSnapshot } from './snapshot-text.js';
-import { backoffMs, createPause, scheduleOf, type Pause } from './timing.js';
+import {
+  backoffMs,
+  createInterruptibleWait,
+  scheduleOf,
+  type InterruptibleWait,
+} from './timing.js';
 
-/** The state that a stream folds to. */
+/** State that a stream is folded into. */
 export interface FoldedState {
-  /** Folds the new records of one entry; fails with `unsupported_record` and changes nothing. */
+  /** Applies the new records of one entry; if it fails with `unsupported_record`, nothing changed. */
   apply(
     records: readonly CommittedRecord[],
     next: number,
   ): Result<unknown, AppError>;
-  /** The state as text, the same on every host at the same offset. */
+  /** Returns the state as text, identical on every host at the same offset. */
   capture(): string;
-  /** Takes over a captured state; fails with `invalid` or `unsupported_record`. */
+  /** Replaces the state by a captured one; fails with `invalid` or `unsupported_record`. */
   restore(text: string, offset: number): Result<unknown, AppError>;
 }
 
-/** What a fold is started with. */
+/** Options of a fold follower. */
 export interface FoldOptions {
   readonly log: LogService;
   readonly stream: string;
   readonly ctx: PartContext;
   readonly state: FoldedState;
-  /** Called after the state moved on, or the head was read again. */
+  /** Called after each read, after a recovery and when the fold has failed. */
   readonly onProgress?: () => void;
-  /** Record ids remembered for dedupe. */
+  /** Number of record ids kept for deduplication. */
   readonly windowSize?: number;
   readonly waitMs?: Millis;
 }
 
-/** How a fold fares: `failed` is final, `recovering` goes on by itself. */
+/** Status of a fold: `failed` is final, `recovering` is retried automatically. */
 export type FoldStatus = 'recovering' | 'following' | 'failed';
 
-/** A whole snapshot that was read; `seenAt` is absent when it was found at recovery. */
+/** Complete snapshot in the stream; `seenAt` is absent if it was found during recovery. */
 export interface SeenSnapshot {
   readonly offset: number;
   readonly seenAt?: Instant;
 }
 
-/** A stream being folded. */
+/** Follower that folds a stream into a state. */
 export interface FoldFollower extends StreamFollower {
   status(): FoldStatus;
-  /** Why the fold does not follow, if so. */
+  /** Error that keeps the stream from being followed, if any. */
   failure(): AppError | undefined;
-  /** Whether a read of the head has succeeded since the start and everything before it is folded. */
+  /** Returns whether the head was read since the start and all entries before it are folded. */
   caughtUp(): boolean;
   head(): number | undefined;
   first(): number | undefined;
-  /** When the log last answered. */
+  /** Time of the last successful read. */
   readAt(): Instant | undefined;
-  /** Reads again at once, if the fold is waiting after a failed read. */
+  /** Retries immediately if the fold is waiting after a failed read. */
   wake(): void;
-  /** The present state as a snapshot. */
+  /** Returns the current state as a snapshot. */
   snapshot(): Promise<Snapshot>;
-  /** Takes over a peer's snapshot; false unless it is whole and newer than the present state. */
+  /** Replaces the state by a peer's snapshot; returns false unless it is intact and newer. */
   adopt(snapshot: Snapshot): Promise<boolean>;
-  /** The newest whole snapshot in the stream. */
+  /** Newest complete snapshot in the stream. */
   lastSnapshot(): SeenSnapshot | undefined;
-  /** When a chunk of a newer snapshot was last read. */
+  /** Time at which the first chunk of the newest snapshot was read. */
   chunkSeenAt(): Instant | undefined;
 }
 
-interface Folding {
+interface FoldState {
   readonly options: FoldOptions;
   readonly waiters: OffsetWaiters;
   readonly abort: AbortController;
-  readonly pause: Pause;
+  readonly retryWait: InterruptibleWait;
   window: DedupeWindow;
   assembler: SnapshotAssembler;
   follower: LogFollower | undefined;
   status: FoldStatus;
   failure: AppError | undefined;
-  /** Next offset to be folded; undefined before there is a state. */
+  /** Next offset to fold; undefined until the first recovery. */
   next: number | undefined;
   readAt: Instant | undefined;
-  seen: SeenSnapshot | undefined;
+  newestSnapshot: SeenSnapshot | undefined;
   chunkSeenAt: Instant | undefined;
 }
 
-/** Starts to fold a stream. */
+/** Starts to fold a stream into `options.state`. */
 export function followFold(options: FoldOptions): FoldFollower {
-  const folding: Folding = {
+  const fold: FoldState = {
     options,
     waiters: createOffsetWaiters(options.ctx, options.stream),
     abort: new AbortController(),
-    pause: createPause(scheduleOf(options.ctx)),
+    retryWait: createInterruptibleWait(scheduleOf(options.ctx)),
     window: createDedupeWindow([], options.windowSize),
     assembler: createSnapshotAssembler(),
     follower: undefined,
@@ -113,104 +118,104 @@
     failure: undefined,
     next: undefined,
     readAt: undefined,
-    seen: undefined,
+    newestSnapshot: undefined,
     chunkSeenAt: undefined,
   };
-  void recover(folding);
+  void recover(fold);
   return {
-    offset: () => folding.next ?? 0,
-    status: () => folding.status,
-    failure: () => folding.failure,
-    caughtUp: () => folding.follower?.caughtUp() ?? false,
-    head: () => folding.follower?.head(),
-    first: () => folding.follower?.first(),
-    readAt: () => folding.follower?.readAt() ?? folding.readAt,
-    reach: (offset, deadline) => reach(folding, offset, deadline),
+    offset: () => fold.next ?? 0,
+    status: () => fold.status,
+    failure: () => fold.failure,
+    caughtUp: () => fold.follower?.caughtUp() ?? false,
+    head: () => fold.follower?.head(),
+    first: () => fold.follower?.first(),
+    readAt: () => fold.follower?.readAt() ?? fold.readAt,
+    reach: (offset, deadline) => reach(fold, offset, deadline),
     wake: () => {
-      folding.pause.wake();
-      folding.follower?.wake();
+      fold.retryWait.wake();
+      fold.follower?.wake();
     },
-    snapshot: () => snapshotOf(folding),
-    adopt: snapshot => adopt(folding, snapshot),
-    lastSnapshot: () => folding.seen,
-    chunkSeenAt: () => folding.chunkSeenAt,
+    snapshot: () => captureSnapshot(fold),
+    adopt: snapshot => adoptSnapshot(fold, snapshot),
+    lastSnapshot: () => fold.newestSnapshot,
+    chunkSeenAt: () => fold.chunkSeenAt,
     stop: () => {
-      stop(folding);
+      stop(fold);
     },
   };
 }
 
-/** Looks for a start until one is found, or a peer's snapshot is adopted. */
-async function recover(folding: Folding): Promise<void> {
-  const { log, stream, ctx } = folding.options;
-  folding.status = 'recovering';
+/** Searches for a start offset until it finds one or a peer's snapshot is adopted. */
+async function recover(fold: FoldState): Promise<void> {
+  const { log, stream, ctx } = fold.options;
+  fold.status = 'recovering';
   let failures = 0;
-  while (isRecovering(folding)) {
-    const start = await findStart(log, stream, folding.next);
-    if (!isRecovering(folding)) {
+  while (isRecovering(fold)) {
+    const start = await findStart(log, stream, fold.next);
+    if (!isRecovering(fold)) {
       return;
     }
     if (start.isOk) {
-      const begun =
+      const isFollowing =
         start.value.kind === 'beginning'
-          ? beginAt(folding, 0)
-          : await restore(folding, start.value.snapshot);
-      if (begun) {
+          ? followFrom(fold, 0)
+          : await restore(fold, start.value.snapshot);
+      if (isFollowing) {
         return;
       }
     } else {
-      noteFailure(folding, start.error);
+      reportFailure(fold, start.error);
     }
     failures++;
     const wait = backoffMs(failures, ctx.random);
-    await folding.pause.wait(wait, folding.abort.signal);
+    await fold.retryWait.wait(wait, fold.abort.signal);
   }
 }
 
-function isRecovering({ status, abort }: Folding): boolean {
+function isRecovering({ status, abort }: FoldState): boolean {
   return status === 'recovering' && !abort.signal.aborted;
 }
 
-function noteFailure(folding: Folding, error: AppError): void {
-  const { ctx, stream } = folding.options;
-  if (folding.failure?.kind !== error.kind) {
+function reportFailure(fold: FoldState, error: AppError): void {
+  const { ctx, stream } = fold.options;
+  if (fold.failure?.kind !== error.kind) {
     ctx.log.warn({ stream, err: error }, `log: ${stream} cannot be recovered`);
   }
-  folding.failure = error;
+  fold.failure = error;
 }
 
-async function restore(folding: Folding, snapshot: Snapshot): Promise<boolean> {
-  const { state, windowSize } = folding.options;
+async function restore(fold: FoldState, snapshot: Snapshot): Promise<boolean> {
+  const { state, windowSize } = fold.options;
   const decoded = await decodeSnapshot(snapshot);
-  const isNewer = snapshot.offset >= (folding.next ?? 0);
-  if (folding.abort.signal.aborted || !isNewer) {
+  const isNewer = snapshot.offset >= (fold.next ?? 0);
+  if (fold.abort.signal.aborted || !isNewer) {
     return false;
   }
   const restored = decoded.isOk
     ? state.restore(decoded.value.state, snapshot.offset)
     : Result.err<unknown, AppError>(decoded.error);
   if (restored.isErr) {
-    noteFailure(folding, restored.error);
-    folding.status =
-      restored.error.kind === 'unsupported_record' ? 'failed' : folding.status;
+    reportFailure(fold, restored.error);
+    fold.status =
+      restored.error.kind === 'unsupported_record' ? 'failed' : fold.status;
     return false;
   }
   const ids = decoded.isOk ? decoded.value.ids : [];
-  folding.window = createDedupeWindow(ids, windowSize);
-  folding.seen = { offset: snapshot.offset };
-  return beginAt(folding, snapshot.offset);
+  fold.window = createDedupeWindow(ids, windowSize);
+  fold.newestSnapshot = { offset: snapshot.offset };
+  return followFrom(fold, snapshot.offset);
 }
 
-function beginAt(folding: Folding, from: number): true {
-  const { log, stream, ctx, waitMs, onProgress } = folding.options;
-  const { window } = folding;
-  folding.follower?.stop();
-  folding.status = 'following';
-  folding.failure = undefined;
-  folding.next = from;
-  folding.assembler = createSnapshotAssembler();
+function followFrom(fold: FoldState, from: number): true {
+  const { log, stream, ctx, waitMs, onProgress } = fold.options;
+  const { window } = fold;
+  fold.follower?.stop();
+  fold.status = 'following';
+  fold.failure = undefined;
+  fold.next = from;
+  fold.assembler = createSnapshotAssembler();
   ctx.log.info({ stream, from }, `log: ${stream} is followed from ${from}`);
-  folding.follower = followStream({
+  fold.follower = followStream({
     log,
     stream,
     from,
@@ -219,99 +224,103 @@
     ...(waitMs === undefined ? {} : { waitMs }),
     ...(onProgress === undefined ? {} : { onProgress }),
     onBatch: (records, next) => {
-      apply(folding, records, next);
+      applyBatch(fold, records, next);
     },
     onFailure: error => {
-      followFailed(folding, error);
+      handleFollowerFailure(fold, error);
     },
   });
-  folding.waiters.wake(from);
+  fold.waiters.wake(from);
   onProgress?.();
   return true;
 }
 
-function apply(
-  folding: Folding,
+function applyBatch(
+  fold: FoldState,
   records: readonly CommittedRecord[],
   next: number,
 ): void {
-  const applied = folding.options.state.apply(records, next);
+  const applied = fold.options.state.apply(records, next);
   if (applied.isErr) {
-    fail(folding, applied.error);
+    fail(fold, applied.error);
     return;
   }
-  folding.next = next;
+  fold.next = next;
   records.forEach(record => {
-    noteSnapshot(folding, record);
+    noteSnapshot(fold, record);
   });
-  folding.waiters.wake(next);
+  fold.waiters.wake(next);
 }
 
-function noteSnapshot(folding: Folding, record: CommittedRecord): void {
-  const newest = folding.assembler.newest();
-  const whole = folding.assembler.add(record);
-  if (folding.assembler.newest() !== newest) {
-    folding.chunkSeenAt = record.readAt;
+function noteSnapshot(fold: FoldState, record: CommittedRecord): void {
+  const newest = fold.assembler.newest();
+  const complete = fold.assembler.add(record);
+  if (fold.assembler.newest() !== newest) {
+    fold.chunkSeenAt = record.readAt;
   }
-  const isNewer = (whole?.offset ?? -1) >= (folding.seen?.offset ?? 0);
-  if (whole !== undefined && isNewer && isWhole(whole)) {
-    folding.seen = { offset: whole.offset, seenAt: record.readAt };
+  const isNewer =
+    (complete?.offset ?? -1) >= (fold.newestSnapshot?.offset ?? 0);
+  if (complete !== undefined && isNewer && isIntact(complete)) {
+    fold.newestSnapshot = { offset: complete.offset, seenAt: record.readAt };
   }
 }
 
-function followFailed(folding: Folding, error: AppError): void {
-  folding.readAt = folding.follower?.readAt();
+function handleFollowerFailure(fold: FoldState, error: AppError): void {
+  fold.readAt = fold.follower?.readAt();
   if (error.kind === 'log_trimmed') {
-    noteFailure(folding, error);
-    void recover(folding);
+    reportFailure(fold, error);
+    void recover(fold);
     return;
   }
-  fail(folding, error);
+  fail(fold, error);
 }
 
-function fail(folding: Folding, error: AppError): void {
-  const { ctx, stream, onProgress } = folding.options;
-  folding.status = 'failed';
-  folding.failure = error;
-  folding.follower?.stop();
-  folding.waiters.fail(error);
+function fail(fold: FoldState, error: AppError): void {
+  const { ctx, stream, onProgress } = fold.options;
+  fold.status = 'failed';
+  fold.failure = error;
+  fold.follower?.stop();
+  fold.waiters.fail(error);
   ctx.log.error({ stream, err: error }, `log: ${stream} cannot be folded`);
   onProgress?.();
 }
 
-async function adopt(folding: Folding, snapshot: Snapshot): Promise<boolean> {
-  const isNewer = snapshot.offset > (folding.next ?? -1);
-  if (folding.status === 'failed' || !isNewer || !isWhole(snapshot)) {
+async function adoptSnapshot(
+  fold: FoldState,
+  snapshot: Snapshot,
+): Promise<boolean> {
+  const isNewer = snapshot.offset > (fold.next ?? -1);
+  if (fold.status === 'failed' || !isNewer || !isIntact(snapshot)) {
     return false;
   }
-  return restore(folding, snapshot);
+  return restore(fold, snapshot);
 }
 
-function snapshotOf(folding: Folding): Promise<Snapshot> {
+function captureSnapshot(fold: FoldState): Promise<Snapshot> {
   return encodeSnapshot({
-    offset: folding.next ?? 0,
-    ids: folding.window.ids(),
-    state: folding.options.state.capture(),
+    offset: fold.next ?? 0,
+    ids: fold.window.ids(),
+    state: fold.options.state.capture(),
   });
 }
 
 function reach(
-  folding: Folding,
+  fold: FoldState,
   offset: number,
   deadline: Instant,
 ): Promise<Result<void, AppError>> {
-  if (folding.next !== undefined && offset <= folding.next) {
+  if (fold.next !== undefined && offset <= fold.next) {
     return Promise.resolve(REACHED);
   }
-  if (folding.status === 'failed' || folding.abort.signal.aborted) {
-    const reason = folding.failure ?? followerStopped();
+  if (fold.status === 'failed' || fold.abort.signal.aborted) {
+    const reason = fold.failure ?? followerStoppedError();
     return Promise.resolve(Result.err(reason));
   }
-  return folding.waiters.wait(offset, deadline);
+  return fold.waiters.wait(offset, deadline);
 }
 
-function stop(folding: Folding): void {
-  folding.abort.abort();
-  folding.follower?.stop();
-  folding.waiters.fail(followerStopped());
+function stop(fold: FoldState): void {
+  fold.abort.abort();
+  fold.follower?.stop();
+  fold.waiters.fail(followerStoppedError());
 }
--- a/packages/daemon/src/log/follow-retained.ts
+++ b/packages/daemon/src/log/follow-retained.ts
@@ -1,4 +1,4 @@
-/** Follows a stream without snapshots from its oldest retained entry. */
+/** Follows a stream that has no snapshots, starting at its oldest retained entry. */
 import {
   appError,
   type AppError,
@@ -13,49 +13,49 @@
   type FollowOptions,
   type LogFollower,
 } from './follower.js';
-import { readEnds } from './read-back.js';
+import { readBounds } from './read-back.js';
 import { backoffMs, scheduleOf, sleep } from './timing.js';
 
-/** What to follow; where to begin is learned from the log. */
+/** Options of the follower; the start offset is read from the log. */
 export type RetainedOptions = Omit<FollowOptions, 'from' | 'onFailure'>;
 
-interface Following {
+interface RetainedFollowerState {
   readonly options: RetainedOptions;
   readonly abort: AbortController;
-  readonly starting: Set<() => void>;
-  inner: LogFollower | undefined;
+  readonly startWaiters: Set<() => void>;
+  follower: LogFollower | undefined;
 }
 
 /**
- * Starts to follow from the oldest retained entry. Entries that expire before they are read
- * are passed over, which suits state that expires sooner than the log's entries.
+ * Starts to follow a stream at its oldest retained entry. Entries that expire before they are read
+ * are skipped, which is safe for state that expires sooner than the log's entries.
  */
 export function followRetained(options: RetainedOptions): StreamFollower {
-  const following: Following = {
+  const state: RetainedFollowerState = {
     options,
     abort: new AbortController(),
-    starting: new Set(),
-    inner: undefined,
+    startWaiters: new Set(),
+    follower: undefined,
   };
-  void start(following);
+  void start(state);
   return {
-    offset: () => following.inner?.offset() ?? 0,
-    caughtUp: () => following.inner?.caughtUp() ?? false,
-    reach: (offset, deadline) => reach(following, offset, deadline),
+    offset: () => state.follower?.offset() ?? 0,
+    caughtUp: () => state.follower?.caughtUp() ?? false,
+    reach: (offset, deadline) => reach(state, offset, deadline),
     stop() {
-      following.abort.abort();
-      following.inner?.stop();
+      state.abort.abort();
+      state.follower?.stop();
     },
   };
 }
 
-async function start(following: Following): Promise<void> {
-  const { options, abort } = following;
+async function start(state: RetainedFollowerState): Promise<void> {
+  const { options, abort } = state;
   const { ctx, log, stream } = options;
   for (let failures = 1; !abort.signal.aborted; failures++) {
-    const ends = await readEnds(log, stream);
-    if (ends.isOk) {
-      startAt(following, ends.value.first);
+    const bounds = await readBounds(log, stream);
+    if (bounds.isOk) {
+      followFrom(state, bounds.value.first);
       return;
     }
     const wait = backoffMs(failures, ctx.random);
@@ -63,56 +63,59 @@
   }
 }
 
-function startAt(following: Following, from: number): void {
-  if (following.abort.signal.aborted) {
+function followFrom(state: RetainedFollowerState, from: number): void {
+  if (state.abort.signal.aborted) {
     return;
   }
-  following.inner = followStream({
-    ...following.options,
+  state.follower = followStream({
+    ...state.options,
     from,
     onFailure: error => {
-      failed(following, error);
+      handleFailure(state, error);
     },
   });
-  for (const started of following.starting) {
-    started();
+  for (const onStarted of state.startWaiters) {
+    onStarted();
   }
 }
 
-function failed(following: Following, error: AppError): void {
+function handleFailure(state: RetainedFollowerState, error: AppError): void {
   if (error.kind === 'log_trimmed') {
-    void start(following);
+    void start(state);
   }
 }
 
 async function reach(
-  following: Following,
+  state: RetainedFollowerState,
   offset: number,
   deadline: Instant,
 ): Promise<Result<void, AppError>> {
-  const left = deadline - following.options.ctx.clock();
-  if (following.inner === undefined && !(await started(following, left))) {
+  const left = deadline - state.options.ctx.clock();
+  if (state.follower === undefined && !(await waitForStart(state, left))) {
     return Result.err(appError('timeout', 'The stream is not read yet.'));
   }
-  const { inner } = following;
-  return inner === undefined
+  const { follower } = state;
+  return follower === undefined
     ? Result.err(appError('canceled', 'The follower has stopped.'))
-    : inner.reach(offset, deadline);
+    : follower.reach(offset, deadline);
 }
 
-/** Resolves to whether the stream is followed within `span`. */
-function started(following: Following, span: Millis): Promise<boolean> {
-  const { starting, options } = following;
+/** Resolves to true once the stream is being followed, or to false after `timeoutMs`. */
+function waitForStart(
+  state: RetainedFollowerState,
+  timeoutMs: Millis,
+): Promise<boolean> {
+  const { startWaiters, options } = state;
   return new Promise(resolve => {
-    const cancel = scheduleOf(options.ctx)(Math.max(0, span), () => {
-      starting.delete(found);
+    const cancel = scheduleOf(options.ctx)(Math.max(0, timeoutMs), () => {
+      startWaiters.delete(onStarted);
       resolve(false);
     });
-    function found(): void {
-      starting.delete(found);
+    function onStarted(): void {
+      startWaiters.delete(onStarted);
       cancel();
       resolve(true);
     }
-    starting.add(found);
+    startWaiters.add(onStarted);
   });
 }
--- a/packages/daemon/src/log/follow-snapshots.ts
+++ b/packages/daemon/src/log/follow-snapshots.ts
@@ -1,4 +1,4 @@
-/** Folds of streams whose snapshots this process helps to keep. */
+/** Follows streams into a state and writes their snapshots. */
 import type { AppError, Millis } from '@paddlewind/domain';
 import type { LogService } from '@paddlewind/ports';
 
@@ -6,14 +6,15 @@
 import { followFold, type FoldedState } from './fold-follower.js';
 import { startSnapshotWriter } from './snapshot-writer.js';
 
-/** A followed fold that tells why it does not follow, if so. */
+/** Follower that exposes why it is not following. */
 export interface FoldedFollower extends StreamFollower {
+  /** Error that keeps the stream from being followed, if any. */
   failure(): AppError | undefined;
 }
 
 /**
- * Folds a stream from its last whole snapshot on; while `mayWrite` holds, this process also writes
- * snapshots of the state before the records that it stands for expire.
+ * Folds a stream into `state`, starting from its last complete snapshot. While `mayWrite` returns
+ * true, this process also writes snapshots of the state before the records behind it expire.
  */
 export type Follow = (
   stream: string,
@@ -21,22 +22,22 @@
   mayWrite: () => boolean,
 ) => FoldedFollower;
 
-/** What streams are followed with. */
+/** Options for following streams with snapshots. */
 export interface FollowSnapshotsOptions {
   readonly log: LogService;
   readonly ctx: PartContext;
   readonly committer: Committer;
-  /** Time for which the log keeps records. */
+  /** Retention period of the log. */
   readonly retentionMs: Millis;
 }
 
-/** Snapshots that are written within the time for which the log keeps records. */
+/** Number of snapshots written per retention period of the log. */
 const SNAPSHOTS_PER_RETENTION = 4;
-/** Entries after which a snapshot is written anew, which bounds the time of a recovery. */
-const SNAPSHOT_ENTRIES = 50_000;
-const STAGGER_MS = 10_000;
+/** Entries after which a new snapshot is written, which limits the time of a recovery. */
+const MAX_ENTRIES_SINCE_SNAPSHOT = 50_000;
+const MAX_STAGGER_MS = 10_000;
 
-/** Returns a function that follows streams of a log. */
+/** Returns a function that follows streams of a log and writes their snapshots. */
 export function followWithSnapshots(options: FollowSnapshotsOptions): Follow {
   const { log, ctx, committer, retentionMs } = options;
   return (stream, state, mayWrite) => {
@@ -47,8 +48,8 @@
       committer,
       follower,
       everyMs: retentionMs / SNAPSHOTS_PER_RETENTION,
-      everyEntries: SNAPSHOT_ENTRIES,
-      staggerMs: STAGGER_MS,
+      everyEntries: MAX_ENTRIES_SINCE_SNAPSHOT,
+      staggerMs: MAX_STAGGER_MS,
       mayWrite,
     });
     return {
--- a/packages/daemon/src/log/follower.ts
+++ b/packages/daemon/src/log/follower.ts
@@ -1,4 +1,4 @@
-/** Follows a stream in offset order by long-poll reads. */
+/** Follows a stream in offset order with long-poll reads. */
 import {
   appError,
   createDedupeWindow,
@@ -17,65 +17,65 @@
 import {
   REACHED,
   createOffsetWaiters,
-  followerStopped,
+  followerStoppedError,
   type OffsetWaiters,
 } from './offset-waiters.js';
 import { READ_LIMIT } from './read-back.js';
 import {
   backoffMs,
-  createPause,
+  createInterruptibleWait,
   scheduleOf,
   sleep,
-  type Pause,
+  type InterruptibleWait,
 } from './timing.js';
 
-/** What a follower is started with. */
+/** Options of a follower. */
 export interface FollowOptions {
   readonly log: LogService;
   readonly stream: string;
-  /** Offset of the first entry to be read. */
+  /** Offset of the first entry to read. */
   readonly from: number;
   readonly ctx: PartContext;
-  /** Called once for each entry with its new records, and the offset after the entry. */
+  /** Called once per entry with its new records and the offset after the entry. */
   readonly onBatch: (records: readonly CommittedRecord[], next: number) => void;
-  /** Called after a page has been folded, or read empty. */
+  /** Called after each successful read, once its entries have been processed. */
   readonly onProgress?: () => void;
   /**
-   * Called once when the follower cannot go on: `unsupported_record`, or `log_trimmed` when
-   * entries that it had not read have expired.
+   * Called once when the follower cannot continue: with `unsupported_record`, or with `log_trimmed`
+   * if entries expired before they were read.
    */
   readonly onFailure?: (error: AppError) => void;
-  /** Ids known from the snapshot that `from` belongs to. */
+  /** Record ids from the snapshot at `from`. */
   readonly window?: DedupeWindow;
-  /** How long a read waits for an entry. */
+  /** Time that a read waits for new entries. */
   readonly waitMs?: Millis;
 }
 
-/** A follower that tells how its reads fare. */
+/** Follower that exposes the state of its reads. */
 export interface LogFollower extends StreamFollower {
-  /** Head of the stream as last seen; undefined before the first read. */
+  /** Head of the stream at the last read; undefined before the first. */
   head(): number | undefined;
-  /** Oldest retained offset as last seen; undefined before the first read. */
+  /** Oldest retained offset at the last read; undefined before the first. */
   first(): number | undefined;
-  /** When a read last succeeded; undefined before the first. */
+  /** Time of the last successful read; undefined before the first. */
   readAt(): Instant | undefined;
-  /** Reads again at once, if the follower is waiting after a failed read. */
+  /** Retries immediately if the follower is waiting after a failed read. */
   wake(): void;
-  /** Why the follower stopped, if it did. */
+  /** Error that stopped the follower, if any. */
   failure(): AppError | undefined;
 }
 
-const WAIT_MS = 5_000;
-/** Least time between empty reads, in case the log does not wait. */
-const EMPTY_READ_MS = 50;
+const READ_WAIT_MS = 5_000;
+/** Minimum time between empty reads, in case the log returns without waiting. */
+const MIN_EMPTY_READ_INTERVAL_MS = 50;
 
-interface Following {
+interface FollowerState {
   readonly options: FollowOptions;
   readonly window: DedupeWindow;
   readonly metrics: LogMetrics;
   readonly abort: AbortController;
   readonly waiters: OffsetWaiters;
-  readonly pause: Pause;
+  readonly retryWait: InterruptibleWait;
   next: number;
   head: number | undefined;
   first: number | undefined;
@@ -84,15 +84,15 @@
   failures: number;
 }
 
-/** Starts to follow a stream; see `FollowOptions`. */
+/** Starts to follow a stream. */
 export function followStream(options: FollowOptions): LogFollower {
-  const following: Following = {
+  const state: FollowerState = {
     options,
     window: options.window ?? createDedupeWindow(),
     metrics: createLogMetrics(options.ctx.metrics),
     abort: new AbortController(),
     waiters: createOffsetWaiters(options.ctx, options.stream),
-    pause: createPause(scheduleOf(options.ctx)),
+    retryWait: createInterruptibleWait(scheduleOf(options.ctx)),
     next: options.from,
     head: undefined,
     first: undefined,
@@ -100,119 +100,123 @@
     failure: undefined,
     failures: 0,
   };
-  void run(following);
+  void run(state);
   return {
-    offset: () => following.next,
-    caughtUp: () => isCaughtUp(following),
-    reach: (offset, deadline) => reach(following, offset, deadline),
-    head: () => following.head,
-    first: () => following.first,
-    readAt: () => following.readAt,
+    offset: () => state.next,
+    caughtUp: () => isCaughtUp(state),
+    reach: (offset, deadline) => reach(state, offset, deadline),
+    head: () => state.head,
+    first: () => state.first,
+    readAt: () => state.readAt,
     wake: () => {
-      following.pause.wake();
+      state.retryWait.wake();
     },
-    failure: () => following.failure,
+    failure: () => state.failure,
     stop: () => {
-      stop(following, followerStopped());
+      stop(state, followerStoppedError());
     },
   };
 }
 
-function isCaughtUp({ failure, head, next }: Following): boolean {
+function isCaughtUp({ failure, head, next }: FollowerState): boolean {
   return failure === undefined && head !== undefined && next >= head;
 }
 
-async function run(following: Following): Promise<void> {
-  const { options, abort } = following;
+async function run(state: FollowerState): Promise<void> {
+  const { options, abort } = state;
   const { signal } = abort;
-  const waitMs = options.waitMs ?? WAIT_MS;
+  const waitMs = options.waitMs ?? READ_WAIT_MS;
   while (!signal.aborted) {
-    const askedAt = options.ctx.clock();
+    const requestedAt = options.ctx.clock();
     const page = await options.log.read({
       stream: options.stream,
-      from: following.next,
+      from: state.next,
       limit: READ_LIMIT,
-      waitMs: following.head === undefined ? 0 : waitMs,
+      waitMs: state.head === undefined ? 0 : waitMs,
       signal,
     });
-    if (!isStopped(following)) {
+    if (!isStopped(state)) {
       await (page.isOk
-        ? accept(following, page.value, askedAt)
-        : readFailed(following, page.error));
+        ? handlePage(state, page.value, requestedAt)
+        : handleReadError(state, page.error));
     }
   }
 }
 
-function isStopped(following: Following): boolean {
-  return following.abort.signal.aborted;
+function isStopped(state: FollowerState): boolean {
+  return state.abort.signal.aborted;
 }
 
-async function accept(
-  following: Following,
+async function handlePage(
+  state: FollowerState,
   page: LogPage,
-  askedAt: Instant,
+  requestedAt: Instant,
 ): Promise<void> {
-  const { ctx, stream, onProgress } = following.options;
-  if (following.failures > 0) {
-    ctx.log.info(
-      { stream, next: following.next },
-      `log: ${stream} is read again`,
-    );
+  const { ctx, stream, onProgress } = state.options;
+  if (state.failures > 0) {
+    ctx.log.info({ stream, next: state.next }, `log: ${stream} is read again`);
   }
-  following.failures = 0;
-  following.readAt = ctx.clock();
-  following.head = page.head;
-  following.first = page.first;
+  state.failures = 0;
+  state.readAt = ctx.clock();
+  state.head = page.head;
+  state.first = page.first;
   for (const entry of page.entries) {
-    if (!isStopped(following)) {
-      fold(following, entry);
+    if (!isStopped(state)) {
+      foldEntry(state, entry);
     }
   }
   onProgress?.();
   const isEmpty = page.entries.length === 0;
-  if (isEmpty && ctx.clock() - askedAt < EMPTY_READ_MS) {
-    await sleep(scheduleOf(ctx), EMPTY_READ_MS, following.abort.signal);
+  if (isEmpty && ctx.clock() - requestedAt < MIN_EMPTY_READ_INTERVAL_MS) {
+    await sleep(
+      scheduleOf(ctx),
+      MIN_EMPTY_READ_INTERVAL_MS,
+      state.abort.signal,
+    );
   }
 }
 
-function fold(following: Following, entry: LogEntry): void {
-  const { options } = following;
-  if (entry.offset < following.next) {
+function foldEntry(state: FollowerState, entry: LogEntry): void {
+  const { options } = state;
+  if (entry.offset < state.next) {
     return;
   }
   const batch = decodeBatch(entry.payload);
   if (batch.isErr && batch.error.kind === 'unsupported_record') {
-    fail(following, unsupported(options.stream, entry.offset, batch.error));
+    fail(
+      state,
+      unsupportedEntryError(options.stream, entry.offset, batch.error),
+    );
     return;
   }
   if (batch.isErr) {
-    noteMalformed(following, entry.offset, batch.error);
+    reportMalformed(state, entry.offset, batch.error);
   }
-  following.next = entry.offset + 1;
+  state.next = entry.offset + 1;
   const records = batch.isOk ? batch.value.records : [];
-  options.onBatch(firstOnes(following, entry.offset, records), following.next);
-  following.waiters.wake(following.next);
+  options.onBatch(withoutDuplicates(state, entry.offset, records), state.next);
+  state.waiters.wake(state.next);
 }
 
-function firstOnes(
-  { window, metrics, readAt, options }: Following,
+function withoutDuplicates(
+  { window, metrics, readAt, options }: FollowerState,
   offset: number,
   records: readonly StreamRecord[],
 ): CommittedRecord[] {
-  const taken: CommittedRecord[] = [];
+  const fresh: CommittedRecord[] = [];
   records.forEach((record, index) => {
     if (window.take(record.id)) {
       const at = readAt ?? options.ctx.clock();
-      taken.push({ ...record, position: { offset, index }, readAt: at });
+      fresh.push({ ...record, position: { offset, index }, readAt: at });
     } else {
       metrics.skipped('duplicate');
     }
   });
-  return taken;
+  return fresh;
 }
 
-function noteMalformed(
-  { metrics, options }: Following,
+function reportMalformed(
+  { metrics, options }: FollowerState,
   offset: number,
   err: AppError,
 ): void {
@@ -224,57 +228,57 @@
   );
 }
 
-async function readFailed(
-  following: Following,
+async function handleReadError(
+  state: FollowerState,
   error: AppError,
 ): Promise<void> {
-  const { ctx, stream } = following.options;
+  const { ctx, stream } = state.options;
   if (error.kind === 'log_trimmed') {
-    fail(following, error);
+    fail(state, error);
     return;
   }
-  following.failures++;
-  if (following.failures === 1) {
+  state.failures++;
+  if (state.failures === 1) {
     ctx.log.warn({ stream, err: error }, `log: ${stream} cannot be read`);
   }
-  const wait = backoffMs(following.failures, ctx.random);
-  const span = Math.max(wait, error.retryAfterMs ?? 0);
-  await following.pause.wait(span, following.abort.signal);
+  const backoff = backoffMs(state.failures, ctx.random);
+  const delay = Math.max(backoff, error.retryAfterMs ?? 0);
+  await state.retryWait.wait(delay, state.abort.signal);
 }
 
-function fail(following: Following, error: AppError): void {
-  const { ctx, stream, onFailure } = following.options;
-  following.failure = error;
+function fail(state: FollowerState, error: AppError): void {
+  const { ctx, stream, onFailure } = state.options;
+  state.failure = error;
   ctx.log.error(
-    { stream, next: following.next, err: error },
+    { stream, next: state.next, err: error },
     `log: ${stream} is no longer followed`,
   );
-  stop(following, error);
+  stop(state, error);
   onFailure?.(error);
 }
 
-function stop(following: Following, reason: AppError): void {
-  following.abort.abort();
-  following.waiters.fail(reason);
+function stop(state: FollowerState, reason: AppError): void {
+  state.abort.abort();
+  state.waiters.fail(reason);
 }
 
 function reach(
-  following: Following,
+  state: FollowerState,
   offset: number,
   deadline: Instant,
 ): Promise<Result<void, AppError>> {
-  const { waiters } = following;
-  if (offset <= following.next) {
+  const { waiters } = state;
+  if (offset <= state.next) {
     return Promise.resolve(REACHED);
   }
-  if (isStopped(following)) {
-    const reason = following.failure ?? followerStopped();
+  if (isStopped(state)) {
+    const reason = state.failure ?? followerStoppedError();
     return Promise.resolve(Result.err(reason));
   }
   return waiters.wait(offset, deadline);
 }
 
-function unsupported(
+function unsupportedEntryError(
   stream: string,
   offset: number,
   error: AppError,
--- a/packages/daemon/src/log/index.ts
+++ b/packages/daemon/src/log/index.ts
@@ -1,4 +1,4 @@
-/** The log: group commit, followers, snapshots and recovery. */
+/** Access to the log: group commit, followers, snapshots and recovery. */
 export * from './committer.js';
 export * from './fold-follower.js';
 export * from './follow-retained.js';
--- a/packages/daemon/src/log/metrics.ts
+++ b/packages/daemon/src/log/metrics.ts
@@ -1,32 +1,33 @@
-/** Metrics of the log's streams; labels name classes of appends, not streams. */
+/** Metrics of the log; labels name append classes instead of streams. */
 import { Counter, Gauge, Histogram, type Registry } from 'prom-client';
 
 import type { AppendClass } from './priority.js';
 
-/** How an append ended. */
+/** Outcome of an append. */
 export type AppendOutcome = 'acknowledged' | 'not_run' | 'unknown';
 
-/** Metrics of commits and reads. */
+/** Metrics of appends and reads. */
 export interface LogMetrics {
   appended(
-    priority: AppendClass,
+    appendClass: AppendClass,
     outcome: AppendOutcome,
     records: number,
     seconds: number,
   ): void;
+  /** Counts records whose lost replies were settled by reading the stream back. */
   settledByReading(count: number): void;
-  /** Counts an entry that could not be decoded, or a repeated record. */
+  /** Counts a skipped entry that could not be decoded, or a skipped duplicate record. */
   skipped(reason: 'malformed' | 'duplicate'): void;
-  budget(perSecond: number): void;
+  setBudget(perSecond: number): void;
 }
 
 const RECORD_BUCKETS = [1, 2, 4, 8, 16, 32, 64, 128, 256, 512];
 const SECONDS_BUCKETS = [0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 5];
 
-/** Registers the metrics, or returns those that are registered already. */
+/** Registers the metrics, or reuses those that are already registered. */
 export function createLogMetrics(registry: Registry): LogMetrics {
   const registers = [registry];
-  const appends = once(
+  const appends = getOrCreate(
     registry,
     'paddlewind_log_appends_total',
     (name: string) =>
@@ -37,7 +38,7 @@
         registers,
       }),
   );
-  const records = once(
+  const records = getOrCreate(
     registry,
     'paddlewind_log_batch_records',
     (name: string) =>
@@ -48,7 +49,7 @@
         registers,
       }),
   );
-  const seconds = once(
+  const seconds = getOrCreate(
     registry,
     'paddlewind_log_append_seconds',
     (name: string) =>
@@ -59,7 +60,7 @@
         registers,
       }),
   );
-  const settled = once(
+  const settled = getOrCreate(
     registry,
     'paddlewind_log_settled_by_reading_total',
     (name: string) =>
@@ -69,7 +70,7 @@
         registers,
       }),
   );
-  const skipped = once(
+  const skipped = getOrCreate(
     registry,
     'paddlewind_log_skipped_records_total',
     (name: string) =>
@@ -80,17 +81,17 @@
         registers,
       }),
   );
-  const budget = once(
+  const budget = getOrCreate(
     registry,
     'paddlewind_log_append_budget_per_second',
     (name: string) =>
       new Gauge({ name, help: 'Appends a second allowed now.', registers }),
   );
   return {
-    appended: (priority, outcome, count, span) => {
-      appends.inc({ class: priority, outcome });
+    appended: (appendClass, outcome, count, durationSeconds) => {
+      appends.inc({ class: appendClass, outcome });
       records.observe(count);
-      seconds.observe(span);
+      seconds.observe(durationSeconds);
     },
     settledByReading: count => {
       settled.inc(count);
@@ -98,13 +99,13 @@
     skipped: reason => {
       skipped.inc({ reason });
     },
-    budget: perSecond => {
+    setBudget: perSecond => {
       budget.set(perSecond);
     },
   };
 }
 
-function once<M>(
+function getOrCreate<M>(
   registry: Registry,
   name: string,
   create: (name: string) => M,
--- a/packages/daemon/src/log/offset-waiters.ts
+++ b/packages/daemon/src/log/offset-waiters.ts
@@ -1,20 +1,21 @@
-/** Waits until a stream has been folded up to an offset. */
+/** Lets callers wait until a stream has been read up to an offset. */
 import { appError, type AppError, type Instant } from '@paddlewind/domain';
 import { Result } from 'true-myth';
 
 import type { PartContext } from '../parts.js';
 import { scheduleOf } from './timing.js';
 
-/** Those who wait for an offset of one stream. */
+/** Callers that wait for offsets of one stream. */
 export interface OffsetWaiters {
-  /** Resolves once `wake` was called with `offset` or beyond, or fails with `timeout`. */
+  /** Resolves once `wake` is called with `offset` or a later one; fails with `timeout` at `deadline`. */
   wait(offset: number, deadline: Instant): Promise<Result<void, AppError>>;
+  /** Resolves all waits for `next` or an earlier offset. */
   wake(next: number): void;
-  /** Fails all who wait. */
+  /** Fails all waits with `reason`. */
   fail(reason: AppError): void;
 }
 
-/** The result of a wait that succeeded. */
+/** Result of a successful wait. */
 export const REACHED: Result<void, AppError> = Result.ok(undefined);
 
 interface Waiter {
@@ -22,7 +23,7 @@
   readonly resolve: (result: Result<void, AppError>) => void;
 }
 
-/** Creates the waiters of `stream`. */
+/** Creates an empty set of waiters for `stream`. */
 export function createOffsetWaiters(
   ctx: Pick<PartContext, 'clock' | 'schedule'>,
   stream: string,
@@ -43,7 +44,7 @@
         },
       };
       const cancel = scheduleOf(ctx)(deadline - ctx.clock(), () => {
-        waiter.resolve(Result.err(notReached(stream, offset)));
+        waiter.resolve(Result.err(notReachedError(stream, offset)));
       });
       waiters.add(waiter);
     });
@@ -66,12 +67,12 @@
   return { wait, wake, fail };
 }
 
-/** The error of a wait on a follower that has stopped. */
-export function followerStopped(): AppError {
+/** Creates the error of a wait on a follower that has stopped. */
+export function followerStoppedError(): AppError {
   return appError('canceled', 'The follower has stopped.');
 }
 
-function notReached(stream: string, offset: number): AppError {
+function notReachedError(stream: string, offset: number): AppError {
   return appError(
     'timeout',
     `Offset ${offset} of ${stream} was not read by the deadline.`,
--- a/packages/daemon/src/log/priority.ts
+++ b/packages/daemon/src/log/priority.ts
@@ -1,6 +1,6 @@
-/** Classes of appends and their weights: what is shed first when the log is slow. */
+/** Priority classes of appends and their weights, used when the log is slow. */
 
-/** Classes of appends, the first served before the last. */
+/** Classes of appends, highest priority first. */
 export const APPEND_CLASSES = [
   'leases',
   'decisions',
@@ -10,13 +10,13 @@
   'snapshots',
 ] as const;
 
-/** A class of appends. */
+/** Priority class of an append. */
 export type AppendClass = (typeof APPEND_CLASSES)[number];
 
-/** Kinds of records that carry snapshots begin so. */
+/** Prefix of the kinds of records that contain parts of snapshots. */
 export const SNAPSHOT_KIND_PREFIX = 'snapshot';
 
-/** Shares of the append budget while classes compete; leases go before all others. */
+/** Weights by which competing classes share the append budget; leases always go first. */
 export const CLASS_WEIGHTS: Readonly<Record<AppendClass, number>> = {
   leases: 64,
   decisions: 16,
@@ -26,7 +26,7 @@
   snapshots: 1,
 };
 
-/** Returns the class of a stream by its name. */
+/** Returns the append class of a stream, derived from its name. */
 export function classOfStream(stream: string): AppendClass {
   const name = stream.split('.', 1)[0];
   return APPEND_CLASSES.find(known => known === name) ?? 'other';
--- a/packages/daemon/src/log/read-back.ts
+++ b/packages/daemon/src/log/read-back.ts
@@ -1,4 +1,4 @@
-/** Reading a stream back to learn whether records are in it. */
+/** Reads a stream back to find out whether records were written to it. */
 import { decodeBatch, type AppError, type Position } from '@paddlewind/domain';
 import {
   END_OF_STREAM,
@@ -8,24 +8,24 @@
 } from '@paddlewind/ports';
 import { Result } from 'true-myth';
 
-/** Entries asked for at a time. */
+/** Maximum entries per read. */
 export const READ_LIMIT = 256;
 
 /** Reads the oldest retained offset and the head of a stream. */
-export function readEnds(
+export function readBounds(
   log: LogService,
   stream: string,
 ): Promise<Result<LogPage, AppError>> {
   return log.read({ stream, from: END_OF_STREAM, limit: 1, waitMs: 0 });
 }
 
-/** Where the sought records were first found, and the offset before which all was read. */
+/** First positions of the records found, and the offset after the last entry read. */
 export interface ReadBack {
   readonly found: ReadonlyMap<string, Position>;
   readonly end: number;
 }
 
-/** Reads a stream from `from` to its head for the records `ids`; expired entries are passed over. */
+/** Searches a stream from `from` to its head for the records `ids`; expired entries are skipped. */
 export async function readBack(
   log: LogService,
   stream: string,
@@ -41,7 +41,7 @@
     }
     const { entries, first, head } = page.value;
     entries.forEach(entry => {
-      noteFound(found, ids, entry);
+      collectMatches(found, ids, entry);
     });
     next = Math.max(next, first, (entries.at(-1)?.offset ?? -1) + 1);
     if (next >= head || entries.length === 0) {
@@ -50,7 +50,7 @@
   }
 }
 
-/** Reads a page from `from`, or from the oldest retained offset when that is later. */
+/** Reads a page from `from`, or from the oldest retained offset if that is later. */
 export async function readRetained(
   log: LogService,
   stream: string,
@@ -61,11 +61,11 @@
   if (page.isOk || page.error.kind !== 'log_trimmed') {
     return page;
   }
-  const ends = await readEnds(log, stream);
-  return ends.isErr ? ends : log.read({ ...req, from: ends.value.first });
+  const bounds = await readBounds(log, stream);
+  return bounds.isErr ? bounds : log.read({ ...req, from: bounds.value.first });
 }
 
-function noteFound(
+function collectMatches(
   found: Map<string, Position>,
   ids: ReadonlySet<string>,
   entry: LogEntry,
--- a/packages/daemon/src/log/recovery.ts
+++ b/packages/daemon/src/log/recovery.ts
@@ -1,4 +1,4 @@
-/** Recovery of a stream's state: the last whole snapshot, to be followed by the tail. */
+/** Finds the snapshot from which the state of a stream is recovered. */
 import { createHash } from 'node:crypto';
 
 import {
@@ -12,71 +12,71 @@
 import type { LogEntry, LogService } from '@paddlewind/ports';
 import { Result } from 'true-myth';
 
-import { READ_LIMIT, readEnds } from './read-back.js';
+import { READ_LIMIT, readBounds } from './read-back.js';
 
-/** Returns the digest that a snapshot's text is checked by. */
+/** Returns the digest of a snapshot's text. */
 export function snapshotHash(text: string): string {
   return createHash('sha256').update(text).digest('base64url');
 }
 
-/** Tells whether a snapshot's text is what was written. */
-export function isWhole(snapshot: Snapshot): boolean {
+/** Returns whether a snapshot's text matches its hash. */
+export function isIntact(snapshot: Snapshot): boolean {
   return snapshotHash(snapshot.text) === snapshot.hash;
 }
 
-/** Where to begin: a snapshot and its tail, or the first entry when all are kept. */
+/** Start of a recovery: a snapshot, or the beginning of the stream if all entries are retained. */
 export type RecoveryStart =
   | { readonly kind: 'snapshot'; readonly snapshot: Snapshot }
   | { readonly kind: 'beginning' };
 
-interface Span {
+interface OffsetRange {
   readonly from: number;
   readonly to: number;
 }
 
 /**
- * Finds the newest whole snapshot that stands for `least` or later, searching back from the
- * head; fails with `log_trimmed` when none is kept and entries have expired.
+ * Finds the newest complete snapshot at `minOffset` or later, searching backwards from the head.
+ * Fails with `log_trimmed` if there is none and a start at the first entry is not possible.
  */
 export async function findStart(
   log: LogService,
   stream: string,
-  least = 0,
+  minOffset = 0,
 ): Promise<Result<RecoveryStart, AppError>> {
-  const ends = await readEnds(log, stream);
-  if (ends.isErr) {
-    return Result.err(ends.error);
+  const bounds = await readBounds(log, stream);
+  if (bounds.isErr) {
+    return Result.err(bounds.error);
   }
-  const { first, head } = ends.value;
+  const { first, head } = bounds.value;
   const assembler = createSnapshotAssembler();
   let to = head;
   let size = READ_LIMIT;
   while (to > first) {
     const from = Math.max(first, to - size);
-    const found = await searchSpan(log, stream, { from, to }, assembler);
+    const found = await searchRange(log, stream, { from, to }, assembler);
     if (found.isErr) {
       return Result.err(found.error);
     }
-    const usable = newestOf(found.value, Math.max(first, least));
+    const usable = newestOf(found.value, Math.max(first, minOffset));
     if (usable !== undefined) {
       return Result.ok({ kind: 'snapshot', snapshot: usable });
     }
     to = from;
     size *= 2;
   }
-  return first === 0 && least === 0
+  return first === 0 && minOffset === 0
     ? Result.ok({ kind: 'beginning' })
-    : Result.err(noSnapshot(stream, first));
+    : Result.err(noSnapshotError(stream, first));
 }
 
-/** Reads the entries of a span and returns the snapshots that became whole. */
-async function searchSpan(
+/** Reads the entries of a range and returns the snapshots that they complete. */
+async function searchRange(
   log: LogService,
   stream: string,
-  { from, to }: Span,
+  { from, to }: OffsetRange,
   assembler: SnapshotAssembler,
 ): Promise<Result<Snapshot[], AppError>> {
-  const whole: Snapshot[] = [];
+  const completed: Snapshot[] = [];
   let next = from;
   while (next < to) {
     const limit = Math.min(READ_LIMIT, to - next);
@@ -88,33 +88,38 @@
     if (last === undefined) {
       break;
     }
-    whole.push(
-      ...page.value.entries.flatMap(entry => wholeIn(entry, assembler)),
+    completed.push(
+      ...page.value.entries.flatMap(entry =>
+        snapshotsCompletedBy(entry, assembler),
+      ),
     );
     next = last.offset + 1;
   }
-  return Result.ok(whole);
+  return Result.ok(completed);
 }
 
-function wholeIn(entry: LogEntry, assembler: SnapshotAssembler): Snapshot[] {
+function snapshotsCompletedBy(
+  entry: LogEntry,
+  assembler: SnapshotAssembler,
+): Snapshot[] {
   const batch = decodeBatch(entry.payload);
   const records = batch.isOk ? batch.value.records : [];
   return records.flatMap(record => {
     const snapshot = assembler.add(record);
-    return snapshot !== undefined && isWhole(snapshot) ? [snapshot] : [];
+    return snapshot !== undefined && isIntact(snapshot) ? [snapshot] : [];
   });
 }
 
 function newestOf(
   snapshots: readonly Snapshot[],
-  least: number,
+  minOffset: number,
 ): Snapshot | undefined {
   return snapshots
-    .filter(snapshot => snapshot.offset >= least)
+    .filter(snapshot => snapshot.offset >= minOffset)
     .sort((a, b) => b.offset - a.offset)[0];
 }
 
-function noSnapshot(stream: string, first: number): AppError {
+function noSnapshotError(stream: string, first: number): AppError {
   return appError(
     'log_trimmed',
     `Entries of ${stream} before ${first} have expired and no whole snapshot covers them.`,
--- a/packages/daemon/src/log/snapshot-text.ts
+++ b/packages/daemon/src/log/snapshot-text.ts
@@ -1,4 +1,4 @@
-/** The text of a snapshot: the state and the known record ids, compressed. */
+/** Encoding of snapshots as compressed text that holds the state and the ids of recent records. */
 import { promisify } from 'node:util';
 import {
   deflateRaw,
@@ -23,13 +23,13 @@
   inflateRaw,
 );
 
-/** Characters up to which compressing takes less than a turn of the loop may. */
-const SYNC_CHARS = 64 * 1024;
+/** Text up to this length is compressed synchronously, since that does not hold up the event loop. */
+const MAX_SYNC_CHARS = 64 * 1024;
 
-/** Bytes that a snapshot may unfold to. */
+/** Largest accepted size of a decompressed snapshot. */
 const MAX_STATE_BYTES = 64 * 1024 * 1024;
 
-/** What a snapshot holds: the state before an offset, and the ids in its dedupe window. */
+/** Content of a snapshot: the state before `offset` and the ids in the dedupe window. */
 export interface CapturedState {
   readonly offset: number;
   readonly ids: readonly string[];
@@ -38,22 +38,22 @@
 
 const idsSchema = z.array(z.string());
 
-/** Encodes a captured state; equal states give equal snapshots. */
+/** Encodes and compresses a captured state; equal states give equal snapshots. */
 export async function encodeSnapshot(
   captured: CapturedState,
 ): Promise<Snapshot> {
   const plain = `${JSON.stringify(captured.ids)}\n${captured.state}`;
-  const isShort = plain.length <= SYNC_CHARS;
+  const isShort = plain.length <= MAX_SYNC_CHARS;
   const bytes = isShort ? deflateRawSync(plain) : await compress(plain);
   const text = bytes.toString('base64');
   return { offset: captured.offset, text, hash: snapshotHash(text) };
 }
 
-/** Decodes a snapshot; fails with `invalid`. */
+/** Decodes a snapshot; fails with `invalid` if it is malformed. */
 export async function decodeSnapshot(
   snapshot: Snapshot,
 ): Promise<Result<CapturedState, AppError>> {
-  const plain = await unfold(snapshot.text);
+  const plain = await decompressText(snapshot.text);
   const split = plain?.indexOf('\n') ?? -1;
   const ids = idsSchema.safeParse(parseJson(plain?.slice(0, split) ?? ''));
   if (plain === undefined || split === -1 || !ids.success) {
@@ -65,11 +65,11 @@
   return Result.ok({ offset: snapshot.offset, ids: ids.data, state });
 }
 
-async function unfold(text: string): Promise<string | undefined> {
+async function decompressText(text: string): Promise<string | undefined> {
   try {
     const bytes = Buffer.from(text, 'base64');
     const limit = { maxOutputLength: MAX_STATE_BYTES };
-    const isShort = text.length <= SYNC_CHARS / 4;
+    const isShort = text.length <= MAX_SYNC_CHARS / 4;
     const plain = isShort
       ? inflateRawSync(bytes, limit)
       : await decompress(bytes, limit);
--- a/packages/daemon/src/log/snapshot-writer.ts
+++ b/packages/daemon/src/log/snapshot-writer.ts
@@ -1,4 +1,4 @@
-/** Writes snapshots of a stream's state into the stream well before its entries expire. */
+/** Writes snapshots of a stream's state to the stream well before its entries expire. */
 import {
   snapshotRecords,
   type AppError,
@@ -11,33 +11,33 @@
 import type { FoldFollower } from './fold-follower.js';
 import { scheduleOf, sleep } from './timing.js';
 
-/** When snapshots are written, and by whom. */
+/** Options of a snapshot writer. */
 export interface SnapshotWriterOptions {
   readonly ctx: PartContext;
   readonly stream: string;
   readonly committer: Committer;
   readonly follower: FoldFollower;
-  /** Age at which a snapshot is written anew; at most a quarter of the log's retention. */
+  /** Age of the last snapshot at which a new one is written; at most a quarter of the log's retention. */
   readonly everyMs: Millis;
-  /** Entries after which a snapshot is written anew. */
+  /** Number of entries after which a new snapshot is written. */
   readonly everyEntries: number;
-  /** Longest random wait before writing, so that hosts do not write all at once. */
+  /** Maximum random delay before writing, so that hosts do not all write at the same time. */
   readonly staggerMs: Millis;
-  /** Whether this host may write; an owner's streams are written by the owner only. */
+  /** Returns whether this host may write; a stream that has an owner is written only by the owner. */
   readonly mayWrite?: () => boolean;
 }
 
-/** Keeps the snapshots of a stream. */
+/** Writes the snapshots of a stream periodically. */
 export interface SnapshotWriter {
   /** Writes a snapshot now. */
   write(): Promise<Result<void, AppError>>;
   stop: Stop;
 }
 
-const CHECKS_PER_AGE = 20;
+const CHECKS_PER_MAX_AGE = 20;
 const WRITE_DEADLINE_MS = 60_000;
 
-/** Starts to keep snapshots. */
+/** Starts to write snapshots periodically. */
 export function startSnapshotWriter(
   options: SnapshotWriterOptions,
 ): SnapshotWriter {
@@ -47,7 +47,7 @@
   const abort = new AbortController();
 
   async function run(): Promise<void> {
-    const checkMs = options.everyMs / CHECKS_PER_AGE;
+    const checkMs = options.everyMs / CHECKS_PER_MAX_AGE;
     while (!abort.signal.aborted) {
       await sleep(schedule, checkMs * (0.5 + ctx.random()), abort.signal);
       if (mayWrite() && isDue(options, startedAt)) {
@@ -81,16 +81,19 @@
 function isDue(options: SnapshotWriterOptions, startedAt: Instant): boolean {
   const { ctx, follower, everyMs, everyEntries } = options;
   const now = ctx.clock();
-  const chunkAt = follower.chunkSeenAt();
-  if (follower.offset() === 0 || isRecent(chunkAt, now - WRITE_DEADLINE_MS)) {
+  const chunkSeenAt = follower.chunkSeenAt();
+  if (
+    follower.offset() === 0 ||
+    isRecent(chunkSeenAt, now - WRITE_DEADLINE_MS)
+  ) {
     return false;
   }
-  const seen = follower.lastSnapshot();
-  const seenAt = seen?.seenAt ?? startedAt - everyMs / 2;
+  const lastSnapshot = follower.lastSnapshot();
+  const seenAt = lastSnapshot?.seenAt ?? startedAt - everyMs / 2;
   return (
     now - seenAt >= everyMs ||
-    follower.offset() - (seen?.offset ?? 0) >= everyEntries ||
-    isNearExpiry(follower, seen?.offset ?? 0)
+    follower.offset() - (lastSnapshot?.offset ?? 0) >= everyEntries ||
+    isNearExpiry(follower, lastSnapshot?.offset ?? 0)
   );
 }
 
@@ -98,7 +101,7 @@
   return at !== undefined && at > since;
 }
 
-/** Tells whether entries have expired and the snapshot is in the older half of what is kept. */
+/** Returns whether entries have expired and the snapshot is in the older half of the retained ones. */
 function isNearExpiry(follower: FoldFollower, offset: number): boolean {
   const first = follower.first() ?? 0;
   const head = follower.head() ?? 0;
--- a/packages/daemon/src/log/stream-writer.ts
+++ b/packages/daemon/src/log/stream-writer.ts
@@ -1,4 +1,4 @@
-/** Writes the batches of one stream, one append in flight, and settles lost answers by reading. */
+/** Writes batches to one stream with one append in flight; settles lost replies by reading back. */
 import { encodeBatch, type AppError } from '@paddlewind/domain';
 import type { LogService } from '@paddlewind/ports';
 import { Result } from 'true-myth';
@@ -6,16 +6,16 @@
 import type { PartContext, Stop } from '../parts.js';
 import type { AppendBudget } from './append-budget.js';
 import {
-  expired,
+  unsettledError,
   type CommitQueue,
   type PendingRecord,
 } from './commit-queue.js';
 import type { LogMetrics } from './metrics.js';
 import { classOfStream, type AppendClass } from './priority.js';
-import { readBack, readEnds } from './read-back.js';
+import { readBack, readBounds } from './read-back.js';
 import { backoffMs, scheduleOf, sleep } from './timing.js';
 
-/** What a writer is started with. */
+/** Options of a stream writer. */
 export interface StreamWriterOptions {
   readonly stream: string;
   readonly log: LogService;
@@ -25,149 +25,152 @@
   readonly metrics: LogMetrics;
 }
 
-/** Writes one stream until stopped. */
+/** Writer of one stream. */
 export interface StreamWriter {
-  /** Takes a record to be written; false when too many wait. */
+  /** Queues a record; returns false if the queue is full or the writer has stopped. */
   offer(pending: PendingRecord): boolean;
-  /** Records not yet answered. */
+  /** Number of records that are queued or in flight. */
   waiting(): number;
   stop: Stop;
 }
 
-interface Writing extends StreamWriterOptions {
+interface WriterState extends StreamWriterOptions {
   readonly streamClass: AppendClass;
   readonly abort: AbortController;
-  /** The batch in flight. */
-  sending: readonly PendingRecord[];
-  /** A lower bound of the stream's head; undefined until read. */
+  /** Batch that is being written. */
+  inFlight: readonly PendingRecord[];
+  /** Lower bound of the stream's head; undefined until it was read. */
   head: number | undefined;
   failures: number;
   maxRecords: number;
   running: boolean;
-  /** The request for budget that has not been granted. */
-  requested: { priority: AppendClass; withdraw: Stop } | undefined;
-  granted: () => void;
+  /** Request for append budget that was not granted yet. */
+  budgetRequest: { appendClass: AppendClass; withdraw: Stop } | undefined;
+  onBudgetGranted: () => void;
 }
 
-/** Starts the writer of a stream; it reads the head before its first append. */
+/** Starts the writer of a stream. It reads the head before its first append. */
 export function startStreamWriter(options: StreamWriterOptions): StreamWriter {
-  const writing: Writing = {
+  const state: WriterState = {
     ...options,
     streamClass: classOfStream(options.stream),
     abort: new AbortController(),
-    sending: [],
+    inFlight: [],
     head: undefined,
     failures: 0,
     maxRecords: Infinity,
     running: false,
-    requested: undefined,
-    granted: () => undefined,
+    budgetRequest: undefined,
+    onBudgetGranted: () => undefined,
   };
   return {
-    offer: pending => offer(writing, pending),
-    waiting: () => writing.queue.size() + writing.sending.length,
+    offer: pending => offer(state, pending),
+    waiting: () => state.queue.size() + state.inFlight.length,
     stop: () => {
-      stop(writing);
+      stop(state);
     },
   };
 }
 
-function offer(writing: Writing, pending: PendingRecord): boolean {
-  if (isStopped(writing) || !writing.queue.offer(pending)) {
+function offer(state: WriterState, pending: PendingRecord): boolean {
+  if (isStopped(state) || !state.queue.offer(pending)) {
     return false;
   }
-  const { requested } = writing;
-  if (requested !== undefined && requested.priority !== frontClass(writing)) {
-    requestBudget(writing);
+  const { budgetRequest } = state;
+  if (
+    budgetRequest !== undefined &&
+    budgetRequest.appendClass !== frontClass(state)
+  ) {
+    requestBudget(state);
   }
-  if (!writing.running) {
-    void run(writing);
+  if (!state.running) {
+    void run(state);
   }
   return true;
 }
 
-function isStopped(writing: Writing): boolean {
-  return writing.abort.signal.aborted;
+function isStopped(state: WriterState): boolean {
+  return state.abort.signal.aborted;
 }
 
-function frontClass({ queue, streamClass }: Writing): AppendClass {
+function frontClass({ queue, streamClass }: WriterState): AppendClass {
   return queue.front() === 'snapshots' ? 'snapshots' : streamClass;
 }
 
-async function run(writing: Writing): Promise<void> {
-  writing.running = true;
-  // Records offered in the same turn go into one batch.
+async function run(state: WriterState): Promise<void> {
+  state.running = true;
+  // Records offered in the same turn of the event loop go into one batch.
   await Promise.resolve();
-  while (!isStopped(writing) && hasWork(writing)) {
-    await writeNext(writing);
+  while (!isStopped(state) && hasWork(state)) {
+    await writeNext(state);
   }
-  writing.running = false;
+  state.running = false;
 }
 
-function hasWork({ queue }: Writing): boolean {
-  queue.prune();
+function hasWork({ queue }: WriterState): boolean {
+  queue.removeSettled();
   return queue.front() !== 'nothing';
 }
 
-async function writeNext(writing: Writing): Promise<void> {
-  if (writing.head === undefined && !(await learnHead(writing))) {
+async function writeNext(state: WriterState): Promise<void> {
+  if (state.head === undefined && !(await readHead(state))) {
     return;
   }
-  await budgetGranted(writing);
-  const batch = writing.queue.takeBatch(writing.maxRecords);
-  writing.sending = batch;
-  const uncertain = batch.filter(pending => pending.tries === 'unknown');
+  await waitForBudget(state);
+  const batch = state.queue.takeBatch(state.maxRecords);
+  state.inFlight = batch;
+  const uncertain = batch.filter(pending => pending.attemptState === 'unknown');
   const isSettled =
-    uncertain.length === 0 || (await settleByReading(writing, uncertain));
+    uncertain.length === 0 || (await settleByReading(state, uncertain));
   const rest = batch.filter(pending => !pending.settled);
-  if (isSettled && rest.length > 0 && !isStopped(writing)) {
-    await append(writing, rest);
+  if (isSettled && rest.length > 0 && !isStopped(state)) {
+    await append(state, rest);
   }
-  writing.sending = [];
-  writing.queue.putBack(rest);
+  state.inFlight = [];
+  state.queue.requeue(rest);
 }
 
-async function learnHead(writing: Writing): Promise<boolean> {
-  const ends = await readEnds(writing.log, writing.stream);
-  if (ends.isErr) {
-    await waitAfter(writing, ends.error);
+async function readHead(state: WriterState): Promise<boolean> {
+  const bounds = await readBounds(state.log, state.stream);
+  if (bounds.isErr) {
+    await backOff(state, bounds.error);
     return false;
   }
-  writing.head = ends.value.head;
+  state.head = bounds.value.head;
   return true;
 }
 
-function budgetGranted(writing: Writing): Promise<void> {
+function waitForBudget(state: WriterState): Promise<void> {
   return new Promise(resolve => {
-    writing.granted = resolve;
-    requestBudget(writing);
+    state.onBudgetGranted = resolve;
+    requestBudget(state);
   });
 }
 
-function requestBudget(writing: Writing): void {
-  writing.requested?.withdraw();
-  const priority = frontClass(writing);
-  const withdraw = writing.budget.request(writing.stream, priority, () => {
-    writing.requested = undefined;
-    writing.granted();
+function requestBudget(state: WriterState): void {
+  state.budgetRequest?.withdraw();
+  const appendClass = frontClass(state);
+  const withdraw = state.budget.request(state.stream, appendClass, () => {
+    state.budgetRequest = undefined;
+    state.onBudgetGranted();
   });
-  writing.requested = { priority, withdraw };
+  state.budgetRequest = { appendClass, withdraw };
 }
 
-/** Answers the records that are found; false when the stream could not be read. */
+/** Settles the records found in the stream; returns false if the stream could not be read. */
 async function settleByReading(
-  writing: Writing,
+  state: WriterState,
   uncertain: readonly PendingRecord[],
 ): Promise<boolean> {
   const ids = new Set(uncertain.map(pending => pending.record.id));
-  const from = Math.min(...uncertain.map(pending => pending.since ?? 0));
-  const read = await readBack(writing.log, writing.stream, ids, from);
+  const from = Math.min(...uncertain.map(pending => pending.minOffset ?? 0));
+  const read = await readBack(state.log, state.stream, ids, from);
   if (read.isErr) {
-    await waitAfter(writing, read.error);
+    await backOff(state, read.error);
     return false;
   }
-  raiseHead(writing, read.value.end);
-  writing.metrics.settledByReading(read.value.found.size);
+  raiseHead(state, read.value.end);
+  state.metrics.settledByReading(read.value.found.size);
   for (const pending of uncertain) {
     const position = read.value.found.get(pending.record.id);
     if (position !== undefined) {
@@ -177,113 +180,117 @@
   return true;
 }
 
-function raiseHead(writing: Writing, head: number): void {
-  writing.head = Math.max(writing.head ?? 0, head);
+function raiseHead(state: WriterState, head: number): void {
+  state.head = Math.max(state.head ?? 0, head);
 }
 
 async function append(
-  writing: Writing,
+  state: WriterState,
   batch: readonly PendingRecord[],
 ): Promise<void> {
-  const { ctx, log, stream, metrics, budget } = writing;
+  const { ctx, log, stream, metrics, budget } = state;
   for (const pending of batch) {
-    pending.since ??= writing.head ?? 0;
-    pending.tries = pending.tries === 'unknown' ? 'unknown' : 'in_flight';
+    pending.minOffset ??= state.head ?? 0;
+    pending.attemptState =
+      pending.attemptState === 'unknown' ? 'unknown' : 'in_flight';
   }
   const sentAt = ctx.clock();
   const payload = encodeBatch(batch.map(pending => pending.record));
   const appended = await log.append(stream, payload);
   const seconds = (ctx.clock() - sentAt) / 1_000;
   const outcome = appended.isOk ? 'acknowledged' : outcomeOf(appended.error);
-  metrics.appended(writing.streamClass, outcome, batch.length, seconds);
-  metrics.budget(budget.perSecond());
+  metrics.appended(state.streamClass, outcome, batch.length, seconds);
+  metrics.setBudget(budget.perSecond());
   if (appended.isOk) {
-    acknowledge(writing, batch, appended.value);
+    acknowledge(state, batch, appended.value);
   } else {
-    await appendFailed(writing, batch, appended.error);
+    await handleAppendError(state, batch, appended.error);
   }
 }
 
-/** Answers the batch, but for records with an earlier unknown try: those may stand before `offset`. */
+/**
+ * Settles the batch, except records with an earlier attempt of unknown outcome: those may have been
+ * written before `offset`.
+ */
 function acknowledge(
-  writing: Writing,
+  state: WriterState,
   batch: readonly PendingRecord[],
   offset: number,
 ): void {
-  if (writing.failures > 0) {
-    const { ctx, stream } = writing;
+  if (state.failures > 0) {
+    const { ctx, stream } = state;
     ctx.log.info({ stream }, `log: ${stream} is written again`);
   }
-  writing.failures = 0;
-  writing.maxRecords *= 2;
-  raiseHead(writing, offset + 1);
+  state.failures = 0;
+  state.maxRecords *= 2;
+  raiseHead(state, offset + 1);
   batch.forEach((pending, index) => {
-    if (pending.tries === 'in_flight') {
+    if (pending.attemptState === 'in_flight') {
       pending.settle(Result.ok({ offset, index }));
     }
   });
 }
 
-async function appendFailed(
-  writing: Writing,
+async function handleAppendError(
+  state: WriterState,
   batch: readonly PendingRecord[],
   error: AppError,
 ): Promise<void> {
   const outcome = outcomeOf(error);
   for (const pending of batch) {
     if (outcome === 'unknown') {
-      pending.tries = 'unknown';
-    } else if (pending.tries === 'in_flight') {
-      pending.tries = 'not_sent';
+      pending.attemptState = 'unknown';
+    } else if (pending.attemptState === 'in_flight') {
+      pending.attemptState = 'not_sent';
     }
   }
   if (error.kind === 'overloaded') {
-    writing.budget.refused();
+    state.budget.onRefused();
   }
-  if (isRefusedForGood(error)) {
-    refuse(writing, batch, error);
+  if (isPermanentRefusal(error)) {
+    handleRejection(state, batch, error);
   }
-  await waitAfter(writing, error);
+  await backOff(state, error);
 }
 
-/** Halves the next batch, so that one bad record does not fail its neighbours. */
-function refuse(
-  writing: Writing,
+/** Halves the size of the next batch to isolate the rejected record; fails it once it is alone. */
+function handleRejection(
+  state: WriterState,
   batch: readonly PendingRecord[],
   error: AppError,
 ): void {
-  writing.maxRecords = Math.ceil(batch.length / 2);
+  state.maxRecords = Math.ceil(batch.length / 2);
   if (batch.length === 1) {
     batch[0]?.settle(Result.err(error));
   }
 }
 
-async function waitAfter(writing: Writing, error: AppError): Promise<void> {
-  const { ctx, stream, abort } = writing;
-  writing.failures++;
-  if (writing.failures === 1) {
+async function backOff(state: WriterState, error: AppError): Promise<void> {
+  const { ctx, stream, abort } = state;
+  state.failures++;
+  if (state.failures === 1) {
     ctx.log.warn({ stream, err: error }, `log: ${stream} cannot be written`);
   }
-  const wait = backoffMs(writing.failures, ctx.random);
-  const span = Math.max(wait, error.retryAfterMs ?? 0);
-  await sleep(scheduleOf(ctx), span, abort.signal);
+  const backoff = backoffMs(state.failures, ctx.random);
+  const delay = Math.max(backoff, error.retryAfterMs ?? 0);
+  await sleep(scheduleOf(ctx), delay, abort.signal);
 }
 
-function stop(writing: Writing): void {
-  writing.abort.abort();
-  writing.requested?.withdraw();
-  for (const pending of [...writing.sending, ...writing.queue.clear()]) {
-    pending.settle(Result.err(expired(pending)));
+function stop(state: WriterState): void {
+  state.abort.abort();
+  state.budgetRequest?.withdraw();
+  for (const pending of [...state.inFlight, ...state.queue.clear()]) {
+    pending.settle(Result.err(unsettledError(pending)));
   }
-  writing.granted();
+  state.onBudgetGranted();
 }
 
 function outcomeOf(error: AppError): 'not_run' | 'unknown' {
   return error.outcome === 'not_run' ? 'not_run' : 'unknown';
 }
 
-/** Tells whether the log will refuse the same append again. */
-function isRefusedForGood(error: AppError): boolean {
+/** Returns whether the log would refuse the same append again. */
+function isPermanentRefusal(error: AppError): boolean {
   return (
     error.outcome === 'not_run' &&
     error.kind !== 'log_unavailable' &&
--- a/packages/daemon/src/log/timing.ts
+++ b/packages/daemon/src/log/timing.ts
@@ -1,12 +1,12 @@
-/** Timers, waits and backoff of the parts that use the log. */
+/** Timers, waits and retry backoff for components that use the log. */
 import type { Millis, Random, Schedule } from '@paddlewind/domain';
 
 import type { PartContext, Stop } from '../parts.js';
 
-/** Longest delay of a timer of Node.js; a longer one would fire at once. */
+/** Longest delay of a Node.js timer; a longer one would fire immediately. */
 const MAX_TIMER_MS = 2 ** 31 - 1;
 
-/** Schedules by the timers of Node.js; a delay beyond 24 days fires after 24 days. */
+/** Schedules `task` with a Node.js timer; delays longer than 24 days fire after 24 days. */
 export function scheduleByTimeout(delay: Millis, task: () => void): Stop {
   const timer = setTimeout(task, Math.min(delay, MAX_TIMER_MS));
   return () => {
@@ -14,15 +14,15 @@
   };
 }
 
-/** Returns the timers of a part. */
+/** Returns the timers of `ctx`, or those of Node.js if it has none. */
 export function scheduleOf(ctx: Pick<PartContext, 'schedule'>): Schedule {
   return ctx.schedule ?? scheduleByTimeout;
 }
 
-/** Waits for `span`, or until `signal` is aborted. */
+/** Waits for `delay`, or until `signal` is aborted if that is earlier. */
 export function sleep(
   schedule: Schedule,
-  span: Millis,
+  delay: Millis,
   signal?: AbortSignal,
 ): Promise<void> {
   return new Promise(resolve => {
@@ -35,49 +35,49 @@
       signal?.removeEventListener('abort', wake);
       resolve();
     };
-    const cancel = schedule(span, wake);
+    const cancel = schedule(delay, wake);
     signal?.addEventListener('abort', wake);
   });
 }
 
-/** Waits that others may end early. */
-export interface Pause {
-  /** Waits for `span`, or until `wake` is called or `signal` is aborted. */
-  wait(span: Millis, signal: AbortSignal): Promise<void>;
-  /** Ends the present wait. */
+/** Wait that can be ended early. */
+export interface InterruptibleWait {
+  /** Waits for `delay`, or until `wake` is called or `signal` is aborted. */
+  wait(delay: Millis, signal: AbortSignal): Promise<void>;
+  /** Ends the current wait, if any. */
   wake(): void;
 }
 
-/** Creates a pause with nobody waiting. */
-export function createPause(schedule: Schedule): Pause {
-  let end: () => void = () => undefined;
+/** Creates an interruptible wait; it supports one caller at a time. */
+export function createInterruptibleWait(schedule: Schedule): InterruptibleWait {
+  let endWait: () => void = () => undefined;
 
-  async function wait(span: Millis, signal: AbortSignal): Promise<void> {
-    const waiting = new AbortController();
-    end = () => {
-      waiting.abort();
+  async function wait(delay: Millis, signal: AbortSignal): Promise<void> {
+    const controller = new AbortController();
+    endWait = () => {
+      controller.abort();
     };
-    signal.addEventListener('abort', end);
-    await sleep(schedule, signal.aborted ? 0 : span, waiting.signal);
-    signal.removeEventListener('abort', end);
+    signal.addEventListener('abort', endWait);
+    await sleep(schedule, signal.aborted ? 0 : delay, controller.signal);
+    signal.removeEventListener('abort', endWait);
   }
 
   return {
     wait,
     wake: () => {
-      end();
+      endWait();
     },
   };
 }
 
-const BACKOFF_FIRST_MS = 50;
-const BACKOFF_MAX_MS = 2_000;
+const INITIAL_BACKOFF_MS = 50;
+const MAX_BACKOFF_MS = 2_000;
 
-/** Returns the jittered wait before retry number `failures` (1 is the first). */
+/** Returns the jittered delay before the retry after `failures` consecutive failures (at least 1). */
 export function backoffMs(failures: number, random: Random): Millis {
   const ceiling = Math.min(
-    BACKOFF_MAX_MS,
-    BACKOFF_FIRST_MS * 2 ** Math.min(failures - 1, 16),
+    MAX_BACKOFF_MS,
+    INITIAL_BACKOFF_MS * 2 ** Math.min(failures - 1, 16),
   );
   return ceiling / 2 + (ceiling / 2) * random();
 }
