--- a/packages/domain/src/jobs/fold.ts
+++ b/packages/domain/src/jobs/fold.ts
@@ -150,7 +150,7 @@
   }
 }
 
-/** The leader that last reached a worker matters only while the worker has open runs. */
+/** Forgets workers without open runs: it does not matter who may have extended their leases. */
 function forgetIdleWorkers(state: JobsState): void {
   for (const worker of state.reachedInEpoch.keys()) {
     if (countOpenRunsAt(state, worker) === 0) {
@@ -211,7 +211,7 @@
   return true;
 }
 
-/** Ends a run that was lost with its worker like one whose lease has expired, and notes the loss for its task. */
+/** Notes the loss of a run for its task, and ends the run like one whose lease has expired. */
 function applyLost(
   state: JobsState,
   record: Extract<JournalRecord, { kind: 'lost' }>,
@@ -272,7 +272,7 @@
   }
 }
 
-/** Minimum time that a task has been unavailable when its lease expires, counted from the last extension. */
+/** Minimum outage of a task whose lease has expired: the time since the lease was last extended. */
 const MIN_OUTAGE_BEFORE_EXPIRY_MS: Millis = 5_000;
 
 /** Returns the time since which a task has been unavailable, given how its last run ended. */
@@ -328,7 +328,7 @@
   state.changedJobs?.add(job);
 }
 
-/** Applies to long-running tasks as well: each start costs a worker and everything that runs there. */
+/** Fails the job of a long-running task too: each start costs a worker and everything that runs there. */
 function failIfAbandoned(state: JobsState, task: Task): void {
   const { job } = task.step.occurrence;
   if (isAbandoned(task) && !isFinished(job)) {
--- a/packages/domain/src/jobs/incarnation.ts
+++ b/packages/domain/src/jobs/incarnation.ts
@@ -7,7 +7,7 @@
 /** Separates the worker's id from its start time. */
 const SEPARATOR = '@';
 
-/** Returns the name of the incarnation that started at `startedAt`; the worker's id if the time is unknown. */
+/** Returns the name of the incarnation started at `startedAt`; the worker's id if that time is unknown. */
 export function incarnationOf(
   worker: string,
   startedAt: Instant | undefined,
--- a/packages/domain/src/jobs/job.ts
+++ b/packages/domain/src/jobs/job.ts
@@ -29,7 +29,7 @@
   stopping: boolean;
   /** Monotonic time at which the worker confirmed the stop; infinite before. */
   stopConfirmedAt: Instant;
-  /** Completed part of the work, 0 to 100. */
+  /** Completed share of the work in percent, 0 to 100. */
   percent: number;
   /** Monotonic time at which `percent` last changed. */
   percentSince: Instant;
@@ -69,7 +69,7 @@
   readonly number: number;
   /** Last known incarnation of its worker. */
   worker: string;
-  /** Monotonic time at which this host read of its start. */
+  /** Monotonic time at which this host learned of its start. */
   readonly openedAt: Instant;
   /** Start of the run in journal time. */
   startMoment: JournalMoment;
@@ -93,7 +93,7 @@
   readonly lossHistory: LossHistory;
   /** Newest checkpoint of a run that has ended; empty if there is none. */
   checkpoint: string;
-  /** Monotonic time since which the task was last unavailable; infinite until one of its runs has ended. */
+  /** Monotonic time at which the task last became unavailable by the end of a run; infinite before. */
   endedAt: Instant;
 }
 
@@ -124,9 +124,9 @@
 export interface Job {
   readonly spec: JobSpec;
   readonly acceptedAtWall: Instant;
-  /** Monotonic time at which this host read of the job. */
+  /** Monotonic time at which this host learned of the job. */
   readonly receivedAt: Instant;
-  /** Position in the order of arrival. */
+  /** Position in the order of arrival in the inbox. */
   readonly arrival: number;
   /** Monotonic time at which the leader first saw the job. */
   seenAt: Instant | undefined;
--- a/packages/domain/src/jobs/jobs-state.ts
+++ b/packages/domain/src/jobs/jobs-state.ts
@@ -17,11 +17,11 @@
 /** The open runs of one worker and the resources that they take. */
 export interface WorkerRuns {
   readonly runs: Map<string, Run>;
-  /** Thousandths of a core of all runs except best-effort fillers, which do not count against capacity. */
+  /** Thousandths of a core of the runs that count against capacity: all but best-effort filler tasks. */
   cpuMilli: number;
   /** Thousandths of a core of the serving runs, which are part of `cpuMilli`. */
   servingCpuMilli: number;
-  /** Thousandths of a core that fillers would use. */
+  /** Thousandths of a core that the fillers would use. */
   fillerCpuMilli: number;
   memoryMiB: number;
   accelerators: number;
@@ -42,7 +42,7 @@
   readonly openJobs: Set<Job>;
   /** Open runs by incarnation of the worker. */
   readonly workers: Map<string, WorkerRuns>;
-  /** Keys of `workers` by id of the worker. */
+  /** Incarnations among the keys of `workers`, by id of the worker. */
   readonly incarnations: Map<string, string[]>;
   claim: Claim;
   /** Epoch of the claim before the newest one; 0 if there is none or it is unknown. */
@@ -65,11 +65,14 @@
   released: boolean;
   /** Clock of the journal. */
   readonly journalTime: JournalTime;
-  /** Journal time since which leaders report a worker with open runs as unresponsive, by id. */
+  /** Journal time since which leaders have reported a worker with open runs as unresponsive, by id. */
   unresponsiveSince: Map<string, Millis>;
-  /** Tasks that ran on lost workers; those of finished jobs are removed with a delay. */
+  /** Tasks whose workers were lost while running them; those of finished jobs are removed later. */
   readonly suspects: Set<Task>;
-  /** Times at which workers were lost, by worker, except workers that had announced their departure. */
+  /**
+   * Monotonic times at which workers were lost, by worker. A worker without recently started runs is omitted
+   * if it had announced its departure or may only be unreachable.
+   */
   readonly workerLosses: Map<string, Instant>;
 }
 
@@ -233,7 +236,7 @@
   addLoad(load, task.step, 1);
 }
 
-/** Removes jobs that finished before `since` and have no open runs. */
+/** Removes jobs that finished before `since` and have no open runs, and the suspects of all finished jobs. */
 export function forgetFinishedJobs(
   state: JobsState,
   now: Instant,
--- a/packages/domain/src/jobs/journal-time.ts
+++ b/packages/domain/src/jobs/journal-time.ts
@@ -1,7 +1,7 @@
 /**
- * Time as recorded in the journal: the sum of the times that leaders report to have led and of the silences of
- * the log between them. It is the same for all readers, however late they read, and unaffected by jumps of
- * clocks. The time between two leaders is known only within bounds, so two clocks are kept: the slow one runs
+ * Time as recorded in the journal: the sum of the times that leaders report to have led and of the silences
+ * of the log between them. It is the same for all readers, however late they read, and unaffected by clock
+ * jumps. The time between two leaders is known only within bounds, so two clocks are kept: the slow one runs
  * at most as fast as true time, the fast one at least as fast.
  */
 import { UNKNOWN_SPAN, type Millis, type SpanBounds } from '../core/time.js';
@@ -29,7 +29,7 @@
   /** Start of the newest leader by both clocks; undefined until it has reported how long it has led. */
   private leaderStart:
     { readonly slow: Millis; readonly fast: Millis } | undefined;
-  /** Fast clock before which moments have no upper bound on their age. */
+  /** Time of the fast clock before which moments have no upper bound on their age. */
   private boundedSince: Millis = 0;
 
   /** Journal time of the newest record. */
@@ -38,8 +38,8 @@
   }
 
   /**
-   * The present moment. The next record completes it: a leader that cannot reach the log writes nothing and
-   * reports the time it led later, so the time of the newest record would be too early.
+   * The current moment. The next record completes it, since the time of the newest record would be too early:
+   * a leader that cannot reach the log writes nothing, and reports only later how long it has led.
    */
   get currentMoment(): JournalMoment {
     return this.pendingMoment;
@@ -74,7 +74,7 @@
     this.leaderStart = undefined;
   }
 
-  /** Notes how long a leader has led and the silence before it; the time is undefined if not reported. */
+  /** Notes how long a leader has led, undefined if its version does not report it, and the silence before. */
   noteLeadTime(
     epoch: number,
     ledForMs: Millis | undefined,
--- a/packages/domain/src/jobs/learned-estimates.test.ts
+++ b/packages/domain/src/jobs/learned-estimates.test.ts
@@ -32,7 +32,7 @@
   return state;
 }
 
-/** Reports readings to a model from which it learns a high pressure of the filler. */
+/** Feeds a model readings that show a high pressure of the filler. */
 function learnPressure(state: JobsState, model: Interference): void {
   const load = workerRuns(state, 'w');
   for (let report = 1; report <= 20; report += 1) {
@@ -59,8 +59,8 @@
   learnPressure(state, model);
   const times = createRunTimes();
   times.recordRun(taskOf(state, 'f', 0, 0).step, 1_700);
-  const learnt = { runTimes: times.learnt(), ...model.learnt() };
-  applyRecord(state, { kind: 'learnt', learnt });
+  const estimates = { runTimes: times.learnt(), ...model.learnt() };
+  applyRecord(state, { kind: 'learnt', learnt: estimates });
   const next = new Interference(state.learnedEstimates);
   assert.ok(pressureOf(model) > 2);
   assert.equal(pressureOf(next), pressureOf(model));
@@ -74,12 +74,13 @@
     { length: 3 * MAX_LEARNED_ENTRIES },
     (_, at) => [`s/${at}`, 1, 1] as const,
   );
-  const learnt = { runTimes: [], pressures, lowTails: [] };
-  const model = new Interference({ estimates: learnt, readAt: 0 });
+  const estimates = { runTimes: [], pressures, lowTails: [] };
+  const model = new Interference({ estimates, readAt: 0 });
   assert.equal(model.learnt().pressures.length, MAX_LEARNED_ENTRIES);
 });
 
-// Values that are not numbers were recorded as null, and each leader that read them failed when recording them.
+// Values that are not numbers were recorded as null, and each leader that read them failed when it recorded
+// them again.
 test('recorded estimates that are not numbers are ignored', () => {
   const row = [
     'learnt',
--- a/packages/domain/src/jobs/learned-estimates.ts
+++ b/packages/domain/src/jobs/learned-estimates.ts
@@ -1,8 +1,9 @@
 /**
  * Estimates of run times and interference that a leader has learned and the next one starts with. They are
- * recorded in the journal, since otherwise every new leader would have to find out again which fillers disturb
- * serving tasks. They raise the share of the work's value that callers get by 0.016 (mean of twelve simulated
- * days on 45 workers, with and without), and by 0.03 to 0.06 on days on which all hosts are restarted in turn.
+ * recorded in the journal, since otherwise every new leader would have to find out again which fillers
+ * disturb serving tasks. They raise the share of the work's value that callers get by 0.016, the mean
+ * difference over twelve simulated days on 45 workers with and without them, and by 0.03 to 0.06 on days on
+ * which all hosts are restarted in turn.
  */
 import type { Instant } from '../core/time.js';
 
@@ -26,7 +27,7 @@
 /** Learned estimates and the time at which this host read them. */
 export interface ReceivedEstimates {
   readonly estimates: LearnedEstimates;
-  /** Monotonic. */
+  /** Monotonic time. */
   readonly readAt: Instant;
 }
 
@@ -41,7 +42,7 @@
   return Number(value.toFixed(DECIMAL_PLACES));
 }
 
-/** Returns the valid entries of a record: an earlier version may have recorded values that are not numbers. */
+/** Returns the valid entries of a record: earlier versions may have recorded values that are not numbers. */
 export function parseEstimates(
   found: Partial<LearnedEstimates> | null | undefined,
 ): LearnedEstimates {
--- a/packages/domain/src/jobs/loss-attribution.ts
+++ b/packages/domain/src/jobs/loss-attribution.ts
@@ -6,21 +6,21 @@
 import type { JobsState } from './jobs-state.js';
 import type { Suspicion } from './loss.js';
 
-/** Age from which a run is no longer considered as the cause of the loss of its worker. */
+/** Age from which a run is no longer considered the cause of the loss of its worker. */
 export const SETTLED_MS: Millis = 5_000;
 
 /** Maximum delay until a silent worker is reported as unresponsive: polls wait a little over 1 s. */
 const SILENCE_REPORT_DELAY_MS: Millis = 2_000;
 
-/** Maximum uncertainty of the age of a lost run: a poll of a crashed worker takes up to 1.5 s. */
+/** Maximum uncertainty of an age that counts as precise: a poll of a crashed worker takes up to 1.5 s. */
 const MAX_AGE_UNCERTAINTY_MS: Millis = 2_000;
 
 /** Probability of losing a healthy worker while a run settles, above which losses say little about tasks. */
 const NOISY_LOSS_PROBABILITY = 0.01;
 
 /**
- * How a worker was lost: it crashed; it was removed, which it may have announced; or it may only be
- * unreachable or has left as announced.
+ * How a worker was lost: `crashed`; `gone` if it was removed from the registry, perhaps after it had
+ * announced its departure; or `unknown` if it may only be unreachable or has left as announced.
  */
 export type WorkerLossKind = 'crashed' | 'gone' | 'unknown';
 
@@ -54,15 +54,16 @@
   );
   const recent = runs.filter(run => !settled.has(run));
   const jobs = new Set(recent.map(jobOf));
-  const certain = jobs.size === 1 ? 'sole' : 'shared';
+  const undoubted = jobs.size === 1 ? 'sole' : 'shared';
   const isUnexplained = lossKind !== 'unknown' && recent.length === 0;
   const forSettled = isUnexplained ? 'unexplained' : 'cleared';
   return new Map(
     runs.map(run => {
       const age = ageBounds(state, run, evidence);
-      const isIsolated = !hasUnrelatedLosses(state, run, evidence);
-      const isCertain = lossKind === 'crashed' && isIsolated && isPrecise(age);
-      const forRecent = isCertain ? certain : 'doubtful';
+      const isFleetHealthy = !hasManyUnrelatedLosses(state, run, evidence);
+      const isUndoubted =
+        lossKind === 'crashed' && isFleetHealthy && isPrecise(age);
+      const forRecent = isUndoubted ? undoubted : 'doubtful';
       const suspicion = settled.has(run) ? forSettled : forRecent;
       return [run, { suspicion, age }];
     }),
@@ -127,8 +128,8 @@
 }
 
 /**
- * Returns the minimum age that a run that this leader has not seen reached under earlier leaders. These
- * reported which workers had stopped answering, and until when they led.
+ * Returns the minimum age that a run reached under earlier leaders, for a run that this leader has not seen.
+ * Earlier leaders reported which workers had stopped answering, and how long they themselves led.
  */
 function minAgeUnderEarlierLeaders(
   { journalTime, unresponsiveSince }: JobsState,
@@ -145,7 +146,7 @@
 }
 
 /** Tells whether so many other workers were lost without this task that a loss says little about it. */
-function hasUnrelatedLosses(
+function hasManyUnrelatedLosses(
   { workerLosses }: JobsState,
   { task, worker }: Run,
   { fleetSize, now }: LossEvidence,
--- a/packages/domain/src/jobs/loss.ts
+++ b/packages/domain/src/jobs/loss.ts
@@ -8,13 +8,13 @@
   /** Runs of other jobs could have caused the loss as well. */
   'shared',
   /**
-   * Another cause is likely: other workers are being lost without a suspect, or this worker may only be
-   * unreachable or have left.
+   * Another cause is likely: many workers are being lost that did not run the task, or this worker may only
+   * be unreachable or have left. Also used if the age of the run is not known precisely enough.
    */
   'doubtful',
   /** The run had been running for so long that it is not the cause. */
   'cleared',
-  /** All runs on the worker had been running for long, and the worker has crashed. */
+  /** All runs on the worker had been running for long, and the worker crashed or was removed. */
   'unexplained',
 ] as const;
 
@@ -31,7 +31,7 @@
 export interface Loss {
   readonly worker: string;
   suspicion: CountedSuspicion;
-  /** How long the run had been running. */
+  /** Age of the run when the worker was lost. */
   readonly age: SpanBounds;
   /** Checkpoint from which the run resumed; empty if it started from scratch. */
   readonly resumedFrom: string;
@@ -41,7 +41,7 @@
 export interface LossHistory {
   /** Losses since the task came under suspicion. */
   losses: Loss[];
-  /** Monotonic time at which this host read of the last of them. */
+  /** Monotonic time at which this host learned of the last of them. */
   lastLossAt: Instant;
 }
 
--- a/packages/domain/src/jobs/quarantine.test.ts
+++ b/packages/domain/src/jobs/quarantine.test.ts
@@ -21,7 +21,7 @@
 const SETTLED_MS = 5_000;
 const WORKERS = ['w1', 'w2', 'w3'].map(id => testWorker(id));
 
-/** Starts a task and loses its worker in such a way that other jobs may have caused the loss as well. */
+/** Starts a task and loses its worker; the loss may have been caused by another job as well. */
 function startAndLose(state: JobsState, task: Task): void {
   const { number } = startOn(state, task, `lost${task.lastRun}`);
   const lost = { task: refOf(task), run: number, checkpoint: '' };
--- a/packages/domain/src/jobs/quarantine.ts
+++ b/packages/domain/src/jobs/quarantine.ts
@@ -9,7 +9,7 @@
 import type { JobsState } from './jobs-state.js';
 import { isSettled } from './loss-attribution.js';
 
-/** Input of a quarantine. */
+/** Input of the quarantine in one scheduling round. */
 export interface QuarantineInput {
   readonly state: JobsState;
   readonly now: Instant;
--- a/packages/domain/src/jobs/record-rows.test.ts
+++ b/packages/domain/src/jobs/record-rows.test.ts
@@ -40,13 +40,13 @@
   fc.assert(
     fc.property(row, found => {
       const state = emptyJobsState();
-      const asked = decodeInbox(bytesOf(found));
-      const decided = decodeJournal(bytesOf(found));
-      if (asked !== undefined) {
-        applyInbox(state, asked);
+      const request = decodeInbox(bytesOf(found));
+      const decision = decodeJournal(bytesOf(found));
+      if (request !== undefined) {
+        applyInbox(state, request);
       }
-      if (decided !== undefined) {
-        applyJournal(state, decided);
+      if (decision !== undefined) {
+        applyJournal(state, decision);
       }
     }),
     { seed: 1, numRuns: 2_000 },
--- a/packages/domain/src/jobs/record-rows.ts
+++ b/packages/domain/src/jobs/record-rows.ts
@@ -166,7 +166,7 @@
       if (how !== 'lapsed' || cause === WORKER_PRESENT) {
         return { kind: 'end', task, run, how, checkpoint };
       }
-      // With a leader of an earlier version, or an unknown cause of a later one, the worker may have been lost.
+      // The worker may have been lost: earlier versions record no cause, later ones perhaps an unknown one.
       const suspicion = SUSPICIONS.find(known => known === cause) ?? 'doubtful';
       const lost = { task, run, checkpoint, suspicion };
       return { kind: 'lost', ...lost, age: parseSpan(from, to) };
--- a/packages/domain/src/jobs/records.ts
+++ b/packages/domain/src/jobs/records.ts
@@ -29,16 +29,19 @@
       readonly address: string | undefined;
     };
 
-/** How a run ended; `void` means that it never started. */
+/**
+ * How a run ended. `lapsed`: its lease expired; `broken`: another member of its gang ended early; `alone`:
+ * the other members of its gang did not start in time; `void`: it never started.
+ */
 export type RunEnd =
   'done' | 'failed' | 'stopped' | 'lapsed' | 'broken' | 'alone' | 'void';
 
 /**
  * Remaining times of leases as a leader reports them in its heartbeats: upper bounds at the time of writing.
- * An earlier leader that is not listed holds no valid lease.
+ * No lease of an earlier leader that is not listed is still valid.
  */
 export interface LeaseHandover {
-  /** By epoch of the leader; the writer's own entry covers leases that it may grant before its next record. */
+  /** By epoch of the leader; the writer's own entry covers leases it may grant before its next record. */
   readonly epochs: readonly (readonly [epoch: number, leftMs: number])[];
   /** By id of a worker with open runs that does not answer the writer, which no longer extends its leases. */
   readonly workers: readonly (readonly [worker: string, leftMs: number])[];
@@ -67,7 +70,7 @@
       readonly address: string;
       /** How long it has led; undefined if its version does not report this. */
       readonly ledForMs: Millis | undefined;
-      /** Time between the newest heartbeat of the previous leader and the start of `ledForMs`. */
+      /** Time between the previous leader's newest heartbeat and the moment at which `ledForMs` was 0. */
       readonly silence: SpanBounds;
     }
   | { readonly kind: 'restate'; readonly image: JobImage }
@@ -81,7 +84,7 @@
   | { readonly kind: 'learnt'; readonly learnt: LearnedEstimates }
   /** The leader has reached the worker with this id and may extend its lease from now on. */
   | { readonly kind: 'reached'; readonly worker: string }
-  /** A worker has started a run of the job, the first one that is confirmed. */
+  /** A worker has confirmed the start of a run of the job for the first time. */
   | { readonly kind: 'begun'; readonly job: string }
   | {
       readonly kind: 'start';
@@ -112,6 +115,6 @@
       readonly run: number;
       readonly checkpoint: string;
       readonly suspicion: Suspicion;
-      /** How long the run had been running. */
+      /** Age of the run when the worker was lost. */
       readonly age: SpanBounds;
     };
--- a/packages/domain/src/jobs/restate.ts
+++ b/packages/domain/src/jobs/restate.ts
@@ -1,5 +1,5 @@
 /**
- * Records that restate the whole state of a job, so that older records of the job are no longer needed.
+ * Records that restate the whole state of a job, so that the log need not keep older records of the job.
  *
  * The log drops records after its retention time. A reader that starts after the first records of a job were
  * dropped does not know the job until it is restated, and has its complete state from then on.
@@ -46,11 +46,11 @@
   failedOn: readonly string[],
   checkpoint: string,
   runs: readonly RunRow[],
-  /** Workers that were lost while running it; absent if there are none or an earlier version wrote the row. */
+  /** Losses of workers that ran the task; absent if there are none or an earlier version wrote the row. */
   losses?: readonly LossRow[],
 ];
 
-/** A step: its tasks and the failed run numbers of a gang. */
+/** A step: its tasks, and for a gang the numbers of its failed runs. */
 export interface StepRow {
   readonly tasks: readonly TaskRow[];
   readonly failedGangRuns: readonly number[];
@@ -101,7 +101,7 @@
   };
 }
 
-/** Keeps only what callers ask about a finished job, its state: a tenth of the bytes. */
+/** Returns an image with only the state of a finished job, all that callers ask for: a tenth of the bytes. */
 function compactImageOf({
   spec,
   acceptedAtWall,
--- a/packages/domain/src/jobs/span-rows.ts
+++ b/packages/domain/src/jobs/span-rows.ts
@@ -19,7 +19,7 @@
   return [from, Number.isFinite(to) ? to : null];
 }
 
-/** Decodes a span; without columns, as earlier versions wrote it, the span is unbounded. */
+/** Decodes a span; it is unbounded if the columns are missing, as in rows of earlier versions. */
 export function parseSpan(from: unknown, to: unknown): SpanBounds {
   return {
     from: typeof from === 'number' ? from : 0,
--- a/packages/domain/src/jobs/spec.ts
+++ b/packages/domain/src/jobs/spec.ts
@@ -39,7 +39,7 @@
   readonly image: string | undefined;
   /** Target for the tail latency that the users of a serving task see. */
   readonly tailTargetMs: Millis | undefined;
-  /** Whether these are best-effort filler tasks, which use only processor time that other tasks leave idle. */
+  /** Whether these are best-effort filler tasks: they use only processor time that other tasks leave idle. */
   readonly filler: boolean;
   /** How many long-running tasks the scheduler itself may make unavailable at the same time. */
   readonly allowedMisses: number | undefined;
--- a/packages/domain/src/jobs/standbys.ts
+++ b/packages/domain/src/jobs/standbys.ts
@@ -1,6 +1,6 @@
 /**
- * Chooses the standbys of the leader. Only standbys read every decision, at a cost that grows with the work of
- * the fleet, so their number must not grow with the number of hosts.
+ * Chooses the standbys of the leader. Only standbys read every decision, at a cost that grows with the work
+ * of the fleet, so their number must not grow with the number of hosts.
  */
 import type { Instant, Millis } from '../core/time.js';
 
@@ -14,8 +14,9 @@
 }
 
 /**
- * Maximum number of standbys besides the leader. If a third of all hosts are unreachable, all nine are
- * unreachable once in 20,000 times; and in a fleet of up to nine hosts every other host is a standby.
+ * Maximum number of standbys besides the leader. If a third of all hosts are unreachable, the leader and all
+ * eight standbys are among them once in 20,000 times. In a fleet of up to nine hosts every other host is a
+ * standby.
  */
 export const MAX_STANDBYS = 8;
 /** Time after its last offer at which a host counts as unavailable: three offers may be lost. */
--- a/packages/domain/src/jobs/summary.ts
+++ b/packages/domain/src/jobs/summary.ts
@@ -1,6 +1,6 @@
 /**
- * The state of jobs that is reported to callers. The leader writes it to a separate stream, with a row when a
- * job is accepted, has started and is finished. Hosts that are not standbys read it instead of the journal.
+ * The state of jobs that is reported to callers. The leader writes it to a separate stream, with one row each
+ * when a job is accepted, starts and finishes. Hosts that are not standbys read it instead of the journal.
  *
  * A job of 80 tasks has 160 or more records of 60 bytes in the journal, and three rows of 25 bytes here.
  */
@@ -157,7 +157,7 @@
   readonly row: SummaryRow;
   /** Queue in which the job waits; undefined once it has started or finished. */
   readonly queue: string | undefined;
-  /** Monotonic time at which this host read that the job is finished; infinite before. */
+  /** Monotonic time at which this host learned that the job is finished; infinite before. */
   readonly finishedAt: Instant;
 }
 
--- a/packages/domain/src/jobs/suspect-tasks.test.ts
+++ b/packages/domain/src/jobs/suspect-tasks.test.ts
@@ -125,7 +125,7 @@
   assert.deepEqual(suspicionsIn(found), ['doubtful']);
 });
 
-test('losses are doubtful while other workers are lost without a suspect', () => {
+test('losses are doubtful while many other workers are lost', () => {
   const state = stateWithJobs('a', 'b');
   const [run] = startTogether(state, 'a');
   assert.ok(run);
@@ -225,9 +225,9 @@
       age: UNKNOWN_SPAN,
     });
   }
-  const lapsed = { kind: 'end', task, run: 1, how: 'lapsed' } as const;
-  const there = { ...lapsed, checkpoint: 'c' };
-  assert.deepEqual(decodeJournal(encodeRecord(there)), there);
+  const expired = { kind: 'end', task, run: 1, how: 'lapsed' } as const;
+  const present = { ...expired, checkpoint: 'c' };
+  assert.deepEqual(decodeJournal(encodeRecord(present)), present);
 });
 
 test('losses explained by an abandoned task count less against tasks beside it', () => {
@@ -324,7 +324,7 @@
   assert.ok(isAbandoned(task));
 });
 
-// Such a task crashes at the same point of its work, so at a different age for each checkpoint it resumes from.
+// Such a task crashes at the same point of its work, and thus at another age for each checkpoint.
 test('ages of runs that resumed from different checkpoints are not compared', () => {
   const state = stateWithJobs('a');
   const task = taskOf(state, 'a', 0, 0);
@@ -375,8 +375,8 @@
   ]);
 });
 
-// Guards against abandoning a healthy task after three losses that happen to be at the same age, as happened when
-// a worker restarted every 2 s.
+// Guards against abandoning a healthy task after three losses that happen to be at the same age, as occurred
+// when a worker restarted every 2 s.
 test('losses of a task are doubtful if other workers are lost without it, but not after its own losses', () => {
   const state = stateWithJobs('a', 'b');
   const small = { ...CONFIRMED_CRASH, fleetSize: 6 };
--- a/packages/domain/src/jobs/suspect-tasks.ts
+++ b/packages/domain/src/jobs/suspect-tasks.ts
@@ -1,8 +1,8 @@
 /**
- * Finds tasks that crash their workers. Such a task may crash every worker that starts it, along with all that
- * runs there, so it is abandoned after a few losses. Tasks that merely ran beside it, or on workers that crashed
- * for other reasons, are not: a task that crashes its workers does so at a characteristic age of its runs,
- * whereas other losses happen at any age.
+ * Finds tasks that crash their workers. Such a task may crash every worker that starts it, along with all
+ * that runs there, so it is abandoned after a few losses. Tasks that merely ran beside it, or on workers that
+ * crashed for other reasons, are not: a task that crashes its workers does so at a characteristic age of its
+ * runs, whereas other losses happen at any age.
  */
 import type { Millis, SpanBounds } from '../core/time.js';
 import type { Task } from './job.js';
@@ -22,7 +22,7 @@
 /** Suspicion in percent at which a task is abandoned. */
 const ABANDON_AT_PERCENT = 100;
 
-/** Losses after which a task is abandoned even if all are doubtful: users accept three, plus two more starts. */
+/** Losses at which a task is abandoned even if all are doubtful: users accept three, and two more starts. */
 const ABANDON_AT_LOSSES = 5;
 
 /** Maximum number of losses kept for a task: several times as many as are needed to abandon it. */
@@ -49,7 +49,7 @@
     );
     largestSameAgeGroup(losses).forEach(loss => counted.add(loss));
   }
-  return cappedPercent(lossHistory.losses.filter(loss => counted.has(loss)));
+  return countedPercent(lossHistory.losses.filter(loss => counted.has(loss)));
 }
 
 /**
@@ -78,21 +78,21 @@
   );
 }
 
-function cappedPercent(losses: readonly Loss[]): number {
+function countedPercent(losses: readonly Loss[]): number {
   if (losses.length >= ABANDON_AT_LOSSES) {
     return ABANDON_AT_PERCENT;
   }
   let sum = 0;
   for (const { suspicion } of losses) {
     sum += SUSPICION_PERCENT[suspicion];
-    // A doubtful loss never reaches the limit by itself, whatever came before it.
+    // A doubtful loss never brings the sum to the limit, whatever came before it.
     sum =
       suspicion === 'doubtful' ? Math.min(sum, ABANDON_AT_PERCENT - 1) : sum;
   }
   return sum;
 }
 
-/** Tells whether so many workers were lost under a task that it is abandoned. */
+/** Tells whether a task is abandoned because too many workers were lost while they ran it. */
 export function isAbandoned(task: Task): boolean {
   return suspicionPercent(task) >= ABANDON_AT_PERCENT;
 }
@@ -145,7 +145,7 @@
   state.suspects.add(task);
 }
 
-/** Marks losses of the same workers under other tasks as doubtful: the abandoned task caused most of them. */
+/** Marks losses of the same workers as doubtful for other tasks: the abandoned task caused most of them. */
 export function discountExplainedLosses(
   { suspects }: JobsState,
   abandoned: Task,
--- a/packages/domain/src/jobs/test-support.ts
+++ b/packages/domain/src/jobs/test-support.ts
@@ -92,7 +92,7 @@
   };
 }
 
-/** Applies a start like the leader and returns the run. */
+/** Applies a start as the leader does and returns the run. */
 export function applyDecision(
   state: JobsState,
   { task, run, worker }: StartDecision,
--- a/packages/domain/src/jobs/worker-health.ts
+++ b/packages/domain/src/jobs/worker-health.ts
@@ -15,7 +15,7 @@
 
 /** Time without progress after which a run counts as stalled. */
 const STALL_TIMEOUT_MS: Millis = 1_800;
-/** Speed limit below which a throttled run is not judged. */
+/** Speed limit in percent below which a throttled run does not count as stalled. */
 const MIN_JUDGED_SPEED_PERCENT = 50;
 
 interface FailureRecord {
@@ -33,7 +33,7 @@
     this.records.delete(worker);
   }
 
-  /** Notes that a run failed, because of the worker or of its task. */
+  /** Notes that a run failed, which counts against the worker unless the task also failed elsewhere. */
   noteFailure(worker: string, task: Task, now: Instant): void {
     if (failedElsewhere(task, worker)) {
       return;
