--- a/packages/domain/src/jobs/fold.ts
+++ b/packages/domain/src/jobs/fold.ts
@@ -150,7 +150,7 @@
   }
 }
 
-/** Forgets workers without open runs: it does not matter who may have extended their leases. */
+/** Forgets which leader reached the workers without open runs: who extended their leases does not matter. */
 function forgetIdleWorkers(state: JobsState): void {
   for (const worker of state.reachedInEpoch.keys()) {
     if (countOpenRunsAt(state, worker) === 0) {
--- a/packages/domain/src/jobs/job.ts
+++ b/packages/domain/src/jobs/job.ts
@@ -93,7 +93,7 @@
   readonly lossHistory: LossHistory;
   /** Newest checkpoint of a run that has ended; empty if there is none. */
   checkpoint: string;
-  /** Monotonic time at which the task last became unavailable by the end of a run; infinite before. */
+  /** Monotonic time at which the task last became unavailable because a run ended; infinite before. */
   endedAt: Instant;
 }
 
--- a/packages/domain/src/jobs/journal-time.ts
+++ b/packages/domain/src/jobs/journal-time.ts
@@ -6,7 +6,7 @@
  */
 import { UNKNOWN_SPAN, type Millis, type SpanBounds } from '../core/time.js';
 
-/** A moment between two consecutive records of how long a leader has led. */
+/** A moment between two consecutive records that report how long a leader has led. */
 export interface JournalMoment {
   /** Slow clock at the later record; infinite until that record is read. */
   nextRecordSlow: Millis;
@@ -14,7 +14,7 @@
   readonly previousRecordFast: Millis;
 }
 
-/** Counts journal time. */
+/** Computes journal time from the records of leaders. */
 export class JournalTime {
   /** Lower and upper bound of the time of the newest record. */
   private slowNow: Millis = 0;
@@ -26,7 +26,7 @@
   private epoch = 0;
   private ledForMs: Millis = 0;
   private previousUntil: Millis = 0;
-  /** Start of the newest leader by both clocks; undefined until it has reported how long it has led. */
+  /** Time at which the newest leader started to lead, by both clocks; undefined until its first report. */
   private leaderStart:
     { readonly slow: Millis; readonly fast: Millis } | undefined;
   /** Time of the fast clock before which moments have no upper bound on their age. */
@@ -45,7 +45,7 @@
     return this.pendingMoment;
   }
 
-  /** Journal time of the last record of the leader before the newest one. */
+  /** Journal time of the last record of the previous leader. */
   get previousLeaderUntil(): Millis {
     return this.previousUntil;
   }
--- a/packages/domain/src/jobs/loss-attribution.ts
+++ b/packages/domain/src/jobs/loss-attribution.ts
@@ -145,7 +145,7 @@
   );
 }
 
-/** Tells whether so many other workers were lost without this task that a loss says little about it. */
+/** Tells whether so many workers that did not run this task were lost that a loss says little about it. */
 function hasManyUnrelatedLosses(
   { workerLosses }: JobsState,
   { task, worker }: Run,
--- a/packages/domain/src/jobs/record-rows.ts
+++ b/packages/domain/src/jobs/record-rows.ts
@@ -178,7 +178,7 @@
   }
 }
 
-/** Column in which hosts of an earlier version read the ages of claims; if empty, they wait the longest. */
+/** Column from which earlier versions read the ages of claims; if it is empty, they wait the longest. */
 const LEGACY_CLAIM_AGES: readonly never[] = [];
 
 /** Returns the lease times that a leader handed over; undefined if there are none or they are invalid. */
--- a/packages/domain/src/jobs/standbys.ts
+++ b/packages/domain/src/jobs/standbys.ts
@@ -15,7 +15,7 @@
 
 /**
  * Maximum number of standbys besides the leader. If a third of all hosts are unreachable, the leader and all
- * eight standbys are among them once in 20,000 times. In a fleet of up to nine hosts every other host is a
+ * eight standbys are among them in one of 20,000 cases. In a fleet of up to nine hosts every other host is a
  * standby.
  */
 export const MAX_STANDBYS = 8;
--- a/packages/domain/src/jobs/suspect-tasks.ts
+++ b/packages/domain/src/jobs/suspect-tasks.ts
@@ -28,7 +28,7 @@
 /** Maximum number of losses kept for a task: several times as many as are needed to abandon it. */
 const MAX_KEPT_LOSSES = 20;
 
-/** Suspicion in percent at which a task is isolated: two losses that are not doubtful. */
+/** Suspicion in percent at which a task is isolated: two losses that are not doubtful reach it. */
 const SUSPECT_AT_PERCENT = 60;
 
 /** How long the loss of a worker is kept. */
--- a/packages/domain/src/jobs/test-support.ts
+++ b/packages/domain/src/jobs/test-support.ts
@@ -22,7 +22,7 @@
   type StepSpec,
 } from './spec.js';
 
-/** Terms of a queue that allows three failed runs. */
+/** Terms of a queue that allows three attempts per task. */
 export const TERMS: QueueTerms = {
   queue: 'q',
   service: 'main',
--- a/packages/domain/src/jobs/worker-health.ts
+++ b/packages/domain/src/jobs/worker-health.ts
@@ -5,7 +5,7 @@
 /** How many runs a worker may be given. */
 export type Trust = 'full' | 'one_run' | 'none';
 
-/** Pause after the first of consecutive failures: about 2 % of runs fail for reasons of their own. */
+/** Pause after the first of consecutive failures: about 2 % of runs fail because of their task. */
 const FIRST_PAUSE_MS: Millis = 400;
 /** Pause after the second consecutive failure; doubled after each further one. */
 const SECOND_PAUSE_MS: Millis = 1_500;
