--- a/packages/domain/src/jobs/test-support.ts
+++ b/packages/domain/src/jobs/test-support.ts
@@ -22,7 +22,7 @@
   type StepSpec,
 } from './spec.js';
 
-/** Terms of a queue that allows three failed runs. */
+/** Terms of a queue that allows three attempts per task. */
 export const TERMS: QueueTerms = {
   queue: 'q',
   service: 'main',
@@ -92,7 +92,7 @@
   };
 }
 
-/** Applies a start like the leader and returns the run. */
+/** Applies a start as the leader does and returns the run. */
 export function applyDecision(
   state: JobsState,
   { task, run, worker }: StartDecision,
