--- a/packages/bench/src/benches/log.ts
+++ b/packages/bench/src/benches/log.ts
@@ -185,7 +185,7 @@
     leased.add(time.clock() - at);
     const from = result.map(position => position.offset).unwrapOr(0);
     const reading = log.read({ stream, from, limit: 1, waitMs: 0 });
-    await follower.reach(from + 1, deadline);
+    await follower.waitForOffset(from + 1, deadline);
     followed.add(time.clock() - at);
     await reading;
     read.add(time.clock() - at);
--- a/packages/bench/src/prove/faulty-decisions/shared-state.test.ts
+++ b/packages/bench/src/prove/faulty-decisions/shared-state.test.ts
@@ -5,7 +5,7 @@
   applyConfigRecord,
   applyLeaseRecord,
   CONFIG_CHANGE_KIND,
-  CONFIG_RULES,
+  CONFIG_RULES_VERSION,
   createLeaseState,
   EMPTY_CONFIG,
   leaseEnvelope,
@@ -27,7 +27,7 @@
     evictions: 1,
   };
   const change = { kind: 'weights', name: 'default', baseVersion, declaration };
-  const body = { rules: CONFIG_RULES, changes: [change] };
+  const body = { rules: CONFIG_RULES_VERSION, changes: [change] };
   return { id, kind: CONFIG_CHANGE_KIND, body };
 }
 
--- a/packages/bench/src/proxy/router-child.ts
+++ b/packages/bench/src/proxy/router-child.ts
@@ -82,7 +82,7 @@
   follow: () => ({
     offset: () => 0,
     caughtUp: () => true,
-    reach: () => Promise.resolve(Result.ok(undefined)),
+    waitForOffset: () => Promise.resolve(Result.ok(undefined)),
     stop: () => undefined,
   }),
   settings: {
--- a/packages/cli/src/app.test.ts
+++ b/packages/cli/src/app.test.ts
@@ -13,7 +13,7 @@
   type OperatorDeps,
 } from '@paddlewind/daemon';
 import {
-  ERROR_ANSWERS,
+  ERROR_RESPONSES,
   appError,
   objectKey,
   objectSchema,
@@ -308,7 +308,7 @@
   for (const [, command = ''] of commands) {
     assert.match(page, new RegExp(`\\b${command}\\b`), command);
   }
-  const codes = Object.values(ERROR_ANSWERS).map(answer => answer.exitCode);
+  const codes = Object.values(ERROR_RESPONSES).map(answer => answer.exitCode);
   for (const code of new Set([EXIT_OK, EXIT_DIFFERENT, ...codes])) {
     assert.match(page, new RegExp(`^\\| ${code} +\\|`, 'm'), `code ${code}`);
   }
--- a/packages/cli/src/output.ts
+++ b/packages/cli/src/output.ts
@@ -1,6 +1,6 @@
 /** Prints results and errors as text or, with `--json`, as JSON. */
 import {
-  ERROR_ANSWERS,
+  ERROR_RESPONSES,
   type AppError,
   type ErrorKind,
 } from '@paddlewind/domain';
@@ -62,7 +62,7 @@
       io.err(advice);
     }
   }
-  return first === undefined ? 1 : ERROR_ANSWERS[first.kind].exitCode;
+  return first === undefined ? 1 : ERROR_RESPONSES[first.kind].exitCode;
 }
 
 /** Formats rows under a header in aligned columns. */
--- a/packages/daemon/src/config/apply.ts
+++ b/packages/daemon/src/config/apply.ts
@@ -57,7 +57,10 @@
   if (committed.isErr) {
     return Result.err(committed.error);
   }
-  const read = await deps.follower.reach(committed.value.offset + 1, deadline);
+  const read = await deps.follower.waitForOffset(
+    committed.value.offset + 1,
+    deadline,
+  );
   const verdict = deps.ledger.verdictOf(set.id);
   if (verdict !== undefined) {
     return answerOf(verdict);
@@ -74,7 +77,7 @@
   const bases = set.changes.map(change => change.baseVersion);
   const newest = Math.max(0, ...bases);
   const until = Math.min(deadline, clock() + BASE_WAIT_MS);
-  const reached = await follower.reach(newest, until);
+  const reached = await follower.waitForOffset(newest, until);
   return reached.mapErr(() => baseUnread(newest));
 }
 
--- a/packages/daemon/src/config/fixture.test.ts
+++ b/packages/daemon/src/config/fixture.test.ts
@@ -157,7 +157,7 @@
     for (const host of hosts) {
       tellPeers(host);
     }
-    changes.forEach(listeners => listeners.tell());
+    changes.forEach(listeners => listeners.emit());
     time.schedule(HEARTBEAT_MS, beat);
   }
 
--- a/packages/daemon/src/config/history.test.ts
+++ b/packages/daemon/src/config/history.test.ts
@@ -86,7 +86,7 @@
   let snapshotAt = 0;
 
   function take(records: readonly StreamRecord[], next: number): void {
-    const fresh = records.filter(({ id }) => window.take(id));
+    const fresh = records.filter(({ id }) => window.addIfNew(id));
     ledger.fold(fresh, next);
     for (const record of fresh) {
       const whole = assembler.add(record);
--- a/packages/daemon/src/config/start.ts
+++ b/packages/daemon/src/config/start.ts
@@ -184,15 +184,15 @@
 
 function startHelpers(holding: Holding, follower: FoldFollower): Stop[] {
   const { ctx, committer, peers, fetch, retentionMs } = holding.options;
-  const everyMs = (retentionMs ?? RETENTION_MS) / SNAPSHOTS_PER_RETENTION;
+  const maxAgeMs = (retentionMs ?? RETENTION_MS) / SNAPSHOTS_PER_RETENTION;
   const snapshotWriter = startSnapshotWriter({
     ctx,
     stream: CONFIG_STREAM,
     committer,
     follower,
-    everyMs,
-    everyEntries: SNAPSHOT_ENTRIES,
-    staggerMs: Math.min(SNAPSHOT_STAGGER_MS, everyMs / 4),
+    maxAgeMs,
+    maxEntries: SNAPSHOT_ENTRIES,
+    maxStaggerMs: Math.min(SNAPSHOT_STAGGER_MS, maxAgeMs / 4),
   });
   const onPeers = peers.onChange(() => {
     advance(holding, follower);
@@ -272,9 +272,9 @@
   }
   holding.served = state;
   if (state.objects !== served.objects) {
-    listeners.tell(state);
+    listeners.emit(state);
   }
-  progress.tell();
+  progress.emit();
 }
 
 function noteForce(
--- a/packages/daemon/src/core/listeners.ts
+++ b/packages/daemon/src/core/listeners.ts
@@ -6,7 +6,7 @@
   /** Adds a listener; the returned function removes it. */
   add(listener: (...args: Args) => Answer): Stop;
   /** Calls every listener in the order in which they were added and returns their results. */
-  tell(...args: Args): Answer[];
+  emit(...args: Args): Answer[];
 }
 
 /** Creates an empty list of listeners. */
@@ -20,6 +20,6 @@
       listeners.add(listener);
       return () => void listeners.delete(listener);
     },
-    tell: (...args) => [...listeners].map(listener => listener(...args)),
+    emit: (...args) => [...listeners].map(listener => listener(...args)),
   };
 }
--- a/packages/daemon/src/entry-host.ts
+++ b/packages/daemon/src/entry-host.ts
@@ -28,7 +28,7 @@
 } from './log/index.js';
 import { startMembership, type MembershipPart } from './membership/index.js';
 import {
-  createBurn,
+  createBurnReport,
   startObjectives,
   type Objectives,
 } from './objectives/index.js';
@@ -301,7 +301,7 @@
     scheduler,
     ownership,
     ready: () => notReady().length === 0,
-    burn: createBurn({
+    burn: createBurnReport({
       own: () => work.objectives.burn(),
       peers: membership.peers,
       transports: peerServer.transports,
--- a/packages/daemon/src/interference/build-view.ts
+++ b/packages/daemon/src/interference/build-view.ts
@@ -16,7 +16,7 @@
 } from '@paddlewind/domain';
 import type { Host } from '@paddlewind/ports';
 
-import type { AttemptTracker, TrackedAttempt } from './attempt-book.js';
+import type { AttemptTracker, TrackedAttempt } from './attempt-tracker.js';
 
 /** The data from which a view is built. */
 export interface ViewInput {
--- a/packages/daemon/src/interference/start-interference.ts
+++ b/packages/daemon/src/interference/start-interference.ts
@@ -28,7 +28,7 @@
   createAttemptTracker,
   type AttemptTracker,
   type TrackedAttempt,
-} from './attempt-book.js';
+} from './attempt-tracker.js';
 import { buildView, weightsOf } from './build-view.js';
 import {
   createInterferenceMetrics,
--- a/packages/daemon/src/log/commit-queue.ts
+++ b/packages/daemon/src/log/commit-queue.ts
@@ -156,7 +156,7 @@
 /** Creates the error of a record whose deadline passed or whose committer stopped. */
 export function unsettledError(pending: PendingRecord): AppError {
   return pending.attemptState === 'not_sent'
-    ? notWritten('The log did not take the record by its deadline.')
+    ? notWrittenError('The log did not take the record by its deadline.')
     : appError(
         'log_unavailable',
         'The log did not tell by the deadline whether it took the record.',
@@ -165,7 +165,7 @@
 }
 
 /** Creates the error of a record that was certainly not written. */
-export function notWritten(message: string): AppError {
+export function notWrittenError(message: string): AppError {
   return appError('log_unavailable', message, {
     outcome: 'not_run',
     retryAfterMs: LOG_RETRY_AFTER_MS,
--- a/packages/daemon/src/log/committer.test.ts
+++ b/packages/daemon/src/log/committer.test.ts
@@ -254,8 +254,8 @@
     ctx: fixture.ctx,
     onBatch: () => undefined,
   });
-  const reached = follower.reach(1, fixture.time.clock() + 1_000);
-  const late = follower.reach(9, fixture.time.clock() + 1_000);
+  const reached = follower.waitForOffset(1, fixture.time.clock() + 1_000);
+  const late = follower.waitForOffset(9, fixture.time.clock() + 1_000);
   commitAll(fixture, ['a']);
   await fixture.time.advance(2_000);
   assert.equal((await reached).isOk, true);
--- a/packages/daemon/src/log/committer.ts
+++ b/packages/daemon/src/log/committer.ts
@@ -15,7 +15,7 @@
   createCommitQueue,
   LOG_RETRY_AFTER_MS,
   unsettledError,
-  notWritten,
+  notWrittenError,
   type CommitLimits,
   type PendingRecord,
 } from './commit-queue.js';
@@ -78,7 +78,7 @@
   ): Promise<Result<Position, AppError>> {
     const bytes = JSON.stringify(record).length;
     const refusal = stopped
-      ? notWritten('The committer has stopped.')
+      ? notWrittenError('The committer has stopped.')
       : refusalOf(record, bytes, limits, deadline <= ctx.clock());
     if (refusal !== undefined) {
       return Promise.resolve(Result.err(refusal));
@@ -115,7 +115,7 @@
     return appError('too_large', `Record ${record.id} is larger than a batch.`);
   }
   return isLate
-    ? notWritten('The deadline passed before the record was sent.')
+    ? notWrittenError('The deadline passed before the record was sent.')
     : undefined;
 }
 
--- a/packages/daemon/src/log/fold-follower.ts
+++ b/packages/daemon/src/log/fold-follower.ts
@@ -130,7 +130,7 @@
     head: () => fold.follower?.head(),
     first: () => fold.follower?.first(),
     readAt: () => fold.follower?.readAt() ?? fold.readAt,
-    reach: (offset, deadline) => reach(fold, offset, deadline),
+    waitForOffset: (offset, deadline) => reach(fold, offset, deadline),
     wake: () => {
       fold.retryWait.wake();
       fold.follower?.wake();
--- a/packages/daemon/src/log/follow-retained.ts
+++ b/packages/daemon/src/log/follow-retained.ts
@@ -41,7 +41,7 @@
   return {
     offset: () => state.follower?.offset() ?? 0,
     caughtUp: () => state.follower?.caughtUp() ?? false,
-    reach: (offset, deadline) => reach(state, offset, deadline),
+    waitForOffset: (offset, deadline) => reach(state, offset, deadline),
     stop() {
       state.abort.abort();
       state.follower?.stop();
@@ -97,7 +97,7 @@
   const { follower } = state;
   return follower === undefined
     ? Result.err(appError('canceled', 'The follower has stopped.'))
-    : follower.reach(offset, deadline);
+    : follower.waitForOffset(offset, deadline);
 }
 
 /** Resolves to true once the stream is being followed, or to false after `timeoutMs`. */
--- a/packages/daemon/src/log/follow-snapshots.ts
+++ b/packages/daemon/src/log/follow-snapshots.ts
@@ -16,7 +16,7 @@
  * Folds a stream into `state`, starting from its last complete snapshot. While `mayWrite` returns
  * true, this process also writes snapshots of the state before the records behind it expire.
  */
-export type Follow = (
+export type FollowFold = (
   stream: string,
   state: FoldedState,
   mayWrite: () => boolean,
@@ -38,7 +38,9 @@
 const MAX_STAGGER_MS = 10_000;
 
 /** Returns a function that follows streams of a log and writes their snapshots. */
-export function followWithSnapshots(options: FollowSnapshotsOptions): Follow {
+export function followWithSnapshots(
+  options: FollowSnapshotsOptions,
+): FollowFold {
   const { log, ctx, committer, retentionMs } = options;
   return (stream, state, mayWrite) => {
     const follower = followFold({ log, stream, ctx, state });
@@ -47,9 +49,9 @@
       stream,
       committer,
       follower,
-      everyMs: retentionMs / SNAPSHOTS_PER_RETENTION,
-      everyEntries: MAX_ENTRIES_SINCE_SNAPSHOT,
-      staggerMs: MAX_STAGGER_MS,
+      maxAgeMs: retentionMs / SNAPSHOTS_PER_RETENTION,
+      maxEntries: MAX_ENTRIES_SINCE_SNAPSHOT,
+      maxStaggerMs: MAX_STAGGER_MS,
       mayWrite,
     });
     return {
--- a/packages/daemon/src/log/follower.ts
+++ b/packages/daemon/src/log/follower.ts
@@ -104,7 +104,7 @@
   return {
     offset: () => state.next,
     caughtUp: () => isCaughtUp(state),
-    reach: (offset, deadline) => reach(state, offset, deadline),
+    waitForOffset: (offset, deadline) => reach(state, offset, deadline),
     head: () => state.head,
     first: () => state.first,
     readAt: () => state.readAt,
@@ -205,7 +205,7 @@
 ): CommittedRecord[] {
   const fresh: CommittedRecord[] = [];
   records.forEach((record, index) => {
-    if (window.take(record.id)) {
+    if (window.addIfNew(record.id)) {
       const at = readAt ?? options.ctx.clock();
       fresh.push({ ...record, position: { offset, index }, readAt: at });
     } else {
--- a/packages/daemon/src/log/snapshot-writer.ts
+++ b/packages/daemon/src/log/snapshot-writer.ts
@@ -18,11 +18,11 @@
   readonly committer: Committer;
   readonly follower: FoldFollower;
   /** Age of the last snapshot at which a new one is written; at most a quarter of the log's retention. */
-  readonly everyMs: Millis;
+  readonly maxAgeMs: Millis;
   /** Number of entries after which a new snapshot is written. */
-  readonly everyEntries: number;
+  readonly maxEntries: number;
   /** Maximum random delay before writing, so that hosts do not all write at the same time. */
-  readonly staggerMs: Millis;
+  readonly maxStaggerMs: Millis;
   /** Returns whether this host may write; a stream that has an owner is written only by the owner. */
   readonly mayWrite?: () => boolean;
 }
@@ -47,7 +47,7 @@
   const abort = new AbortController();
 
   async function run(): Promise<void> {
-    const checkMs = options.everyMs / CHECKS_PER_MAX_AGE;
+    const checkMs = options.maxAgeMs / CHECKS_PER_MAX_AGE;
     while (!abort.signal.aborted) {
       await sleep(schedule, checkMs * (0.5 + ctx.random()), abort.signal);
       if (mayWrite() && isDue(options, startedAt)) {
@@ -62,7 +62,7 @@
   }
 
   async function writeStaggered(): Promise<void> {
-    const wait = options.staggerMs * ctx.random();
+    const wait = options.maxStaggerMs * ctx.random();
     await sleep(schedule, wait, abort.signal);
     if (mayWrite() && isDue(options, startedAt)) {
       await writeSnapshot(options);
@@ -79,7 +79,7 @@
 }
 
 function isDue(options: SnapshotWriterOptions, startedAt: Instant): boolean {
-  const { ctx, follower, everyMs, everyEntries } = options;
+  const { ctx, follower, maxAgeMs, maxEntries } = options;
   const now = ctx.clock();
   const chunkSeenAt = follower.chunkSeenAt();
   if (
@@ -89,10 +89,10 @@
     return false;
   }
   const lastSnapshot = follower.lastSnapshot();
-  const seenAt = lastSnapshot?.seenAt ?? startedAt - everyMs / 2;
+  const seenAt = lastSnapshot?.seenAt ?? startedAt - maxAgeMs / 2;
   return (
-    now - seenAt >= everyMs ||
-    follower.offset() - (lastSnapshot?.offset ?? 0) >= everyEntries ||
+    now - seenAt >= maxAgeMs ||
+    follower.offset() - (lastSnapshot?.offset ?? 0) >= maxEntries ||
     isNearExpiry(follower, lastSnapshot?.offset ?? 0)
   );
 }
--- a/packages/daemon/src/membership/host-view.ts
+++ b/packages/daemon/src/membership/host-view.ts
@@ -55,7 +55,7 @@
     const next = withLeaving(listed, options.leavingPeers());
     if (!sameHosts(next, joined)) {
       joined = next;
-      changed.tell();
+      changed.emit();
     }
   }
 
--- a/packages/daemon/src/membership/membership.ts
+++ b/packages/daemon/src/membership/membership.ts
@@ -146,7 +146,7 @@
   const changed = createListeners();
   const watch = createWatch(ctx, metrics, membership, () => {
     hosts.peersChanged();
-    changed.tell();
+    changed.emit();
   });
   return { settings, membership, calls, hosts, changed, watch };
 }
--- a/packages/daemon/src/objectives/collect.ts
+++ b/packages/daemon/src/objectives/collect.ts
@@ -45,7 +45,9 @@
 }
 
 /** Creates the operator call that reports the burn of this host alone (`local`) or of all entry hosts. */
-export function createBurn(collection: BurnCollection): OperatorFleet['burn'] {
+export function createBurnReport(
+  collection: BurnCollection,
+): OperatorFleet['burn'] {
   const { own, peers, transports } = collection;
   return async local => {
     if (local) {
--- a/packages/daemon/src/objectives/objectives.test.ts
+++ b/packages/daemon/src/objectives/objectives.test.ts
@@ -14,7 +14,7 @@
 
 import type { BurnFields } from '../operator/deps.js';
 import type { EndedRequest, Peer } from '../parts.js';
-import { createBurn } from './collect.js';
+import { createBurnReport } from './collect.js';
 import { type Objectives, startObjectives } from './objectives.js';
 
 const SERVICE = serviceSchema.parse({
@@ -136,7 +136,7 @@
   });
   const unavailable = createRouterTransport(() => undefined);
   const peer = (id: string) => ({ id, address: id }) as Peer;
-  const burn = await createBurn({
+  const burn = await createBurnReport({
     own: () => a.objectives.burn(),
     peers: { peers: () => [peer('b'), peer('c')] },
     transports: {
--- a/packages/daemon/src/operator/connect-error.ts
+++ b/packages/daemon/src/operator/connect-error.ts
@@ -1,7 +1,7 @@
 /** Errors of the closed list on the Connect protocol. */
 import { Code, ConnectError } from '@connectrpc/connect';
 import {
-  ERROR_ANSWERS,
+  ERROR_RESPONSES,
   type AppError,
   type ConnectCode,
 } from '@paddlewind/domain';
@@ -41,7 +41,7 @@
   if (err.retryAfterMs !== undefined) {
     headers.set(RETRY_AFTER_MS_HEADER, String(Math.ceil(err.retryAfterMs)));
   }
-  const code = CODES[ERROR_ANSWERS[err.kind].connectCode];
+  const code = CODES[ERROR_RESPONSES[err.kind].connectCode];
   return new ConnectError(err.message, code, headers);
 }
 
--- a/packages/daemon/src/parts.ts
+++ b/packages/daemon/src/parts.ts
@@ -56,7 +56,10 @@
   /** Whether the follower has reached the head that it last saw. */
   caughtUp(): boolean;
   /** Resolves when everything before `offset` has been folded, or fails with `timeout`. */
-  reach(offset: number, deadline: Instant): Promise<Result<void, AppError>>;
+  waitForOffset(
+    offset: number,
+    deadline: Instant,
+  ): Promise<Result<void, AppError>>;
   stop: Stop;
 }
 
--- a/packages/daemon/src/router/idempotency-keys.ts
+++ b/packages/daemon/src/router/idempotency-keys.ts
@@ -170,7 +170,7 @@
     return failed(state, hold, placed.error);
   }
   const { offset } = placed.value;
-  const read = await state.follower.reach(offset + 1, deadline);
+  const read = await state.follower.waitForOffset(offset + 1, deadline);
   if (read.isErr) {
     return failed(state, hold, read.error);
   }
--- a/packages/daemon/src/router/refusal.ts
+++ b/packages/daemon/src/router/refusal.ts
@@ -1,7 +1,11 @@
 /** Answers of the router itself: refusals with their outcome. */
 import type { ServerResponse } from 'node:http';
 
-import { ERROR_ANSWERS, type AppError, type Outcome } from '@paddlewind/domain';
+import {
+  ERROR_RESPONSES,
+  type AppError,
+  type Outcome,
+} from '@paddlewind/domain';
 
 /** Header of refusals: what is known of the request's effect. */
 export const OUTCOME_HEADER = 'paddlewind-outcome';
@@ -29,7 +33,7 @@
   err: AppError,
   extra: readonly string[] = [],
 ): Refusal {
-  const answer = ERROR_ANSWERS[err.kind];
+  const answer = ERROR_RESPONSES[err.kind];
   const body = JSON.stringify({ kind: err.kind, message: err.message });
   const headers = [
     'content-type',
--- a/packages/daemon/src/router/services.ts
+++ b/packages/daemon/src/router/services.ts
@@ -240,7 +240,7 @@
       state.latency.publish({ service: name, worker, latencyMs, at: clock() });
     },
     onEnded(req) {
-      state.requests.tell({ ...req, service: name });
+      state.requests.emit({ ...req, service: name });
     },
     closing: options.closing,
   });
--- a/packages/daemon/src/scheduler/decision-writer.test.ts
+++ b/packages/daemon/src/scheduler/decision-writer.test.ts
@@ -36,7 +36,7 @@
     offset: () => 0,
     caughtUp: () => true,
     failure: () => undefined,
-    reach: () => Promise.resolve(Result.ok(undefined)),
+    waitForOffset: () => Promise.resolve(Result.ok(undefined)),
     stop: () => undefined,
   },
   onDecision: () => () => undefined,
--- a/packages/daemon/src/scheduler/decision-writer.ts
+++ b/packages/daemon/src/scheduler/decision-writer.ts
@@ -37,7 +37,7 @@
       const result = await committer.commit(zone.stream, decision, deadline);
       if (result.isOk) {
         const next = result.value.offset + 1;
-        await zone.follower.reach(next, Number.MAX_SAFE_INTEGER);
+        await zone.follower.waitForOffset(next, Number.MAX_SAFE_INTEGER);
         break;
       }
       if (result.error.outcome === 'not_run') {
--- a/packages/daemon/src/scheduler/jobs.ts
+++ b/packages/daemon/src/scheduler/jobs.ts
@@ -15,7 +15,7 @@
 import type { Host } from '@paddlewind/ports';
 import { Result } from 'true-myth';
 
-import { LOG_RETRY_AFTER_MS, notWritten } from '../log/commit-queue.js';
+import { LOG_RETRY_AFTER_MS, notWrittenError } from '../log/commit-queue.js';
 import { scheduleOf, sleep } from '../log/timing.js';
 import type { JobStatusFields, OperatorJobs } from '../operator/deps.js';
 import { chooseHome, registryZone, type Home, type HomeView } from './home.js';
@@ -166,7 +166,7 @@
   ): Promise<Result<Zone, AppError>> {
     const now = clock();
     if (isLogDown(now)) {
-      return Result.err(notWritten('The log does not answer.'));
+      return Result.err(notWrittenError('The log does not answer.'));
     }
     const zone = zones.open(name);
     // The other half is left to the caller to try again.
@@ -179,7 +179,7 @@
       return Result.err(result.error);
     }
     const next = result.value.offset + 1;
-    const read = await zone.follower.reach(next, deadline);
+    const read = await zone.follower.waitForOffset(next, deadline);
     return read.map(() => zone);
   }
 
--- a/packages/daemon/src/scheduler/shard-runner.ts
+++ b/packages/daemon/src/scheduler/shard-runner.ts
@@ -200,7 +200,7 @@
     const result = await committer.commit(zone.stream, record, deadline);
     if (result.isOk) {
       const { offset } = result.value;
-      await zone.follower.reach(offset + 1, Number.MAX_SAFE_INTEGER);
+      await zone.follower.waitForOffset(offset + 1, Number.MAX_SAFE_INTEGER);
       return offset;
     }
     await sleep(scheduleOf(ctx), OPEN_RETRY_MS);
--- a/packages/daemon/src/scheduler/types.ts
+++ b/packages/daemon/src/scheduler/types.ts
@@ -10,7 +10,7 @@
 } from '@paddlewind/domain';
 import type { AttemptRef, WorkerAgent, WorkerReport } from '@paddlewind/ports';
 
-import type { Follow } from '../log/index.js';
+import type { FollowFold } from '../log/index.js';
 import type { OperatorJobs } from '../operator/deps.js';
 import type {
   Committer,
@@ -68,7 +68,7 @@
   readonly hosts: HostView;
   readonly peers: Pick<PeerView, 'self'>;
   readonly committer: Committer;
-  readonly follow: Follow;
+  readonly follow: FollowFold;
   readonly ownership: ShardOwnership;
   readonly agent: WorkerAgent;
   /** Advice on a worker by interference; none when absent. */
--- a/packages/daemon/src/scheduler/zone.ts
+++ b/packages/daemon/src/scheduler/zone.ts
@@ -17,7 +17,7 @@
 import { Result } from 'true-myth';
 
 import { createListeners } from '../core/listeners.js';
-import type { FoldedFollower, FoldedState, Follow } from '../log/index.js';
+import type { FoldedFollower, FoldedState, FollowFold } from '../log/index.js';
 import { SNAPSHOT_KIND_PREFIX } from '../log/priority.js';
 import type { CommittedRecord, Stop } from '../parts.js';
 
@@ -58,7 +58,7 @@
 
 /** Creates the zones of a process, none of which is followed yet; `mayWrite` as of `Follow`. */
 export function createZones(
-  follow: Follow,
+  follow: FollowFold,
   mayWrite: (zone: string) => boolean,
   onDecision: (folded: FoldedDecision) => void = () => undefined,
 ): Zones {
@@ -92,7 +92,7 @@
 
 function openZone(
   name: string,
-  follow: Follow,
+  follow: FollowFold,
   mayWrite: (zone: string) => boolean,
 ): Zone {
   const stream = decisionStream(name);
@@ -108,7 +108,7 @@
     const decision = decodeDecision(record);
     if (decision !== undefined) {
       const { offset } = record.position;
-      listeners.tell({ decision, verdict, offset });
+      listeners.emit({ decision, verdict, offset });
     }
   }
 
--- a/packages/daemon/src/shards/lease-follower.ts
+++ b/packages/daemon/src/shards/lease-follower.ts
@@ -100,14 +100,14 @@
     const fresh = own.granted(id, lease, ctx.clock());
     if (fresh !== undefined) {
       ctx.log.info({ shard, epoch: lease.epoch }, 'shards: acquired');
-      acquired.tell(fresh);
+      acquired.emit(fresh);
     }
   }
 
   async function tellLost(gone: LostShard | undefined): Promise<void> {
     if (gone !== undefined) {
       ctx.log.info(gone, 'shards: lost');
-      await Promise.all(lost.tell(gone.shard, gone.epoch, gone.reason));
+      await Promise.all(lost.emit(gone.shard, gone.epoch, gone.reason));
     }
   }
 
--- a/packages/daemon/src/shards/lease-writer.ts
+++ b/packages/daemon/src/shards/lease-writer.ts
@@ -51,7 +51,7 @@
     }
     goodSince = Math.min(goodSince, ctx.clock());
     const next = result.value.offset + 1;
-    const read = await parts.follower().reach(next, deadline);
+    const read = await parts.follower().waitForOffset(next, deadline);
     if (read.isErr) {
       goodSince = Number.POSITIVE_INFINITY;
     }
--- a/packages/daemon/src/shards/members.ts
+++ b/packages/daemon/src/shards/members.ts
@@ -14,7 +14,7 @@
   /** Ready members of the region, this process included while `selfReady`. */
   readonly members: readonly LiveMember[];
   /** Ids of all members of the region that are heard of. */
-  readonly heard: ReadonlySet<string>;
+  readonly alive: ReadonlySet<string>;
 }
 
 /** Reads the members that `peers` knows, remembering when each became live. */
@@ -43,7 +43,7 @@
     }
     forgetOthers(liveSince, members);
     const heard = known.filter(isHeard).map(peer => peer.id);
-    return { members, heard: new Set(heard) };
+    return { members, alive: new Set(heard) };
   };
 }
 
--- a/packages/daemon/src/shards/ownership.ts
+++ b/packages/daemon/src/shards/ownership.ts
@@ -2,7 +2,7 @@
 import {
   decideOwnership,
   isHolder,
-  lapsesAt,
+  leaseExpiresAt,
   type Instant,
   type OwnershipAction,
 } from '@paddlewind/domain';
@@ -58,7 +58,7 @@
       return undefined;
     }
     const { owner, incarnation } = lease.holder;
-    const until = lapsesAt(lease, cfg.timing);
+    const until = leaseExpiresAt(lease, cfg.timing);
     return { owner, incarnation, epoch: lease.epoch, lapsesAt: until };
   }
 
--- a/packages/daemon/src/shards/types.ts
+++ b/packages/daemon/src/shards/types.ts
@@ -6,7 +6,7 @@
   ShardSpec,
 } from '@paddlewind/domain';
 
-import type { Follow } from '../log/index.js';
+import type { FollowFold } from '../log/index.js';
 import type { Committer, PartContext, PeerView, Stop } from '../parts.js';
 
 /** Settings of shard ownership. */
@@ -28,7 +28,7 @@
   readonly shards: () => readonly ShardSpec[];
   readonly peers: PeerView;
   readonly committer: Committer;
-  readonly follow: Follow;
+  readonly follow: FollowFold;
   /** Whether this process may take on shards now; always when absent. */
   readonly ready?: () => boolean;
   /** Whether the decisions of an availability zone can be read here; always when absent. */
--- a/packages/daemon/src/tls/credentials.ts
+++ b/packages/daemon/src/tls/credentials.ts
@@ -125,7 +125,7 @@
         { expiresAt: next.expiresAt },
         'tls: certificates are reloaded',
       );
-      listeners.tell(next);
+      listeners.emit(next);
     }
   }
 
--- a/packages/domain/src/config/change-set.ts
+++ b/packages/domain/src/config/change-set.ts
@@ -11,7 +11,7 @@
  * Version of the rules for validating change sets. It is incremented with every change to a schema
  * or rule, so that hosts of different versions never reach different verdicts on the same record.
  */
-export const CONFIG_RULES = 1;
+export const CONFIG_RULES_VERSION = 1;
 
 /** Maximum number of changes in a set. */
 export const MAX_CHANGES = 500;
@@ -77,6 +77,6 @@
   return {
     id: set.id,
     kind: CONFIG_CHANGE_KIND,
-    body: { rules: CONFIG_RULES, changes: set.changes },
+    body: { rules: CONFIG_RULES_VERSION, changes: set.changes },
   };
 }
--- a/packages/domain/src/config/fold.ts
+++ b/packages/domain/src/config/fold.ts
@@ -5,7 +5,7 @@
 import type { StreamRecord } from '../streams/record.js';
 import {
   CONFIG_CHANGE_KIND,
-  CONFIG_RULES,
+  CONFIG_RULES_VERSION,
   MAX_CHANGE_SET_CHARS,
   changeSetBodySchema,
 } from './change-set.js';
@@ -66,12 +66,12 @@
 
 function newerRulesError(record: StreamRecord): AppError | undefined {
   const head = z.object({ rules: z.int().positive() }).safeParse(record.body);
-  if (!head.success || head.data.rules <= CONFIG_RULES) {
+  if (!head.success || head.data.rules <= CONFIG_RULES_VERSION) {
     return undefined;
   }
   return appError(
     'unsupported_record',
-    `Change set ${record.id} needs rules ${head.data.rules}, this host has ${CONFIG_RULES}.`,
+    `Change set ${record.id} needs rules ${head.data.rules}, this host has ${CONFIG_RULES_VERSION}.`,
   );
 }
 
--- a/packages/domain/src/config/ledger.ts
+++ b/packages/domain/src/config/ledger.ts
@@ -7,7 +7,7 @@
 import { appError, type AppError } from '../errors/app-error.js';
 import { ERROR_KINDS } from '../errors/kinds.js';
 import type { StreamRecord } from '../streams/record.js';
-import { CONFIG_RULES } from './change-set.js';
+import { CONFIG_RULES_VERSION } from './change-set.js';
 import { EMPTY_CONFIG, applyConfigRecord, type ConfigVerdict } from './fold.js';
 import {
   objectKey,
@@ -135,7 +135,7 @@
     .sort(([a], [b]) => (a < b ? -1 : 1))
     .map(([, { object, version }]) => ({ version, object }));
   return JSON.stringify({
-    rules: CONFIG_RULES,
+    rules: CONFIG_RULES_VERSION,
     objects,
     verdicts: [...verdicts],
   });
@@ -147,8 +147,8 @@
 ): Result<Snapshot, AppError> {
   const json = parseJson(text);
   const rules = rulesSchema.safeParse(json).data?.rules ?? 0;
-  if (rules > CONFIG_RULES) {
-    const message = `The snapshot at ${offset} needs rules ${rules}, this host has ${CONFIG_RULES}.`;
+  if (rules > CONFIG_RULES_VERSION) {
+    const message = `The snapshot at ${offset} needs rules ${rules}, this host has ${CONFIG_RULES_VERSION}.`;
     return Result.err(appError('unsupported_record', message));
   }
   const parsed = snapshotSchema.safeParse(json);
--- a/packages/domain/src/errors/app-error.ts
+++ b/packages/domain/src/errors/app-error.ts
@@ -1,5 +1,5 @@
 /** The error value that components return in a true-myth `Result`. */
-import { ERROR_ANSWERS, type ErrorKind, type Outcome } from './kinds.js';
+import { ERROR_RESPONSES, type ErrorKind, type Outcome } from './kinds.js';
 
 /** Error of a known kind; `outcome` defaults to that of the kind unless the creator overrides it. */
 export interface AppError {
@@ -24,5 +24,5 @@
   message: string,
   details: AppErrorDetails = {},
 ): AppError {
-  return { kind, message, outcome: ERROR_ANSWERS[kind].outcome, ...details };
+  return { kind, message, outcome: ERROR_RESPONSES[kind].outcome, ...details };
 }
--- a/packages/domain/src/errors/kinds.ts
+++ b/packages/domain/src/errors/kinds.ts
@@ -68,7 +68,7 @@
 }
 
 /** Response to each error kind. */
-export const ERROR_ANSWERS: Readonly<Record<ErrorKind, ErrorResponse>> = {
+export const ERROR_RESPONSES: Readonly<Record<ErrorKind, ErrorResponse>> = {
   invalid: response(400, 'invalid_argument', 2, 'not_run', false),
   unauthenticated: response(401, 'unauthenticated', 3, 'not_run', false),
   not_found: response(404, 'not_found', 4, 'not_run', false),
--- a/packages/domain/src/shards/decide.test.ts
+++ b/packages/domain/src/shards/decide.test.ts
@@ -38,7 +38,7 @@
     incarnation: '1',
     shards: [SHARD],
     members,
-    heard: new Set(['a', 'b', 'c']),
+    alive: new Set(['a', 'b', 'c']),
     leases: createLeaseState(),
     logGoodSince: 0,
     timing: TIMING,
@@ -62,9 +62,9 @@
   const leases = heldBy('gone', 0);
   assert.equal(claimers({ leases }, 10_499).length, 0);
   assert.equal(claimers({ leases }, 10_500).length, 1);
-  const heard = new Set(['gone']);
-  assert.equal(claimers({ leases, heard }, 14_499).length, 0);
-  assert.equal(claimers({ leases, heard }, 14_500).length, 1);
+  const alive = new Set(['gone']);
+  assert.equal(claimers({ leases, alive }, 14_499).length, 0);
+  assert.equal(claimers({ leases, alive }, 14_500).length, 1);
 });
 
 test('no shard is claimed during an outage of the log or within one lease after it', () => {
--- a/packages/domain/src/shards/decide.ts
+++ b/packages/domain/src/shards/decide.ts
@@ -8,7 +8,7 @@
 } from './assignment.js';
 import {
   isHolder,
-  lapsesAt,
+  leaseExpiresAt,
   type LeaseMargin,
   type LeaseState,
   type ShardLease,
@@ -38,7 +38,7 @@
   /** Members that may own shards, including this process unless it is stopping. */
   readonly members: readonly LiveMember[];
   /** Processes that are known to be alive, whether or not they may own shards. */
-  readonly heard: ReadonlySet<string>;
+  readonly alive: ReadonlySet<string>;
   readonly leases: LeaseState;
   /** Shards that must not be handed over; none if absent. */
   readonly kept?: ReadonlySet<string>;
@@ -92,9 +92,9 @@
   }
   // An outage may have delayed renewals; they must be read before the lease counts as expired.
   const observedAt = Math.max(lease.observedAt, view.logGoodSince);
-  const expiresAt = lapsesAt({ ...lease, observedAt }, view.timing);
+  const expiresAt = leaseExpiresAt({ ...lease, observedAt }, view.timing);
   const { owner } = lease.holder;
-  const isHolderAlive = owner !== view.self && view.heard.has(owner);
+  const isHolderAlive = owner !== view.self && view.alive.has(owner);
   return expiresAt + wait + (isHolderAlive ? view.timing.aliveGraceMs : 0);
 }
 
--- a/packages/domain/src/shards/leases.test.ts
+++ b/packages/domain/src/shards/leases.test.ts
@@ -4,7 +4,7 @@
 import {
   applyLeaseRecord,
   createLeaseState,
-  lapsesAt,
+  leaseExpiresAt,
   type LeaseState,
 } from './leases.js';
 import {
@@ -101,7 +101,7 @@
   apply(state, [claim(A, 1, 0), renew(A)]);
   const lease = state.shards.get('s');
   assert.ok(lease);
-  assert.equal(lapsesAt(lease, MARGIN), 100 + 10_010 + 500);
+  assert.equal(leaseExpiresAt(lease, MARGIN), 100 + 10_010 + 500);
 });
 
 test('a state restored from a snapshot gives the same verdicts and restarts all waits', () => {
--- a/packages/domain/src/shards/leases.ts
+++ b/packages/domain/src/shards/leases.ts
@@ -148,7 +148,10 @@
 }
 
 /** Returns when the lease has expired for an observer, on the observer's clock; a released lease expires at once. */
-export function lapsesAt(lease: ShardLease, margin: LeaseMargin): Instant {
+export function leaseExpiresAt(
+  lease: ShardLease,
+  margin: LeaseMargin,
+): Instant {
   if (lease.holder === undefined) {
     return lease.observedAt;
   }
--- a/packages/domain/src/streams/dedupe.ts
+++ b/packages/domain/src/streams/dedupe.ts
@@ -6,7 +6,7 @@
 /** Ids of the most recent distinct records of a stream. */
 export interface DedupeWindow {
   /** Adds `id` to the window; returns false if it is already there. */
-  take(id: string): boolean;
+  addIfNew(id: string): boolean;
   /** Ids in the window, oldest first; part of a snapshot. */
   ids(): string[];
 }
@@ -18,7 +18,7 @@
 ): DedupeWindow {
   const seen = new Set<string>();
 
-  function take(id: string): boolean {
+  function addIfNew(id: string): boolean {
     if (seen.has(id)) {
       return false;
     }
@@ -29,8 +29,8 @@
     return true;
   }
 
-  ids.forEach(take);
-  return { take, ids: () => [...seen] };
+  ids.forEach(addIfNew);
+  return { addIfNew, ids: () => [...seen] };
 }
 
 function evictOldest(seen: Set<string>): void {
--- a/packages/domain/src/streams/snapshot.test.ts
+++ b/packages/domain/src/streams/snapshot.test.ts
@@ -48,7 +48,7 @@
 test('the dedupe window is bounded and the same after a restore', () => {
   const window = createDedupeWindow([], 3);
   assert.deepEqual(
-    ['a', 'b', 'a', 'c', 'd', 'a'].map(id => window.take(id)),
+    ['a', 'b', 'a', 'c', 'd', 'a'].map(id => window.addIfNew(id)),
     [true, true, false, true, true, true],
   );
   const restored = createDedupeWindow(window.ids(), 3);
