--- a/packages/daemon/src/job-host/adviser.ts
+++ b/packages/daemon/src/job-host/adviser.ts
@@ -29,14 +29,14 @@
     if (this.requestInFlight) {
       return;
     }
-    const question = this.nextQuestion(input);
-    if (question !== undefined) {
+    const request = this.nextRequest(input);
+    if (request !== undefined) {
       this.requestInFlight = true;
-      void this.ask(question);
+      void this.ask(request);
     }
   }
 
-  private nextQuestion(input: PlanInput): AdviceRequest | undefined {
+  private nextRequest(input: PlanInput): AdviceRequest | undefined {
     const { state, workers, times, time } = input;
     const jobsWithAdvice = [...state.openJobs].filter(
       ({ spec }) => spec.terms.advice !== undefined,
@@ -49,17 +49,17 @@
           hasCapacity(info, workerRuns(state, info.id), step.spec),
         )
         .map(({ info }) => info.id);
-      const question = this.advice.requestFor(step, fitting, time.now);
-      if (question !== undefined) {
-        return question;
+      const request = this.advice.requestFor(step, fitting, time.now);
+      if (request !== undefined) {
+        return request;
       }
     }
     return undefined;
   }
 
-  private async ask(question: AdviceRequest): Promise<void> {
+  private async ask(request: AdviceRequest): Promise<void> {
     const { ctx } = this;
-    const { step, workers } = question;
+    const { step, workers } = request;
     const { occurrence, number } = step;
     const job = occurrence.job.spec;
     const ref = { job: job.id, occurrence: occurrence.number, step: number };
@@ -73,7 +73,7 @@
     );
     if (answer.kind === 'advised') {
       this.advice.recordAnswer(
-        question,
+        request,
         answer.tickets,
         sentAt + answer.validityMs,
       );
--- a/packages/daemon/src/job-host/all-workers-restart.test.ts
+++ b/packages/daemon/src/job-host/all-workers-restart.test.ts
@@ -15,10 +15,10 @@
 // Runs on a worker that had restarted under its id counted as running until another host led, and unseen ends
 // there were forgotten: tasks were started again although they were done.
 test('nothing is lost or done twice if workers restart under their ids', async () => {
-  for (const awayMs of [0, 30, 1_200]) {
-    const restart = restartOneByOne(awayMs);
+  for (const downtimeMs of [0, 30, 1_200]) {
+    const restart = restartOneByOne(downtimeMs);
     for (const seed of SEEDS) {
-      const note = `down for ${awayMs} ms, seed ${seed}`;
+      const note = `down for ${downtimeMs} ms, seed ${seed}`;
       assertNothingLost(await runRestarts({ seed, restart }), note);
       const withHosts: Restart = async (site, turn) => {
         await restart(site, turn);
@@ -35,14 +35,14 @@
 
 // The registry names the old incarnation for a while, which must not be mistaken for the one that answers.
 test('nothing is lost if the registry reports a restart late', async () => {
-  for (const heldMs of [500, 3_000]) {
+  for (const delayMs of [500, 3_000]) {
     for (const seed of SEEDS) {
       const restart: Restart = (site, turn) => {
-        site.fleet.freezeEntry(WORKERS[turn] ?? '', heldMs);
+        site.fleet.freezeEntry(WORKERS[turn] ?? '', delayMs);
         void restartOneByOne(30)(site, turn);
       };
       const site = await runRestarts({ seed, restart });
-      assertNothingLost(site, `reported ${heldMs} ms late, seed ${seed}`);
+      assertNothingLost(site, `reported ${delayMs} ms late, seed ${seed}`);
     }
   }
 });
--- a/packages/daemon/src/job-host/coalesce.test.ts
+++ b/packages/daemon/src/job-host/coalesce.test.ts
@@ -11,8 +11,8 @@
 class SharedWork {
   readonly time = createVirtualTime();
   startCount = 0;
-  underWay = 0;
-  mostUnderWay = 0;
+  running = 0;
+  maxRunning = 0;
   /** Numbers of the runs that fail. */
   readonly failing = new Set<number>();
   readonly ask = coalesce(() => this.work());
@@ -20,12 +20,12 @@
   private async work(): Promise<number> {
     this.startCount += 1;
     const number = this.startCount;
-    this.underWay += 1;
-    this.mostUnderWay = Math.max(this.mostUnderWay, this.underWay);
+    this.running += 1;
+    this.maxRunning = Math.max(this.maxRunning, this.running);
     await new Promise<void>(resolve => {
       this.time.schedule(WORK_MS, resolve);
     });
-    this.underWay -= 1;
+    this.running -= 1;
     if (this.failing.has(number)) {
       throw new Error(`run ${number} failed`);
     }
@@ -63,7 +63,7 @@
   }
   await shared.time.advance(100);
   await Promise.all(asked);
-  assert.equal(shared.mostUnderWay, 1);
+  assert.equal(shared.maxRunning, 1);
   assert.ok(shared.startCount <= 6, `${shared.startCount} runs in 40 ms`);
 });
 
--- a/packages/daemon/src/job-host/crashing-shapes.test.ts
+++ b/packages/daemon/src/job-host/crashing-shapes.test.ts
@@ -29,7 +29,7 @@
 interface Variation {
   readonly name: string;
   readonly crasher: CrashingJob;
-  readonly revivalMs?: number;
+  readonly workerRestartMs?: number;
   /** Number of tasks of the job that crash their workers. */
   readonly crashingTasks?: number;
   readonly runBeside?: (site: Simulation) => void;
@@ -40,7 +40,7 @@
   {
     name: 'workers stay down for long',
     crasher: crashingJob(10),
-    revivalMs: LONG_WORKER_RESTART_MS,
+    workerRestartMs: LONG_WORKER_RESTART_MS,
   },
   {
     name: 'leaders are killed',
@@ -87,17 +87,17 @@
 ];
 
 async function runVariation(
-  shape: Variation,
+  variation: Variation,
   seed: number,
   keepsIds = false,
 ): Promise<string[]> {
   const site = await deploymentWithNeighbours(
     seed,
-    shape.revivalMs ?? WORKER_RESTART_MS,
+    variation.workerRestartMs ?? WORKER_RESTART_MS,
     keepsIds,
   );
-  shape.runBeside?.(site);
-  const { steps, script } = shape.crasher;
+  variation.runBeside?.(site);
+  const { steps, script } = variation.crasher;
   void site.submit(CRASHING_JOB, steps, script);
   await site.time.advance(OBSERVATION_MS);
   const { history } = site;
@@ -105,15 +105,15 @@
     .check()
     .map(({ guarantee, detail }) => `${guarantee} ${detail.slice(0, 120)}`);
   const crashes = history.workersCrashedBy(CRASHING_JOB);
-  if (crashes > MAX_CRASHES * (shape.crashingTasks ?? 1)) {
+  if (crashes > MAX_CRASHES * (variation.crashingTasks ?? 1)) {
     found.push(`${crashes} workers lost`);
   }
   // The job is shown as failed in the end, and is removed later.
-  const states = history
+  const statuses = history
     .reportedStates(CRASHING_JOB)
-    .filter(at => at !== 'no_such_job');
-  if (states.at(-1) !== 'failed') {
-    found.push(`shown as ${states.join(', ')}`);
+    .filter(status => status !== 'no_such_job');
+  if (statuses.at(-1) !== 'failed') {
+    found.push(`shown as ${statuses.join(', ')}`);
   }
   if (history.countActiveRuns(NEIGHBOUR_JOB) !== NEIGHBOUR_TASKS) {
     found.push(
@@ -123,14 +123,14 @@
   if (history.jobs.has(SHORT_TASKS_JOB) && !history.isDone(SHORT_TASKS_JOB)) {
     found.push('the short tasks are not done');
   }
-  return found.map(line => `${shape.name}, seed ${seed}: ${line}`);
+  return found.map(line => `${variation.name}, seed ${seed}: ${line}`);
 }
 
 test('a task that crashes its workers is abandoned', async () => {
   const broken: string[] = [];
-  for (const shape of VARIATIONS) {
+  for (const variation of VARIATIONS) {
     for (const seed of SEEDS) {
-      broken.push(...(await runVariation(shape, seed)));
+      broken.push(...(await runVariation(variation, seed)));
     }
   }
   assert.deepEqual(broken, []);
@@ -139,11 +139,14 @@
 // Losses are counted per incarnation: a worker that restarts under its id can be lost again.
 test('a task that crashes its workers is abandoned if these restart under their ids', async () => {
   const broken: string[] = [];
-  for (const shape of VARIATIONS) {
-    broken.push(...(await runVariation(shape, 4, true)));
+  for (const variation of VARIATIONS) {
+    broken.push(...(await runVariation(variation, 4, true)));
     for (const seed of SEEDS) {
-      const atOnce = { ...shape, revivalMs: SHORT_DOWNTIME_MS };
-      broken.push(...(await runVariation(atOnce, seed, true)));
+      const restartsAtOnce = {
+        ...variation,
+        workerRestartMs: SHORT_DOWNTIME_MS,
+      };
+      broken.push(...(await runVariation(restartsAtOnce, seed, true)));
     }
   }
   assert.deepEqual(broken, []);
--- a/packages/daemon/src/job-host/crashing-tasks.test.ts
+++ b/packages/daemon/src/job-host/crashing-tasks.test.ts
@@ -1,9 +1,10 @@
 /*
  * Guards against a task that is restarted forever although it crashes its workers. Two tasks were started 32
  * and 24 times, each time on another worker, which crashed within 10 ms of the start together with all its
- * other runs. Their jobs were shown as running all day. A run that was lost with its worker ended as lapsed,
- * as if the worker were only unreachable, and its task was queued again: only runs that a worker listed as
- * failed were counted, so `failures` stayed 0. With losses counted, all variations below pass.
+ * other runs. Their jobs were shown as running all day. A run that was lost with its worker ended as
+ * `lapsed`, as if the worker were only unreachable, and its task was queued again: only runs that a worker
+ * listed as failed were counted, so `failures` stayed 0 on all runs of such a task, even under a single
+ * leader. With losses counted, all variations pass.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -71,7 +72,7 @@
     void site.submit(CRASHING_JOB, steps, script);
     await site.time.advance(OBSERVATION_MS);
     assert.deepEqual(site.history.check(), []);
-    // Three neighbours at each of its first two workers, which have four cores; later workers are reserved
+    // Three neighbours at each of its first two workers, which have four cores; its later workers are reserved
     // for it.
     const lost = site.history.otherRunsLostWith(CRASHING_JOB);
     assert.ok(lost <= 2 * 3, `seed ${seed}: ${lost} lost beside it`);
@@ -232,8 +233,7 @@
   assert.deepEqual(await seedsAbandonedAmongCrashes([8, 12, 34, 39]), []);
 });
 
-// With leaders that restart at once the run time of a run is unknown, so that all losses may be at the same
-// run time.
+// If leaders restart at once, the run time of a run is unknown, so all losses may be at the same run time.
 test('no task is given up though every worker crashes each 13 s and leaders are killed', async () => {
   assert.deepEqual(await seedsAbandonedAmongCrashes([5, 8], 5_000), []);
 });
--- a/packages/daemon/src/job-host/fleet-account.ts
+++ b/packages/daemon/src/job-host/fleet-account.ts
@@ -21,11 +21,11 @@
   ctx,
   planInput,
   registeredWorkers,
-  hasEnded: ended,
+  hasEnded,
 }: FleetAccountOptions): Promise<void> {
   for (;;) {
     await pause(ctx, FLEET_ACCOUNT_INTERVAL_MS);
-    if (ended()) {
+    if (hasEnded()) {
       return;
     }
     const account = snapshotFleet({
--- a/packages/daemon/src/job-host/fleet.ts
+++ b/packages/daemon/src/job-host/fleet.ts
@@ -79,7 +79,7 @@
     return this.links.get(worker);
   }
 
-  /** Returns the link to the current incarnation of the worker to which `worker` belongs. */
+  /** Returns the link to the current incarnation of a worker, given the id of any of its incarnations. */
   linkToCurrent(worker: string): WorkerLink | undefined {
     return this.links.get(
       this.currentIncarnations.get(workerIdOf(worker)) ?? '',
@@ -226,8 +226,8 @@
   }
 
   /**
-   * An unreadable entry adds no worker. Runs of a worker whose entry has become unreadable continue, as on an
-   * unregistered worker: its lease is extended while it answers.
+   * Logs unreadable entries. Such an entry adds no worker. Runs of a worker whose entry has become unreadable
+   * continue, as on an unregistered worker: its lease is extended while it answers.
    */
   private noteUnreadable(entries: readonly UnreadableEntry[]): void {
     const { ctx } = this.options;
--- a/packages/daemon/src/job-host/handed-over-leases.test.ts
+++ b/packages/daemon/src/job-host/handed-over-leases.test.ts
@@ -3,8 +3,8 @@
  * whose worker was removed, replaced as announced or crashed were unavailable for 10 to 16 s despite free
  * capacity; users tolerate 9 s. Hosts were restarted one after the other meanwhile, and a new leader knew
  * nothing about the leases of earlier ones. At its first contact it assumed the longest lease that the worker
- * accepts, 10 s there, though leaders grant 5 s. A worker that it never reached was abandoned 9.2 s after its
- * claim, even if the earlier leader had stopped gracefully or had known for seconds that the worker was
+ * accepts, 10 s there, although leaders grant 5 s. A worker that it never reached was abandoned 9.2 s after
+ * its claim, even if the earlier leader had stopped gracefully or had known for seconds that the worker was
  * unresponsive. Simulated workers accepted at most 6 s, which hid the first fault. With 10 s, all tasks must
  * run again within the times below, and no task may run twice if the worker is only unreachable.
  */
--- a/packages/daemon/src/job-host/journal-writer.ts
+++ b/packages/daemon/src/job-host/journal-writer.ts
@@ -100,7 +100,10 @@
     return result;
   }
 
-  /** The retry uses the same stamp: if the first attempt was written, the log repeats its answer. */
+  /**
+   * Waits before the next attempt. That uses the same stamp: if the first attempt was written, the log
+   * repeats its answer.
+   */
   private async delayRetry({
     kind,
     reason,
--- a/packages/daemon/src/job-host/late-answers.test.ts
+++ b/packages/daemon/src/job-host/late-answers.test.ts
@@ -3,8 +3,8 @@
  * done ran a second time in one day, under a leader whose link carries 1.4 Mbit/s to 102 workers. The
  * leader's log shows for one of them: the worker's last answer to a poll was at 28.06 s, and from 28.81 s on
  * all polls timed out. The run was done at 30.75 s and listed in all later answers; at 33.56 s the lease
- * ended and the run was abandoned, at 38.21 s the task was ordered elsewhere. Answers that came more than 0.4
- * s after the poll's wait were discarded, so a worker that always answers a little late counted as
+ * expired and the run was abandoned, at 38.21 s the task was ordered elsewhere. Answers that came more than
+ * 0.4 s after the poll's wait were discarded, so a worker that always answers a little late counted as
  * unresponsive: its lease was not extended and its ends were not read.
  */
 import assert from 'node:assert/strict';
--- a/packages/daemon/src/job-host/leader-leases.ts
+++ b/packages/daemon/src/job-host/leader-leases.ts
@@ -69,11 +69,11 @@
   report(): LeaseHandover | undefined {
     const { replica, claim, ctx, fleet } = this.options;
     const now = ctx.clock();
-    const handed = replica.leasesToHandOver(
+    const handover = replica.leasesToHandOver(
       claim.epoch,
       this.maxLeaseAfterRecordMs(),
     );
-    if (handed === undefined) {
+    if (handover === undefined) {
       return undefined;
     }
     const reported = this.unresponsiveWorkers().slice(0, MAX_REPORTED_WORKERS);
@@ -82,21 +82,21 @@
       fleet.linkToCurrent(worker)?.noteSilenceReported();
       workers.set(workerIdOf(worker), Math.max(0, Math.ceil(leaseEnd - now)));
     }
-    return { ...handed, workers: [...workers] };
+    return { ...handover, workers: [...workers] };
   }
 
   /**
-   * Returns the time by which any lease that a worker got before its link was opened has expired. If it has
-   * restarted (`isRestarted`), the lease of its previous incarnation is void, but a delayed call may extend
+   * Returns the time by which every lease that a worker got before its link was opened has expired. If it has
+   * restarted (`hasRestarted`), the lease of its previous incarnation is void, but a delayed call may extend
    * the lease of the new one.
    */
   earlierLeaseEnd(
     worker: string,
-    isRestarted: boolean,
+    hasRestarted: boolean,
     maxLeaseMs: Millis,
   ): Instant {
     const { ctx, replica } = this.options;
-    return isRestarted
+    return hasRestarted
       ? latestLeaseEnd(ctx.clock(), maxLeaseMs)
       : replica.earlierLeaseEnd(worker);
   }
--- a/packages/daemon/src/job-host/leader.ts
+++ b/packages/daemon/src/job-host/leader.ts
@@ -267,8 +267,8 @@
   }
 
   /**
-   * A leader whose round has failed resigns, since its state and its journal may differ. The next leader,
-   * which may be this host, reads both from the log.
+   * Runs the decision loop, and resigns if a round fails, since the state and the journal may then differ.
+   * The next leader, which may be this host, reads both from the log.
    */
   private async decideOrResign(): Promise<void> {
     try {
@@ -298,9 +298,10 @@
       restateDueJobs(this.state, this.decisions, ctx, this.options.retentionMs);
       const now = ctx.clock();
       const roundMs = now - startedAt;
-      const idle = this.decisions.isEmpty && now - wroteAt >= IDLE_HEARTBEAT_MS;
+      const isIdle =
+        this.decisions.isEmpty && now - wroteAt >= IDLE_HEARTBEAT_MS;
       const dueMs = this.hasNewSilence ? SILENCE_REPORT_MS : CLAIM_INTERVAL_MS;
-      if (idle || now - heartbeatAt >= dueMs) {
+      if (isIdle || now - heartbeatAt >= dueMs) {
         this.recordHeartbeat();
         heartbeatAt = now;
       }
@@ -308,7 +309,7 @@
         this.recordLearned();
         learnedAt = now;
       }
-      const cut = this.summary.takeChanges();
+      const changes = this.summary.takeChanges();
       if (!this.decisions.isEmpty) {
         if (!(await this.decisions.write())) {
           this.resign();
@@ -320,7 +321,7 @@
           this.wakeSignal.notify();
         }
       }
-      this.summary.publish(cut);
+      this.summary.publish(changes);
       if (roundMs > LONG_ROUND_MS) {
         await pause(ctx, roundMs);
       }
@@ -391,15 +392,15 @@
       worker,
     };
     const decidedAt = this.options.ctx.clock();
-    const opened = (): Run | undefined =>
+    const findRun = (): Run | undefined =>
       task.runs.find(open => open.number === number);
     this.decisions.record(entry, written => {
-      const run = opened();
+      const run = findRun();
       if (written && run !== undefined) {
         this.sendStart(run, decidedAt);
       }
     });
-    const decided = opened();
+    const decided = findRun();
     if (decided !== undefined) {
       this.startWindow.add(decided);
     }
--- a/packages/daemon/src/job-host/leadership.ts
+++ b/packages/daemon/src/job-host/leadership.ts
@@ -34,14 +34,14 @@
 
 /** Name of the log writer that all leaders share; their epochs order them. */
 const LEADER_WRITER = 'leader';
-/** Largest nonce, which is also a sequence number: an integer that stays exact. */
+/** Upper bound of nonces. A nonce is also a sequence number, so it must stay an exact integer. */
 const MAX_NONCE = 2 ** 31;
 /**
  * Difference between the epochs of consecutive claims: the number of incarnations of one worker that a leader
  * can tell apart.
  */
 const FENCES_PER_CLAIM = 64;
-/** How often a claim with an unknown outcome is sent. */
+/** Maximum number of times that a claim is sent while its outcome is unknown. */
 const MAX_CLAIM_ATTEMPTS = 5;
 
 /** Dependencies and settings of a host that may lead. */
@@ -60,7 +60,7 @@
   ctx,
   jobLog,
   replica,
-  role: duty,
+  role,
   cores,
   stopped,
 }: CandidateOptions): Promise<WonClaim | undefined> {
@@ -68,7 +68,7 @@
   const silenceTimeoutMs =
     LEADER_SILENCE_TIMEOUT_MS + ctx.random() * CLAIM_JITTER_MS;
   while (!stopped()) {
-    if (await duty.followsSummary()) {
+    if (await role.followsSummary()) {
       await pause(ctx, JOURNAL_READ_INTERVAL_MS);
       continue;
     }
@@ -96,7 +96,7 @@
 
 function isLeaderless(
   ctx: HostContext,
-  { state, journalReceivedAt: journalHeardAt }: Replica,
+  { state, journalReceivedAt }: Replica,
   silenceTimeoutMs: number,
 ): boolean {
   const { epoch, host } = state.claim;
@@ -104,11 +104,11 @@
   if (epoch === 0 || state.released || host === ctx.host) {
     return true;
   }
-  return ctx.clock() - journalHeardAt > silenceTimeoutMs;
+  return ctx.clock() - journalReceivedAt > silenceTimeoutMs;
 }
 
 interface ClaimState {
-  /** Lower epochs were refused, although no record in the retained log mentions a higher one. */
+  /** The log refused lower epochs, although none of the records that it still keeps shows a higher one. */
   minEpoch: number;
   /** How long this host waits before it claims, to let others go first. */
   readonly delayMs: Millis;
@@ -207,11 +207,14 @@
   };
 }
 
-/** Another epoch may have been claimed between the last known one and this one; the journal shows it. */
+/**
+ * Returns the lowest fence that no earlier leader can have used. Another epoch may have been claimed between
+ * the last known one and this one; the journal shows it.
+ */
 function firstFenceOf(
   epoch: number,
-  { state, startedAtFirstRecord: knowsBeginning }: Replica,
+  { state, startedAtFirstRecord }: Replica,
 ): number {
-  const isKnown = state.previousEpoch > 0 || knowsBeginning;
+  const isKnown = state.previousEpoch > 0 || startedAtFirstRecord;
   return isKnown ? state.previousEpoch + 1 : epoch;
 }
--- a/packages/daemon/src/job-host/lease-ends.ts
+++ b/packages/daemon/src/job-host/lease-ends.ts
@@ -72,8 +72,7 @@
       case 'reached':
         this.workers.delete(record.worker);
         return;
-      // A claim reports nothing, since its writer's knowledge may have changed between sending and appending
-      // it.
+      // A claim reports no leases: what its writer knew may have changed before the claim was appended.
       case 'claim':
       case 'restate':
       case 'learnt':
@@ -125,8 +124,8 @@
   }
 
   /**
-   * A new leader proves that earlier ones can write no more, which limits their leases even if little is
-   * known of them.
+   * Starts the epoch of a new leader. Earlier leaders can write no more, which limits their leases even if
+   * little is known of them.
    */
   private startEpoch(epoch: number, now: Instant): void {
     this.newest = {
@@ -141,7 +140,10 @@
     this.otherEpochsEnd = Math.min(this.otherEpochsEnd, latest);
   }
 
-  /** Every record of a leader shows that it may have granted leases until then. */
+  /**
+   * Extends the leases of the newest leader, since each of its records shows that it may have granted leases
+   * until then.
+   */
   private extendNewest(now: Instant): void {
     const { epoch, maxLeaseMs, released } = this.newest;
     if (!released) {
@@ -192,8 +194,8 @@
   }
 
   /**
-   * A leader reports how long its own leases hold from then on; the time shrinks after it has released the
-   * lead.
+   * Applies how long the newest leader's own leases hold from its record on; the time shrinks after it has
+   * released the lead.
    */
   private applyOwnLease(maxLeaseMs: Millis | undefined, now: Instant): void {
     if (maxLeaseMs !== undefined) {
--- a/packages/daemon/src/job-host/leaving-log.ts
+++ b/packages/daemon/src/job-host/leaving-log.ts
@@ -14,9 +14,9 @@
   constructor(private readonly log: HostContext['log']) {}
 
   /** Logs the tasks that remain after a planning round. */
-  logChanges(stay: ReadonlyMap<Run, NotMovedReason>): void {
+  logChanges(remaining: ReadonlyMap<Run, NotMovedReason>): void {
     const logged = new Map<string, string>();
-    for (const [worker, why] of countByWorker(stay)) {
+    for (const [worker, why] of countByWorker(remaining)) {
       const text = JSON.stringify(why);
       logged.set(worker, text);
       if (this.lastLogged.get(worker) !== text) {
@@ -31,10 +31,10 @@
 }
 
 function countByWorker(
-  stay: ReadonlyMap<Run, NotMovedReason>,
+  remaining: ReadonlyMap<Run, NotMovedReason>,
 ): Map<string, ReasonCounts> {
   const found = new Map<string, ReasonCounts>();
-  for (const [{ worker }, reason] of stay) {
+  for (const [{ worker }, reason] of remaining) {
     const counts = found.get(worker) ?? {};
     counts[reason] = (counts[reason] ?? 0) + 1;
     found.set(worker, counts);
--- a/packages/daemon/src/job-host/leaving-workers.test.ts
+++ b/packages/daemon/src/job-host/leaving-workers.test.ts
@@ -1,11 +1,11 @@
 /*
  * Guards against long-running tasks that are lost with a worker that announced its departure. Two such tasks
  * started again only 21 and 24 s after their workers had left, both at the same moment, despite free
- * capacity. Leaders were killed one after the other meanwhile. Nothing moved tasks off a leaving worker, and
- * after its end their runs were abandoned only once a lease had certainly expired, a wait that each new
- * leader restarted with its own claim. Both tasks started 9.2 s after the last claim, which is the longest
- * lease of an earlier leader. The wait now counts from the claim that followed the last leader which reached
- * the worker, and the first test ends within it.
+ * capacity. Leaders were killed one after the other meanwhile. Nothing moved tasks off a leaving worker: they
+ * were lost with it, and their runs were abandoned only once a lease had certainly expired, a wait that each
+ * new leader restarted with its own claim. Both tasks started 9.2 s after the last claim, which is the
+ * longest lease of an earlier leader. The wait now counts from the claim that followed the last leader which
+ * reached the worker, and the first test ends within it.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
--- a/packages/daemon/src/job-host/linked-runs.ts
+++ b/packages/daemon/src/job-host/linked-runs.ts
@@ -49,7 +49,7 @@
   readonly runs: () => WorkerRuns;
   /** Open runs of the worker's other incarnations, which may have started at this one. */
   readonly otherRuns: () => readonly Run[];
-  /** Whether this leader has known the incarnation since its start. */
+  /** Whether this leader has known the incarnation since it started. */
   readonly isNew: boolean;
   /** Monotonic time since which this leader has led. */
   readonly leadsSince: Instant;
--- a/packages/daemon/src/job-host/long-running-tasks.test.ts
+++ b/packages/daemon/src/job-host/long-running-tasks.test.ts
@@ -2,8 +2,8 @@
  * Guards against long-running tasks that wait for short ones. On a fleet of 350 workers, long-running tasks
  * that had failed, or whose workers were lost, did not run again for 11 to 40 s under load, although there
  * was capacity for them by the count of their users. Tasks that end are placed before long-running ones, and
- * take each place that becomes free as long as more of them wait. The order had no limit on the wait of a
- * task that has run before.
+ * take each place that becomes free as long as more of them wait. This order of placement did not limit the
+ * wait of a task that has run before.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
--- a/packages/daemon/src/job-host/outage-leases.test.ts
+++ b/packages/daemon/src/job-host/outage-leases.test.ts
@@ -4,12 +4,12 @@
  *
  * After a log that was silent for 6.5 s all of them were started again. Another host claimed at 7.45 s, since
  * its calls to the log timed out late, and had recorded by 7.48 s that it reached the workers; the leases
- * ended at 7.71 s. It extends a lease only with the poll after that record, but had already sent the next
- * poll, which waited 250 ms for an end.
+ * expired at 7.71 s. The new leader extends a lease only with the poll after that record, but had already
+ * sent the next poll, which waited 250 ms for an end.
  *
  * After 7 s of silence some deployments still started all four tasks again. The leader's own append was
- * confirmed at 8.38 s, since the attempt in flight when the log came back ended only with its timeout of 1.5
- * s, while leases end 8 s after the last confirmed append.
+ * confirmed at 8.38 s, since the attempt in flight when the log came back ended only with its timeout of
+ * 1.5 s, while leases end 8 s after the last confirmed append.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -29,7 +29,7 @@
 for (const outageMs of [5_000, 5_500, 6_000, 6_500, 7_000]) {
   for (const mode of MODES) {
     test(`tasks keep running while the log is unavailable for ${outageMs} ms, ${mode}`, async () => {
-      const lapsed: string[] = [];
+      const ended: string[] = [];
       for (const seed of [1, 2, 3, 4, 5, 6]) {
         const site = new Simulation(seed, { maxLeaseMs: 10_000 });
         for (const name of ['w1', 'w2', 'w3']) {
@@ -49,10 +49,10 @@
         const ends = site.log.recordsOf('journal').map(decodeJournal);
         const found = ends.filter(record => record?.kind === 'end');
         if (found.length > 0) {
-          lapsed.push(`seed ${seed}: ${found.length}`);
+          ended.push(`seed ${seed}: ${found.length}`);
         }
       }
-      assert.deepEqual(lapsed, []);
+      assert.deepEqual(ended, []);
     });
   }
 }
--- a/packages/daemon/src/job-host/report-checks.ts
+++ b/packages/daemon/src/job-host/report-checks.ts
@@ -46,7 +46,8 @@
   }
 
   /**
-   * Positions rise by one: a gap means that ends were acknowledged before they were listed to this leader.
+   * Checks the positions of ends. They rise by one: a gap means that ends were acknowledged before they were
+   * listed to this leader.
    */
   private checkPositions({ ended }: Report): void {
     const first = ended.at(0)?.position;
--- a/packages/daemon/src/job-host/restarted-workers.test.ts
+++ b/packages/daemon/src/job-host/restarted-workers.test.ts
@@ -40,12 +40,12 @@
 // A delayed order to an earlier incarnation was carried out by the next one, although its task was done
 // elsewhere.
 test('calls that come late to the next start of a worker do nothing there', async () => {
-  for (const awayMs of [0, 30]) {
-    const restart = withDelayedCalls(restartOneByOne(awayMs));
+  for (const downtimeMs of [0, 30]) {
+    const restart = withDelayedCalls(restartOneByOne(downtimeMs));
     for (const seed of [1, 2, 3, 4, 5, 6]) {
       const maxLeaseMs = seed % 2 === 0 ? 10_000 : 6_000;
       const site = await runRestarts({ seed, restart, maxLeaseMs });
-      assertNothingLost(site, `down for ${awayMs} ms, seed ${seed}`);
+      assertNothingLost(site, `down for ${downtimeMs} ms, seed ${seed}`);
     }
   }
 });
@@ -64,16 +64,16 @@
 // A worker refuses calls meant for its previous incarnation only after it has seen a higher fence, which
 // comes with its first answer.
 test('no late order is carried out before the first answer of a worker that has started again', async () => {
-  for (const [awayMs, seed] of [
+  for (const [downtimeMs, seed] of [
     [0, 22],
     [30, 40],
     [1_200, 1],
     [1_200, 33],
   ] as const) {
-    const restart = withDelayedCalls(restartOneByOne(awayMs));
+    const restart = withDelayedCalls(restartOneByOne(downtimeMs));
     const maxLeaseMs = seed % 2 === 0 ? 10_000 : 6_000;
     const site = await runRestarts({ seed, restart, maxLeaseMs });
-    assertNothingLost(site, `down for ${awayMs} ms, seed ${seed}`);
+    assertNothingLost(site, `down for ${downtimeMs} ms, seed ${seed}`);
   }
 });
 
--- a/packages/daemon/src/job-host/run-recorder.ts
+++ b/packages/daemon/src/job-host/run-recorder.ts
@@ -125,17 +125,20 @@
   }
 
   /**
-   * A worker that disappears unannounced without any runs shows that workers can be lost without a task
-   * causing it.
+   * Notes that a worker was removed. If it disappears unannounced without any runs, that shows that workers
+   * can be lost without a task causing it.
    */
   noteWorkerRemoved(worker: string, announced: boolean): void {
-    const ranNothing = !this.abandonedWorkers.delete(worker);
-    if (ranNothing && !announced) {
+    const lostNoRuns = !this.abandonedWorkers.delete(worker);
+    if (lostNoRuns && !announced) {
       noteWorkerLoss(this.options.state, worker);
     }
   }
 
-  /** A worker that was removed before this leader took over may have announced its departure. */
+  /**
+   * Returns how a worker was lost. One that was removed before this leader took over may have announced its
+   * departure.
+   */
   private lossKindOf(
     worker: string,
     reason: AbandonedWorkerReason,
--- a/packages/daemon/src/job-host/run-supervisor.ts
+++ b/packages/daemon/src/job-host/run-supervisor.ts
@@ -112,8 +112,8 @@
   }
 
   /**
-   * Stops the long-running tasks of one urgency on leaving workers if there is room for them elsewhere, and
-   * reserves that room for the rest of the round.
+   * Stops the long-running tasks of one urgency on leaving workers if there is capacity for them elsewhere,
+   * and reserves that capacity for the rest of the round.
    */
   evacuateLeaving(input: PlanInput, urgency: EvacuationUrgency): void {
     const onLeaving = this.runsOnLeaving(urgency, input.time.now);
@@ -146,12 +146,12 @@
   learnFromReport({ id, capacity }: WorkerInfo): void {
     const { ctx, state, interference } = this.options;
     const load = workerRuns(state, id);
-    const over = interference.learnFromReport(
+    const overTarget = interference.learnFromReport(
       load,
       capacity.cpuMilli,
       ctx.clock(),
     );
-    for (const { run, overMs } of over) {
+    for (const { run, overMs } of overTarget) {
       if (overMs >= LOGGED_OVER_TARGET_MS) {
         const fillers = load.fillerCpuMilli;
         const more = { overMs: Math.round(overMs), fillers };
--- a/packages/daemon/src/job-host/shrinking-workers.test.ts
+++ b/packages/daemon/src/job-host/shrinking-workers.test.ts
@@ -16,7 +16,7 @@
 const HALF_SIZE = { cpuMilli: 2_000, memoryMiB: 4_000, accelerators: 0 };
 /** How long workers keep their full size, and how long the reduced one. */
 const PHASE_MS = 7_000;
-/** Interval between restarts of these workers. */
+/** Interval between restarts of workers, one at a time. */
 const RESTART_INTERVAL_MS = 2_000;
 const WATCHED_MS = 42_000;
 const JOB_INTERVAL_MS = 400;
--- a/packages/daemon/src/job-host/start-window.ts
+++ b/packages/daemon/src/job-host/start-window.ts
@@ -22,9 +22,9 @@
   private shrunkAt: Instant = -Infinity;
   private readonly inFlight = new Set<Run>();
 
-  /** Returns how many more starts may be decided now; `most` is a further limit on starts in flight. */
-  available(most = Infinity): number {
-    const size = Math.min(Math.floor(this.size), most);
+  /** Returns how many more starts may be decided now; `limit` is a further limit on starts in flight. */
+  available(limit = Infinity): number {
+    const size = Math.min(Math.floor(this.size), limit);
     return Math.max(0, size - this.inFlight.size);
   }
 
--- a/packages/daemon/src/job-host/stray-ends.test.ts
+++ b/packages/daemon/src/job-host/stray-ends.test.ts
@@ -1,10 +1,10 @@
 /*
  * Guards against running a finished task again after its run was abandoned. On a day on which leaders were
- * replaced and late, and 1,644 runs lapsed, a task that had ended as done ran a second time 20 s later. A
- * leader that gets no answer from a worker abandons its runs once its lease has expired; one of them had been
- * done before that. When the worker answered again and listed that end, the leader ignored and acknowledged
- * it, since it had closed the run, while the task waited for capacity to run again. The log did not mention
- * such ends.
+ * replaced and late, and 1,644 runs ended as `lapsed`, a task that had ended as done ran a second time 20 s
+ * later. A leader that gets no answer from a worker abandons its runs once its lease has expired; one of them
+ * had been done before that. When the worker answered again and listed that end, the leader ignored and
+ * acknowledged it, since it had closed the run, while the task waited for capacity to run again. The log did
+ * not mention such ends.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
--- a/packages/daemon/src/job-host/stub-worker.fixture.test.ts
+++ b/packages/daemon/src/job-host/stub-worker.fixture.test.ts
@@ -76,7 +76,7 @@
     stop: (_to, order) => this.answerOrder('stop', order),
     throttle: (_to, order) =>
       this.answerOrder('throttle', order, order.percent),
-    poll: (_to, order) => this.answerPoll(order),
+    poll: (_to, request) => this.answerPoll(request),
     isConnected: () => this.connected,
     disconnect: () => undefined,
   };
@@ -143,10 +143,10 @@
     return answer;
   }
 
-  private async answerPoll(order: PollRequest): Promise<PollResult> {
-    this.polls.push(order);
+  private async answerPoll(request: PollRequest): Promise<PollResult> {
+    this.polls.push(request);
     // A poll takes some time, so that polls do not follow each other in an endless loop.
-    await this.pause(Math.max(50, order.waitMs));
+    await this.pause(Math.max(50, request.waitMs));
     const clock: Instant = this.time.clock();
     return {
       kind: 'seen',
@@ -154,7 +154,7 @@
       clock,
       active: [],
       ended: this.listed.filter(
-        ({ position }) => position > order.acknowledged,
+        ({ position }) => position > request.acknowledged,
       ),
     };
   }
--- a/packages/daemon/src/job-host/timing.ts
+++ b/packages/daemon/src/job-host/timing.ts
@@ -22,8 +22,8 @@
 export const ROLE_CHANGE_JITTER_MS: Millis = 2_000;
 /**
  * Interval at which the leader writes a snapshot of the summary. A starting host reads one and the records
- * after it, even if all older records were dropped from the log. A snapshot has some 25 KB, which no other host
- * reads.
+ * after it, even if all older records were dropped from the log. A snapshot has some 25 KB, and other hosts
+ * don't read it.
  */
 export const SNAPSHOT_INTERVAL_MS: Millis = 5_000;
 /** Interval at which a host offers to be a standby: a third of the time after which it counts as gone. */
--- a/packages/daemon/src/job-host/worker-link.ts
+++ b/packages/daemon/src/job-host/worker-link.ts
@@ -81,7 +81,7 @@
 /** A poll that was sent. */
 interface SentPoll {
   readonly at: Instant;
-  readonly order: PollRequest;
+  readonly request: PollRequest;
 }
 
 /** The leader's link to one incarnation of a worker. */
@@ -258,7 +258,7 @@
     this.orders.throttle(run, percent);
   }
 
-  /** A worker that does not answer is polled until it answers or has left the registry. */
+  /** Whether to poll now; a worker that does not answer is polled until it answers or is removed. */
   private needsPoll(): boolean {
     return (
       !this.hasReported ||
@@ -271,28 +271,28 @@
   private async poll(): Promise<void> {
     const { ctx, port, fence } = this.options;
     const sentAt = ctx.clock();
-    const isSure = this.hasProbed || port.isConnected(this.info);
+    const isIdentified = this.hasProbed || port.isConnected(this.info);
     // An unresponsive worker may be unreachable: its lease must be allowed to expire.
     const left = this.horizonLeftMs();
     const extend =
-      isSure && this.isReachRecorded && this.isAnswering && left > 0;
-    const order: PollRequest = {
+      isIdentified && this.isReachRecorded && this.isAnswering && left > 0;
+    const request: PollRequest = {
       fence,
-      acknowledged: isSure ? this.recordedUpTo : 0,
+      acknowledged: isIdentified ? this.recordedUpTo : 0,
       leaseUntil: extend
         ? this.lease.extend(sentAt, this.options.horizon())
         : undefined,
-      waitMs: isSure ? this.pollWaitMs(left) : 0,
+      waitMs: isIdentified ? this.pollWaitMs(left) : 0,
       slackMs: this.pollTimeout.ms,
     };
-    const sent = { at: sentAt, order };
+    const sent = { at: sentAt, request };
     // A late answer still reports ends, and shows that the worker is running.
-    const res = await port.poll(this.info, order, late => {
+    const res = await port.poll(this.info, request, late => {
       this.handlePollResult(late, sent).catch((err: unknown) => {
         ctx.log.error({ err }, 'worker: a late answer could not be handled');
       });
     });
-    this.hasProbed = !isSure && res.kind === 'seen';
+    this.hasProbed = !isIdentified && res.kind === 'seen';
     await this.handlePollResult(res, sent);
   }
 
@@ -351,8 +351,8 @@
   }
 
   /**
-   * Some workers report their start time only in the registry; one that has included it in an answer always
-   * does.
+   * Whether a report is from this incarnation. Some workers report their start time only in the registry; one
+   * that has included it in an answer always does.
    */
   private isFromThisIncarnation({ startedAt }: Report): boolean {
     if (startedAt === undefined) {
@@ -379,13 +379,16 @@
     this.options.events.replaced(by);
   }
 
-  private recordAnswer({ at, order }: SentPoll): void {
+  private recordAnswer({ at, request }: SentPoll): void {
     const { ctx, fence } = this.options;
     this.lastAnsweredAt = ctx.clock();
     this.pollTimeout.record(
-      Math.max(0, this.lastAnsweredAt - at - order.waitMs),
+      Math.max(0, this.lastAnsweredAt - at - request.waitMs),
+    );
+    this.acknowledgedUpTo = Math.max(
+      this.acknowledgedUpTo,
+      request.acknowledged,
     );
-    this.acknowledgedUpTo = Math.max(this.acknowledgedUpTo, order.acknowledged);
     if (this.firstAnsweredAt === Infinity) {
       this.firstAnsweredAt = this.lastAnsweredAt;
       const runs = this.runs.open.size;
@@ -450,9 +453,8 @@
   }
 
   /**
-   * Resolves once a record says that the worker was reached, and the next poll waits for that, because only
-   * then does it extend the lease. A poll sent earlier would delay the extension for as long as it waits for
-   * an end.
+   * Resolves once a record says that the worker was reached. The next poll waits for that, since it extends
+   * the lease only then. A poll sent earlier would delay the extension for as long as it waits for an end.
    */
   private recordReached(): Promise<void> | undefined {
     const { silenceReports } = this;
@@ -468,7 +470,10 @@
     });
   }
 
-  /** An end is acknowledged only once it is recorded, even if it was listed before. */
+  /**
+   * Notes when the ends up to `position` are recorded. Only then are they acknowledged, even if they were
+   * listed before.
+   */
   private async confirmRecorded(position: number): Promise<void> {
     if (await this.options.events.recorded()) {
       this.recordedUpTo = Math.max(this.recordedUpTo, position);
--- a/packages/daemon/src/job-host/worker-orders.ts
+++ b/packages/daemon/src/job-host/worker-orders.ts
@@ -134,9 +134,9 @@
     run: Run,
     decidedAt: Instant,
   ): DroppedStartReason | undefined {
-    const needless = obsoleteReasonOf(run);
-    if (needless !== undefined) {
-      return needless === 'over' ? 'over' : 'needless';
+    const obsoleteReason = obsoleteReasonOf(run);
+    if (obsoleteReason !== undefined) {
+      return obsoleteReason === 'over' ? 'over' : 'needless';
     }
     const { ctx, inboxAgeMs, registryAgeMs, mayStart } = this.options;
     if (inboxAgeMs() > INBOX_STALE_MS || registryAgeMs() > REGISTRY_STALE_MS) {
