--- a/packages/daemon/src/job-host/fleet.ts
+++ b/packages/daemon/src/job-host/fleet.ts
@@ -23,7 +23,7 @@
   readonly openLink: (info: WorkerInfo, isNew: boolean) => WorkerLink;
   readonly state: JobsState;
   readonly health: WorkerHealth;
-  /** An incarnation was removed, announced or not, and has no open runs any more. */
+  /** An incarnation was removed, and has no open runs any more; `announced` if it was known to be leaving. */
   readonly onRemoved: (worker: string, announced: boolean) => void;
   readonly changed: () => void;
 }
--- a/packages/daemon/src/job-host/handed-over-leases.test.ts
+++ b/packages/daemon/src/job-host/handed-over-leases.test.ts
@@ -134,9 +134,9 @@
 /** Advances until all tasks run, and returns how long that took. */
 async function timeUntilAllRun(site: Simulation): Promise<Millis> {
   const from = site.time.clock();
-  const back = (): boolean =>
+  const allRun = (): boolean =>
     site.history.countActiveRuns(LONG_RUNNING_JOB) === LONG_RUNNING_TASKS;
-  await site.time.until(back, MAX_UNAVAILABLE_MS);
+  await site.time.until(allRun, MAX_UNAVAILABLE_MS);
   return Math.round(site.time.clock() - from);
 }
 
--- a/packages/daemon/src/job-host/late-answers.test.ts
+++ b/packages/daemon/src/job-host/late-answers.test.ts
@@ -34,8 +34,8 @@
   HOSTS.forEach(name => site.startHost(name));
   const step = { tasks: TASKS, after: [] };
   void site.submit(JOB, [step], { runMs, failures: 0 });
-  const runs = (): boolean => site.history.countActiveRuns(JOB) === TASKS;
-  await site.time.until(runs, 6_000);
+  const allRun = (): boolean => site.history.countActiveRuns(JOB) === TASKS;
+  await site.time.until(allRun, 6_000);
   site.addWorker('w2');
   await site.time.advance(300);
   site.fleet.pollDelays.set('w1', LATE_MS);
@@ -58,7 +58,7 @@
   const site = await deploymentWithLateAnswers(4, 60_000);
   await site.time.advance(3_000);
   site.fleet.crash('w1');
-  const back = (): boolean => site.history.countActiveRuns(JOB) === TASKS;
-  await site.time.until(back, 9_000);
-  assert.ok(back());
+  const allRun = (): boolean => site.history.countActiveRuns(JOB) === TASKS;
+  await site.time.until(allRun, 9_000);
+  assert.ok(allRun());
 });
--- a/packages/daemon/src/job-host/restarted-workers.test.ts
+++ b/packages/daemon/src/job-host/restarted-workers.test.ts
@@ -77,8 +77,8 @@
   }
 });
 
-// A lease end of the previous incarnation is far ahead of a restarted clock, so the lease held for as long as
-// a worker accepts.
+// A lease end of the previous incarnation is far ahead of a restarted clock, so the worker held the longest
+// lease that it accepts.
 test('nothing runs twice if a lease of the previous incarnation reaches the next one', async () => {
   for (const seed of SEEDS) {
     const site = await deploymentWithRestarts({ seed, maxLeaseMs: 10_000 });
--- a/packages/daemon/src/job-host/skipped-epochs.test.ts
+++ b/packages/daemon/src/job-host/skipped-epochs.test.ts
@@ -38,7 +38,7 @@
     await site.time.until(isRestated, RESTATED_MS);
     const leader = site.leader();
     const other = leader === 'h1' ? 'h2' : 'h1';
-    // The log drops what the other host, cut off, has not read, including the records of reached workers.
+    // The log drops records that the other host, cut off, has not read, including those of reached workers.
     site.log.hostModes.set(other, 'silent');
     await site.time.advance(5_000);
     const cutAt = site.log.recordsOf('journal').length;
--- a/packages/daemon/src/job-host/timing.ts
+++ b/packages/daemon/src/job-host/timing.ts
@@ -121,8 +121,8 @@
 /** Minimum lease with which a start is sent: a new leader that takes over meanwhile extends it in time. */
 export const MIN_START_LEASE_MS: Millis = 2_000;
 /**
- * Maximum wait of a poll while the lease can't be extended, at least not fully, so that it is extended as
- * soon as possible.
+ * Maximum wait of a poll while the lease can't be extended, or only in part, so that it is extended as soon
+ * as possible.
  */
 export const SHORT_LEASE_POLL_WAIT_MS: Millis = 250;
 /** Timeout of the advice service beyond its own estimate. */
--- a/packages/daemon/src/job-host/worker-link.ts
+++ b/packages/daemon/src/job-host/worker-link.ts
@@ -35,7 +35,7 @@
 
 /** Events that a link reports to the leader. */
 export interface LinkEvents extends Omit<LinkedRunEvents, 'strayRun'> {
-  /** Another incarnation of the worker has answered, which has started since. */
+  /** Another incarnation of the worker, which started later, has answered. */
   replaced(by: string): void;
   /** Resolves with true once all ends reported so far are recorded. */
   recorded(): Promise<boolean>;
@@ -103,7 +103,7 @@
   /** Value of `silenceReports` for which the last reach record was requested. */
   private reachRequestedFor = -1;
   private isAnswering = true;
-  /** Time at which the worker was first noticed not to answer; undefined while it answers. */
+  /** Time at which the worker was found to be unresponsive; undefined while it answers. */
   private silentSince: Instant | undefined;
   /** Whether an answer has included the start time of this incarnation. */
   private reportsStartTime = false;
