--- a/packages/daemon/src/job-host/adaptive-read-size.ts
+++ b/packages/daemon/src/job-host/adaptive-read-size.ts
@@ -25,14 +25,14 @@
     return this.targetBytes;
   }
 
-  /** Records an answer that took `took` and returned `bytes` of records, possibly none. */
-  noteAnswer(took: Millis, bytes: number): void {
+  /** Records an answer that took `tookMs` and returned `bytes` of records, possibly none. */
+  noteAnswer(tookMs: Millis, bytes: number): void {
     if (bytes === 0) {
       // The next record may be larger than the requested size.
       this.resize(this.targetBytes * 2);
-    } else if (took > SLOW_ANSWER_MS) {
+    } else if (tookMs > SLOW_ANSWER_MS) {
       this.resize(this.targetBytes / 2);
-    } else if (took < FAST_ANSWER_MS && 2 * bytes > this.targetBytes) {
+    } else if (tookMs < FAST_ANSWER_MS && 2 * bytes > this.targetBytes) {
       this.resize(this.targetBytes * 2);
     }
   }
--- a/packages/daemon/src/job-host/crashing-tasks.test.ts
+++ b/packages/daemon/src/job-host/crashing-tasks.test.ts
@@ -72,8 +72,8 @@
     void site.submit(CRASHING_JOB, steps, script);
     await site.time.advance(OBSERVATION_MS);
     assert.deepEqual(site.history.check(), []);
-    // Three neighbours at each of its first two workers, which have four cores; its later workers are reserved
-    // for it.
+    // Three neighbours at each of its first two workers, which have four cores. Its later workers run nothing
+    // else: they are reserved for it.
     const lost = site.history.otherRunsLostWith(CRASHING_JOB);
     assert.ok(lost <= 2 * 3, `seed ${seed}: ${lost} lost beside it`);
   }
--- a/packages/daemon/src/job-host/leadership.ts
+++ b/packages/daemon/src/job-host/leadership.ts
@@ -77,12 +77,12 @@
       replica.reset();
     }
     const read = await replica.refresh('journal');
-    const readTook = ctx.clock() - before;
+    const readTookMs = ctx.clock() - before;
     if (read && !replica.isComplete) {
       // A follower needs the inbox only for jobs that the journal names; reads for callers cover the rest.
       await replica.refresh('inbox');
     }
-    if (read && isLeaderless(ctx, replica, silenceTimeoutMs + 2 * readTook)) {
+    if (read && isLeaderless(ctx, replica, silenceTimeoutMs + 2 * readTookMs)) {
       const wonClaim = await tryToClaim(ctx, jobLog, replica, claimState);
       if (wonClaim !== undefined) {
         return wonClaim;
--- a/packages/daemon/src/job-host/order-queue.ts
+++ b/packages/daemon/src/job-host/order-queue.ts
@@ -14,8 +14,8 @@
 
 /**
  * Sends orders one at a time. Stops go first: otherwise a caller that waits for the end of a run would also
- * wait for a slow worker to answer all earlier starts. Limits do not go first: shares that change with each
- * report would leave no turn to a start.
+ * wait for a slow worker to answer all earlier starts. Limits do not go first: they may change with each
+ * report, and would leave no turn to a start.
  */
 export class OrderQueue {
   private readonly stops: Order[] = [];
--- a/packages/daemon/src/job-host/report-checks.ts
+++ b/packages/daemon/src/job-host/report-checks.ts
@@ -14,8 +14,8 @@
   private lastListed = new Set<string>();
 
   /**
-   * Creates the checks of a worker that has not reported yet; a new incarnation has listed no ends to
-   * anybody.
+   * Creates the checks of a worker that has not reported yet. A new incarnation (`isNew`) has listed no ends
+   * to any leader.
    */
   constructor(
     private readonly ctx: HostContext,
--- a/packages/daemon/src/job-host/worker-orders.ts
+++ b/packages/daemon/src/job-host/worker-orders.ts
@@ -70,7 +70,7 @@
   private readonly queue = new OrderQueue();
   private closed = false;
 
-  /** Creates the orders to a worker, initially none. */
+  /** Creates the sender of orders to a worker, with no orders yet. */
   constructor(private readonly options: OrderOptions) {}
 
   /** Stops sending. */
