--- a/packages/daemon/src/job-host/report-checks.ts
+++ b/packages/daemon/src/job-host/report-checks.ts
@@ -14,8 +14,8 @@
   private lastListed = new Set<string>();
 
   /**
-   * Creates the checks of a worker that has not reported yet; a new incarnation has listed no ends to
-   * anybody.
+   * Creates the checks of a worker that has not reported yet. A new incarnation (`isNew`) has listed no ends
+   * to any leader.
    */
   constructor(
     private readonly ctx: HostContext,
@@ -46,7 +46,8 @@
   }
 
   /**
-   * Positions rise by one: a gap means that ends were acknowledged before they were listed to this leader.
+   * Checks the positions of ends. They rise by one: a gap means that ends were acknowledged before they were
+   * listed to this leader.
    */
   private checkPositions({ ended }: Report): void {
     const first = ended.at(0)?.position;
--- a/packages/daemon/src/job-host/timing.ts
+++ b/packages/daemon/src/job-host/timing.ts
@@ -22,8 +22,8 @@
 export const ROLE_CHANGE_JITTER_MS: Millis = 2_000;
 /**
  * Interval at which the leader writes a snapshot of the summary. A starting host reads one and the records
- * after it, even if all older records were dropped from the log. A snapshot has some 25 KB, which no other host
- * reads.
+ * after it, even if all older records were dropped from the log. A snapshot has some 25 KB, and other hosts
+ * don't read it.
  */
 export const SNAPSHOT_INTERVAL_MS: Millis = 5_000;
 /** Interval at which a host offers to be a standby: a third of the time after which it counts as gone. */
@@ -121,8 +121,8 @@
 /** Minimum lease with which a start is sent: a new leader that takes over meanwhile extends it in time. */
 export const MIN_START_LEASE_MS: Millis = 2_000;
 /**
- * Maximum wait of a poll while the lease can't be extended, at least not fully, so that it is extended as
- * soon as possible.
+ * Maximum wait of a poll while the lease can't be extended, or only in part, so that it is extended as soon
+ * as possible.
  */
 export const SHORT_LEASE_POLL_WAIT_MS: Millis = 250;
 /** Timeout of the advice service beyond its own estimate. */
--- a/packages/daemon/src/job-host/worker-link.ts
+++ b/packages/daemon/src/job-host/worker-link.ts
@@ -35,7 +35,7 @@
 
 /** Events that a link reports to the leader. */
 export interface LinkEvents extends Omit<LinkedRunEvents, 'strayRun'> {
-  /** Another incarnation of the worker has answered, which has started since. */
+  /** Another incarnation of the worker, which started later, has answered. */
   replaced(by: string): void;
   /** Resolves with true once all ends reported so far are recorded. */
   recorded(): Promise<boolean>;
@@ -81,7 +81,7 @@
 /** A poll that was sent. */
 interface SentPoll {
   readonly at: Instant;
-  readonly order: PollRequest;
+  readonly request: PollRequest;
 }
 
 /** The leader's link to one incarnation of a worker. */
@@ -103,7 +103,7 @@
   /** Value of `silenceReports` for which the last reach record was requested. */
   private reachRequestedFor = -1;
   private isAnswering = true;
-  /** Time at which the worker was first noticed not to answer; undefined while it answers. */
+  /** Time at which the worker was found to be unresponsive; undefined while it answers. */
   private silentSince: Instant | undefined;
   /** Whether an answer has included the start time of this incarnation. */
   private reportsStartTime = false;
@@ -258,7 +258,7 @@
     this.orders.throttle(run, percent);
   }
 
-  /** A worker that does not answer is polled until it answers or has left the registry. */
+  /** Whether to poll now; a worker that does not answer is polled until it answers or is removed. */
   private needsPoll(): boolean {
     return (
       !this.hasReported ||
@@ -271,28 +271,28 @@
   private async poll(): Promise<void> {
     const { ctx, port, fence } = this.options;
     const sentAt = ctx.clock();
-    const isSure = this.hasProbed || port.isConnected(this.info);
+    const isIdentified = this.hasProbed || port.isConnected(this.info);
     // An unresponsive worker may be unreachable: its lease must be allowed to expire.
     const left = this.horizonLeftMs();
     const extend =
-      isSure && this.isReachRecorded && this.isAnswering && left > 0;
-    const order: PollRequest = {
+      isIdentified && this.isReachRecorded && this.isAnswering && left > 0;
+    const request: PollRequest = {
       fence,
-      acknowledged: isSure ? this.recordedUpTo : 0,
+      acknowledged: isIdentified ? this.recordedUpTo : 0,
       leaseUntil: extend
         ? this.lease.extend(sentAt, this.options.horizon())
         : undefined,
-      waitMs: isSure ? this.pollWaitMs(left) : 0,
+      waitMs: isIdentified ? this.pollWaitMs(left) : 0,
       slackMs: this.pollTimeout.ms,
     };
-    const sent = { at: sentAt, order };
+    const sent = { at: sentAt, request };
     // A late answer still reports ends, and shows that the worker is running.
-    const res = await port.poll(this.info, order, late => {
+    const res = await port.poll(this.info, request, late => {
       this.handlePollResult(late, sent).catch((err: unknown) => {
         ctx.log.error({ err }, 'worker: a late answer could not be handled');
       });
     });
-    this.hasProbed = !isSure && res.kind === 'seen';
+    this.hasProbed = !isIdentified && res.kind === 'seen';
     await this.handlePollResult(res, sent);
   }
 
@@ -351,8 +351,8 @@
   }
 
   /**
-   * Some workers report their start time only in the registry; one that has included it in an answer always
-   * does.
+   * Whether a report is from this incarnation. Some workers report their start time only in the registry; one
+   * that has included it in an answer always does.
    */
   private isFromThisIncarnation({ startedAt }: Report): boolean {
     if (startedAt === undefined) {
@@ -379,13 +379,16 @@
     this.options.events.replaced(by);
   }
 
-  private recordAnswer({ at, order }: SentPoll): void {
+  private recordAnswer({ at, request }: SentPoll): void {
     const { ctx, fence } = this.options;
     this.lastAnsweredAt = ctx.clock();
     this.pollTimeout.record(
-      Math.max(0, this.lastAnsweredAt - at - order.waitMs),
+      Math.max(0, this.lastAnsweredAt - at - request.waitMs),
+    );
+    this.acknowledgedUpTo = Math.max(
+      this.acknowledgedUpTo,
+      request.acknowledged,
     );
-    this.acknowledgedUpTo = Math.max(this.acknowledgedUpTo, order.acknowledged);
     if (this.firstAnsweredAt === Infinity) {
       this.firstAnsweredAt = this.lastAnsweredAt;
       const runs = this.runs.open.size;
@@ -450,9 +453,8 @@
   }
 
   /**
-   * Resolves once a record says that the worker was reached, and the next poll waits for that, because only
-   * then does it extend the lease. A poll sent earlier would delay the extension for as long as it waits for
-   * an end.
+   * Resolves once a record says that the worker was reached. The next poll waits for that, since it extends
+   * the lease only then. A poll sent earlier would delay the extension for as long as it waits for an end.
    */
   private recordReached(): Promise<void> | undefined {
     const { silenceReports } = this;
@@ -468,7 +470,10 @@
     });
   }
 
-  /** An end is acknowledged only once it is recorded, even if it was listed before. */
+  /**
+   * Notes when the ends up to `position` are recorded. Only then are they acknowledged, even if they were
+   * listed before.
+   */
   private async confirmRecorded(position: number): Promise<void> {
     if (await this.options.events.recorded()) {
       this.recordedUpTo = Math.max(this.recordedUpTo, position);
