--- a/packages/domain/src/jobs/disturbance.fuzz.test.ts
+++ b/packages/domain/src/jobs/disturbance.fuzz.test.ts
@@ -1,13 +1,13 @@
 /*
  * Guards against a serving task staying over its tail latency target for more than the 4 s that its users
- * tolerate, while best-effort fillers run beside it. Fillers are paused once a task has been over its target for
- * 1.1 s. If its tail is slightly above the target, inaccurate readings may be below, and a single one of them used
- * to restart that time; meanwhile the model limited the wrong fillers, one after the other.
+ * tolerate, while best-effort fillers run beside it. Fillers are paused once a task has been over its target
+ * for 1.1 s. If its tail is slightly above the target, inaccurate readings may be below, and a single one of
+ * them used to restart that time; meanwhile the model limited the wrong fillers, one after the other.
  *
- * In the first test the tail is 4 % above its target from 42.8 s on, with readings of 25, 25, 31, 21, 21, 25 and
- * 26 ms against 25 ms. Fillers of the harmless image were limited first, and the task was disturbed for 4,530 ms.
- * With reports once a second the fault appeared within 3,000 random cases, with reports every 350 ms once in about
- * 40,000.
+ * In the first test the tail is 4 % above its target from 42.8 s on, with readings of 25, 25, 31, 21, 21, 25
+ * and 26 ms against 25 ms. Fillers of the harmless image were limited first, and the task was disturbed for
+ * 4,530 ms. With reports once a second the fault appeared within 3,000 random cases, with reports every 350
+ * ms once in about 40,000.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
--- a/packages/domain/src/jobs/filler-speeds.ts
+++ b/packages/domain/src/jobs/filler-speeds.ts
@@ -1,4 +1,4 @@
-/** Speeds at which further best-effort fillers could run beside serving tasks, cached for one planning round. */
+/** Speeds at which more best-effort fillers could run beside serving tasks, cached for one planning round. */
 import type { Run, Step } from './job.js';
 import type { WorkerRuns } from './jobs-state.js';
 import type { StepSpec } from './spec.js';
@@ -37,7 +37,7 @@
   /** Number of runs of the worker when this was worked out; runs are only added while the cache lives. */
   readonly runCount: number;
   readonly steps: readonly ServingStep[];
-  /** Whether one of them is over its target. No filler is added then, since the model may blame the wrong one. */
+  /** Whether one of them is over its target; no filler is added then, as the model may blame a wrong one. */
   readonly isOverTarget: boolean;
 }
 
@@ -74,9 +74,9 @@
   }
 
   private servingTasksOf({ runs }: WorkerRuns): ServingTasks {
-    const known = this.servingByRuns.get(runs);
-    if (known?.runCount === runs.size) {
-      return known;
+    const cached = this.servingByRuns.get(runs);
+    if (cached?.runCount === runs.size) {
+      return cached;
     }
     const serving = servingRuns(runs);
     const steps = new Set(serving.map(({ task }) => task.step));
@@ -90,9 +90,9 @@
   }
 
   private pressuresOf({ image = '' }: StepSpec): Map<string, number> {
-    const known = this.pressures.get(image);
-    if (known !== undefined) {
-      return known;
+    const cached = this.pressures.get(image);
+    if (cached !== undefined) {
+      return cached;
     }
     const created = new Map<string, number>();
     this.pressures.set(image, created);
--- a/packages/domain/src/jobs/fleet-snapshot.ts
+++ b/packages/domain/src/jobs/fleet-snapshot.ts
@@ -15,10 +15,10 @@
 import { expectedWorkOf } from './job-value.js';
 
 /**
- * Why a task waits. An obstacle: what the task lacks on the worker that passed the most checks of `OBSTACLES`;
- * `disturbance`: wherever it fits it would be slowed or would disturb a serving task; `turn`: there is free
- * capacity, and the next round may start it; `no_worker`: no worker is usable; `unexamined`: more kinds of
- * tasks wait than one snapshot examines.
+ * Why a task waits. An obstacle: what the task lacks on the worker that passed the most checks of
+ * `OBSTACLES`; `disturbance`: wherever it fits it would be slowed or would disturb a serving task; `turn`:
+ * there is free capacity, and the next round may start it; `no_worker`: no worker is usable; `unexamined`:
+ * more kinds of tasks wait than one snapshot examines.
  */
 export type WaitReason =
   Obstacle | 'disturbance' | 'turn' | 'no_worker' | 'unexamined';
@@ -29,7 +29,7 @@
   registered: number;
   /** Capacity of the workers that may be given tasks now. */
   usable: number;
-  /** Requested by running batch tasks, long-running tasks, and best-effort fillers. */
+  /** Requested by the runs of batch tasks, of long-running tasks and of best-effort fillers. */
   plain: number;
   lasting: number;
   filler: number;
@@ -62,7 +62,7 @@
   readonly workers: number;
   readonly usableWorkers: number;
   readonly processors: Readonly<ProcessorUsage>;
-  /** Tasks that are ready but wait, by queue and reason; queues beyond the limit are summed under `OTHER_QUEUES`. */
+  /** Ready tasks that wait, by queue and reason; queues beyond the limit are summed under `OTHER_QUEUES`. */
   readonly waiting: Readonly<Record<string, WaitingByReason>>;
   /** Jobs with tasks that are ready but wait, by queue; queues beyond the limit are left out. */
   readonly sizes: Readonly<Record<string, WaitingBySize>>;
@@ -216,9 +216,9 @@
   const { queue } = step.occurrence.job.spec.terms;
   const { image, filler, label, lasting } = step.spec;
   const key = [queue, image, filler, label, lasting].join('/');
-  const known = reasons.get(key);
-  if (known !== undefined) {
-    return known;
+  const cached = reasons.get(key);
+  if (cached !== undefined) {
+    return cached;
   }
   if (reasons.size >= MAX_TASK_KINDS) {
     return 'unexamined';
--- a/packages/domain/src/jobs/gang.ts
+++ b/packages/domain/src/jobs/gang.ts
@@ -20,7 +20,7 @@
   return placeAllTasks(input, step);
 }
 
-/** Tells whether a member of the run's gang is missing (not done, and without this run): the others cannot go on. */
+/** Tells whether a gang member is missing (not done, and without this run), so the others can't go on. */
 export function isBrokenGang({ task, number }: Run): boolean {
   const { spec, tasks } = task.step;
   return (
--- a/packages/domain/src/jobs/interference.test.ts
+++ b/packages/domain/src/jobs/interference.test.ts
@@ -110,9 +110,9 @@
   );
 });
 
-// Guards against placing fillers beside a disturbed task again. A task was over its target for 3.6 s, while fillers
-// moved away from it were twice placed beside it again: each reading slightly below the target made the model see
-// headroom.
+// Guards against placing fillers beside a disturbed task again. A task was over its target for 3.6 s, while
+// fillers moved away from it were twice placed beside it again: each reading slightly below the target made
+// the model see headroom.
 test('no filler is placed beside a task that has been over its target for a while', () => {
   const scenario = createScenario();
   handleReports(scenario, 0, 20);
--- a/packages/domain/src/jobs/interference.ts
+++ b/packages/domain/src/jobs/interference.ts
@@ -1,11 +1,12 @@
 /**
- * Interference of best-effort fillers with serving tasks, learned from tail latencies, and the limits on fillers
- * that follow from it.
+ * Interference of best-effort fillers with serving tasks, learned from tail latencies, and the limits on
+ * fillers that follow from it.
  *
- * A serving task is modelled as a queue with a tail latency of `floor / (1 - load)`. The load is the task's own
- * load, the same for all tasks of a step, times `1 + sum of pressure * used` over the fillers beside it: `used`
- * is the fraction of the worker's processors that a filler uses, and the pressure depends on the images of both.
- * Own loads and pressures are estimates with a variance; each report corrects them in proportion to their variances.
+ * A serving task is modelled as a queue with a tail latency of `floor / (1 - load)`. The load is the task's
+ * own load, the same for all tasks of a step, times `1 + sum of pressure * used` over the fillers beside it:
+ * `used` is the fraction of the worker's processors that a filler uses, and the pressure depends on the
+ * images of both. Own loads and pressures are estimates with a variance; each report corrects them in
+ * proportion to their variances.
  */
 import type { Instant, Millis } from '../core/time.js';
 import { Estimates, type Drift, type Estimate } from './estimate.js';
@@ -27,7 +28,7 @@
 const MAX_PRESSURE = 12;
 /** Growth of a pressure's variance per second: pressures change within seconds, large ones by more. */
 const PRESSURE_DRIFT: Drift = { constant: 0.05, perSquaredMean: 0.25 ** 2 };
-/** Initial own load of a step, and its dynamics: it changes by up to 0.1 per second, and reverses within about 3 s. */
+/** Initial own load of a step; it changes by up to 0.1 per second, and reverses within about 3 s. */
 const LOAD_MODEL: TrendModel = {
   mean: 0.5,
   variance: 0.2 ** 2,
@@ -51,17 +52,17 @@
 const INITIAL_TARGET_FACTOR = 5;
 /** Floor as a fraction of the low tail, which is higher because tasks are never quite idle. */
 const FLOOR_FRACTION = 0.78;
-/** Weights by which the low tail follows tails below and above it, so that about one in a hundred is below. */
+/** Weights by which the low tail follows lower and higher tails, so that about one in a hundred is below. */
 const WEIGHT_BELOW_LOW_TAIL = 0.2;
 const WEIGHT_ABOVE_LOW_TAIL = 0.001;
 /**
- * Load kept free below the target, on top of the predicted load. Prediction with this margin serves 0.013 more
- * of the value of callers' work than the latest load with margins of 0.12 for placement and 0.06 for limits
- * (mean of ten simulated days on 45 workers). The latest load with margins of 0.03 would keep serving tasks over
- * their targets for 1.35 times as long.
+ * Load kept free below the target, on top of the predicted load. Prediction with this margin serves 0.013
+ * more of the value of callers' work than the latest load with margins of 0.12 for placement and 0.06 for
+ * limits (mean of ten simulated days on 45 workers). The latest load with margins of 0.03 would keep serving
+ * tasks over their targets for 1.35 times as long.
  */
 const LOAD_MARGIN = 0.02;
-/** Standard deviations added to a pressure as a safety margin when a filler is placed, and when it is limited. */
+/** Safety margin of a pressure, in standard deviations, when a filler is placed and when it is limited. */
 const PLACEMENT_CAUTION_SIGMAS = 0.3;
 const LIMIT_CAUTION_SIGMAS = 0.3;
 /**
@@ -112,11 +113,11 @@
   /** Creates a model that starts from the estimates of an earlier one, if any. */
   constructor(earlier?: ReceivedEstimates) {
     if (earlier !== undefined) {
-      const { estimates: learnt, readAt } = earlier;
-      for (const [pair, mean, variance] of learnt.pressures) {
+      const { estimates, readAt } = earlier;
+      for (const [pair, mean, variance] of estimates.pressures) {
         this.pressures.seed(pair, { mean, variance }, readAt);
       }
-      for (const [image, low] of learnt.lowTails) {
+      for (const [image, low] of estimates.lowTails) {
         this.lowTails.set(image, low);
       }
     }
@@ -153,8 +154,8 @@
   }
 
   /**
-   * Learns from a report of a worker with `cpuMilli`; the readings of its runs have to be up to date. Returns the
-   * runs that were over their targets until now.
+   * Learns from a report of a worker with `cpuMilli`; the readings of its runs have to be up to date. Returns
+   * the runs that were over their targets until now.
    */
   learnFromReport(
     load: WorkerRuns,
@@ -210,7 +211,7 @@
     );
   }
 
-  /** Returns speed limits of fillers, in percent, that keep every serving task of the worker below its target. */
+  /** Returns speed limits of fillers in percent that keep serving tasks of the worker below their targets. */
   speedLimits(
     load: WorkerRuns,
     cpuMilli: number,
@@ -276,7 +277,7 @@
     return [...running, ...ended].filter(({ used }) => used > 0);
   }
 
-  /** Corrects the own load and the pressures by the error of the expected load, in proportion to their variances. */
+  /** Corrects own load and pressures by the error of the expected load, in proportion to their variances. */
   private updateEstimates(
     step: Step,
     tail: Millis,
@@ -328,7 +329,10 @@
       : Math.min(initial, low * FLOOR_FRACTION);
   }
 
-  /** Returns the relative increase of a step's own load that fillers may cause; negative if the load is too high. */
+  /**
+   * Returns the relative increase of a step's own load that fillers may cause; negative if the own load alone
+   * is too high.
+   */
   private headroomOf(step: Step, aheadMs: Millis): number {
     const target = step.spec.tailTargetMs ?? Infinity;
     const limit = 1 - this.tailFloorOf(step.spec) / target - LOAD_MARGIN;
--- a/packages/domain/src/jobs/job-value.test.ts
+++ b/packages/domain/src/jobs/job-value.test.ts
@@ -1,7 +1,7 @@
 /**
- * Order of jobs under overload, with wide and small jobs whose value is 0.3 of a mean job plus 0.7 by their work.
- * Ordered by latest possible start, each would start at the last moment and most would end late; ordered by value
- * per work alone, small jobs would starve wide ones.
+ * Order of jobs under overload, with wide and small jobs whose value is 0.3 of a mean job plus 0.7 by their
+ * work. Ordered by latest possible start, each would start at the last moment and most would end late;
+ * ordered by value per work alone, small jobs would starve wide ones.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
--- a/packages/domain/src/jobs/job-value.ts
+++ b/packages/domain/src/jobs/job-value.ts
@@ -2,7 +2,7 @@
 import type { Occurrence, Step } from './job.js';
 import type { RunTimes } from './run-times.js';
 
-/** Fraction of the value of a mean job that every job has; the rest grows with its work, as the users' rules say. */
+/** Fraction of a mean job's value that every job has; the rest grows with its work, by the users' rules. */
 const FIXED_VALUE_FRACTION = 0.3;
 /** Upper bound of the value of a job, in mean jobs of its queue, as the users' rules say. */
 const MAX_VALUE = 4;
@@ -27,7 +27,7 @@
   }
 }
 
-/** Returns the expected work of an occurrence in core-milliseconds, counting `tasksOf(step)` tasks of each step. */
+/** Returns an occurrence's expected work, in core-milliseconds, for `tasksOf(step)` tasks of each step. */
 export function expectedWorkOf(
   { steps }: Occurrence,
   times: RunTimes,
@@ -40,9 +40,9 @@
 }
 
 /**
- * Returns the value of completing an occurrence for each unit of work that its waiting tasks need. It is high if
- * the occurrence is small, or if nearly all of its tasks are running or done. The value is in units of work: that
- * of a mean job of the queue equals its work.
+ * Returns the value of completing an occurrence for each unit of work that its waiting tasks need. It is high
+ * if the occurrence is small, or if nearly all of its tasks are running or done. The value is in units of
+ * work: that of a mean job of the queue equals its work.
  */
 export function valuePerWork(
   occurrence: Occurrence,
--- a/packages/domain/src/jobs/obsolete-run.ts
+++ b/packages/domain/src/jobs/obsolete-run.ts
@@ -5,7 +5,7 @@
 /** Why a run is obsolete. */
 export type ObsoleteReason = 'over' | 'done' | 'broken_gang';
 
-/** Returns why a run is obsolete: its job is finished, its task is done by a copy, or its gang lacks a member. */
+/** Returns why a run is obsolete: its job is finished, a copy completed its task, or its gang is broken. */
 export function obsoleteReasonOf(run: Run): ObsoleteReason | undefined {
   const { task } = run;
   if (isFinished(task.step.occurrence.job)) {
--- a/packages/domain/src/jobs/order.ts
+++ b/packages/domain/src/jobs/order.ts
@@ -36,11 +36,11 @@
  * Returns the steps with tasks that may start, in scheduling order: by priority number, and within a priority
  * batch tasks (those that end by themselves) before long-running ones.
  *
- * Batch occurrences that have started go first, by value per outstanding work, so that few are left half done.
- * The others are ordered by the best outcome still possible, and the newest first. Under overload their size
- * therefore does not matter, and a steady supply of small ones cannot starve large ones. It also means that an
- * occurrence starts with most of its time left; ordered by latest possible start, all would start at the last
- * moment and most would end late.
+ * Batch occurrences that have started go first, by value per outstanding work, so that few are left half
+ * done. The others are ordered by the best outcome still possible, and the newest first. Under overload their
+ * size therefore does not matter, and a steady supply of small ones cannot starve large ones. It also means
+ * that an occurrence starts with most of its time left; ordered by latest possible start, all would start at
+ * the last moment and most would end late.
  *
  * Long-running occurrences are ordered by age, the oldest first, since they lose no value by waiting.
  */
@@ -96,7 +96,7 @@
     : OUTLOOK_ORDER[a.outlook] - OUTLOOK_ORDER[b.outlook] || compareByAge(b, a);
 }
 
-/** Sorts the oldest first; a new leader first sees all jobs at once, so that their order of arrival decides. */
+/** Sorts the oldest first; a new leader first sees all jobs at once, so their order of arrival decides. */
 function compareByAge(a: Candidate, b: Candidate): number {
   return a.since - b.since || arrivalOf(a) - arrivalOf(b);
 }
--- a/packages/domain/src/jobs/over-target.ts
+++ b/packages/domain/src/jobs/over-target.ts
@@ -2,7 +2,7 @@
 import type { Instant, Millis } from '../core/time.js';
 import type { Run } from './job.js';
 
-/** Fraction of the target below which a reading ends a span: readings are assumed to be off by a fifth at most. */
+/** Fraction of the target below which a reading ends a span, since readings may be off by up to a fifth. */
 const CLEARLY_BELOW_TARGET = 0.8;
 /** Time without a reading above the target that ends a span: three reports of 350 ms. */
 const SETTLE_MS: Millis = 1_200;
@@ -16,10 +16,10 @@
 
 /**
  * Tracks for how long tasks have been over their targets. If a tail is slightly above its target, some of its
- * readings are below, and must not restart the count. Users tolerate 4 s: a task is disturbed for 2.9 s at most,
- * against up to 4.5 s if every reading below the target ended a span (24,000 simulated cases with readings off
- * by up to a fifth, and one case that shows the fault). In exchange, about 0.01 less of the value of fillers' work
- * is served.
+ * readings are below, and must not restart the count. Users tolerate 4 s: a task is disturbed for 2.9 s at
+ * most, against up to 4.5 s if every reading below the target ended a span (24,000 simulated cases with
+ * readings off by up to a fifth, and one case that shows the fault). In exchange, about 0.01 less of the
+ * value of fillers' work is served.
  */
 export class OverTargetTracker {
   private readonly spans = new WeakMap<Run, OverTargetSpan>();
--- a/packages/domain/src/jobs/placement.ts
+++ b/packages/domain/src/jobs/placement.ts
@@ -25,7 +25,7 @@
 /** A worker that may be given tasks. */
 export interface PlanWorker {
   readonly info: WorkerInfo;
-  /** Whether it may run several batch tasks at once; an untrusted worker gets one at a time, to prove itself. */
+  /** Whether it may run several batch tasks at once; an untrusted one gets one at a time, to prove itself. */
   readonly trusted: boolean;
 }
 
@@ -104,7 +104,7 @@
   return missingResource(worker.info, load, task.step.spec);
 }
 
-/** Tells whether a batch task (one that ends by itself) is running; its end will show whether the worker is healthy. */
+/** Tells whether a task that ends by itself is running; its end will show whether the worker is healthy. */
 function hasBatchRun({ runs }: WorkerRuns): boolean {
   return [...runs.values()].some(({ task }) => !task.step.spec.lasting);
 }
@@ -131,7 +131,7 @@
   return isFree ? undefined : 'spread';
 }
 
-/** Fraction of its requested processors that a serving task is assumed to use, when fillers share the rest. */
+/** Fraction of its requested processors that a serving task is assumed to use; fillers share the rest. */
 const ASSUMED_SERVING_USE = 0.5;
 
 /** Tells whether a task of the step fits on a worker. */
@@ -166,7 +166,7 @@
   return capacity.cpuMilli - load.cpuMilli;
 }
 
-/** Returns the processors left for fillers, which do not count against capacity but share what the others don't use. */
+/** Returns the processors left for fillers. They don't count against capacity but share what others leave. */
 function freeFillerCpuMilli(capacity: TaskSize, load: WorkerRuns): number {
   const unused = (1 - ASSUMED_SERVING_USE) * load.servingCpuMilli;
   return capacity.cpuMilli - load.cpuMilli + unused - load.fillerCpuMilli;
@@ -190,9 +190,9 @@
 const RANK_SCALE_CPU_MILLI = 128_000;
 
 /**
- * Rank penalty of each other serving step on a worker, unless both limit their tasks per worker: fillers have to
- * suit the step with the highest load. Separating steps serves 0.006 more of the value of callers' work (mean of
- * twelve simulated days on 45 workers, with and without).
+ * Rank penalty of each other serving step on a worker, unless both limit their tasks per worker: fillers have
+ * to suit the step with the highest load. Separating steps serves 0.006 more of the value of callers' work
+ * (mean of twelve simulated days on 45 workers, with and without).
  */
 const OTHER_STEP_COST = 0.3;
 
--- a/packages/domain/src/jobs/plan.test.ts
+++ b/packages/domain/src/jobs/plan.test.ts
@@ -237,7 +237,7 @@
   assert.deepEqual(runRound(input), ['j.0.0@b']);
 });
 
-/** Returns a round with a long-running task whose run has ended `how`, and batch tasks that fill the worker. */
+/** Returns a round with a long-running task whose run ended `how`, and batch tasks that fill the worker. */
 function endedLongRunning(how: 'failed' | 'lapsed'): PlanInput {
   const state = stateOf(
     testJob('lasting', [{ tasks: 1, lasting: true }]),
@@ -269,8 +269,8 @@
   assert.equal(runRound(input).length, 3);
 });
 
-// Guards against starvation on a saturated link: a steady supply of batch tasks used all of its bandwidth, and a
-// long-running task never started.
+// Guards against starvation on a saturated link: a steady supply of batch tasks used all of its bandwidth,
+// and a long-running task never started.
 test('a long-running task that never ran starts first once it has waited while the link is busy', () => {
   const planned = (isLinkBusy: boolean): string[][] => {
     const state = stateOf(
--- a/packages/domain/src/jobs/plan.ts
+++ b/packages/domain/src/jobs/plan.ts
@@ -38,7 +38,7 @@
   readonly time: PlanTime;
   /** Monotonic time at which this leader took over; it may not know how long tasks had waited before that. */
   readonly leadsSince: Instant;
-  /** Most starts decided in this round, not counting those of moving and of suspected tasks. */
+  /** Most starts decided in this round; those of moving and of suspected tasks count, but are not limited. */
   readonly maxStarts: number;
   /** Whether starts are delayed by the bandwidth of this leader's link, and not only by lack of capacity. */
   readonly isLinkBusy: boolean;
@@ -50,8 +50,9 @@
 export type ApplyStart = (decision: StartDecision) => void;
 
 /**
- * When capacity is reserved for the long-running tasks of a leaving worker. `urgent`: before all waiting tasks;
- * `patient`: after waiting batch tasks (those that end by themselves) and before waiting long-running ones.
+ * When capacity is reserved for the long-running tasks of a leaving worker. `urgent`: before all waiting
+ * tasks; `patient`: after waiting batch tasks (those that end by themselves) and before waiting long-running
+ * ones.
  */
 export type EvacuationUrgency = 'urgent' | 'patient';
 
@@ -59,10 +60,10 @@
 export type ReserveCapacity = (urgency: EvacuationUrgency) => void;
 
 /**
- * Decides the starts of one round and returns their number. Moving tasks, suspected tasks and long-running tasks
- * that have waited for too long start first. Then `reserveCapacity` is called for urgent tasks, and before the
- * first waiting long-running task for patient ones. Otherwise a steady supply of waiting tasks would take all
- * capacity that becomes free.
+ * Decides the starts of one round and returns their number. Moving tasks, suspected tasks and long-running
+ * tasks that have waited for too long start first. Then `reserveCapacity` is called for urgent tasks, and
+ * before the first waiting long-running task for patient ones. Otherwise a steady supply of waiting tasks
+ * would take all capacity that becomes free.
  */
 export function planStarts(
   input: PlanInput,
@@ -144,7 +145,7 @@
   return started;
 }
 
-/** Reserves workers for suspected tasks: nothing else starts there, so that they are free once their runs have ended. */
+/** Reserves workers for suspected tasks; nothing else starts there, so they are free once their runs end. */
 function reserveForSuspects(placement: PlacementInput): void {
   const { quarantine, workers } = placement;
   if (quarantine.waiting.length > 0) {
@@ -192,16 +193,16 @@
 }
 
 /**
- * Time after which a long-running task that has run before starts ahead of batch tasks, a steady supply of which
- * would otherwise take all capacity that becomes free. Under load such tasks were unavailable for 11 to 40 s;
- * their users allow 6 s, of which a start takes up to 2.
+ * Time after which a long-running task that has run before starts ahead of batch tasks, a steady supply of
+ * which would otherwise take all capacity that becomes free. Under load such tasks were unavailable for 11 to
+ * 40 s; their users allow 6 s, of which a start takes up to 2.
  */
 const LONG_RUNNING_WAIT_MS: Millis = 2_000;
 
 /**
- * Returns long-running tasks that have run before and have waited too long since, the longest wait first. While
- * the link is busy, those that never ran are included: a steady supply of batch tasks would otherwise use all of
- * its bandwidth.
+ * Returns long-running tasks that have run before and have waited too long since, the longest wait first.
+ * While the link is busy, those that never ran are included: a steady supply of batch tasks would otherwise
+ * use all of its bandwidth.
  */
 function overdueLongRunning({
   state,
@@ -273,14 +274,14 @@
 }
 
 /**
- * Returns the reservations of a round, initially those for tasks that are about to move. They are created once a
- * round, since each one compares all workers: with 40 of 624 workers leaving at once, and 100 slowed fillers that
- * each recreated them, a round took seconds and the leader lost its leadership.
+ * Returns the reservations of a round, initially those for tasks that are about to move. They are created
+ * once a round, since each one compares all workers: with 40 of 624 workers leaving at once, and 100 slowed
+ * fillers that each recreated them, a round took seconds and the leader lost its leadership.
  */
 export function reservationsOf(input: PlanInput): Reservations {
-  const known = reservationsByRound.get(input);
-  if (known !== undefined) {
-    return known;
+  const cached = reservationsByRound.get(input);
+  if (cached !== undefined) {
+    return cached;
   }
   const found = createReservations(input);
   reservationsByRound.set(input, found);
@@ -357,7 +358,7 @@
   return { started: tasks.length, isFull: false };
 }
 
-/** Returns a key that is equal for steps that fit on the same workers, apart from limits of tasks per worker. */
+/** Returns a key that is equal for steps that fit on the same workers, apart from limits per worker. */
 function placementKeyOf({ spec, occurrence }: Step): string {
   const { terms, id } = occurrence.job.spec;
   const { size, filler, label, image } = spec;
--- a/packages/domain/src/jobs/reservations.ts
+++ b/packages/domain/src/jobs/reservations.ts
@@ -27,7 +27,7 @@
     };
   }
 
-  /** Reserves capacity on the most suitable worker and returns its id, or undefined if the task fits nowhere. */
+  /** Reserves capacity on the most suitable worker and returns its id; undefined if the task fits nowhere. */
   reserve(task: Task): string | undefined {
     const worker = chooseWorker(this.remaining, task)?.info.id;
     if (worker === undefined) {
--- a/packages/domain/src/jobs/round-cost.test.ts
+++ b/packages/domain/src/jobs/round-cost.test.ts
@@ -1,8 +1,8 @@
 /*
- * Guards against planning rounds that take too long. With 40 of 624 workers about to leave at once, the leader
- * did not respond for over a second and lost its leadership: capacity is reserved in each round for every moving
- * task by comparing all workers, and this was repeated for every slowed filler. The cost of a round may grow with
- * tasks x workers, but not with moving tasks x slowed fillers x workers.
+ * Guards against planning rounds that take too long. With 40 of 624 workers about to leave at once, the
+ * leader did not respond for over a second and lost its leadership: capacity is reserved in each round for
+ * every moving task by comparing all workers, and this was repeated for every slowed filler. The cost of a
+ * round may grow with tasks x workers, but not with moving tasks x slowed fillers x workers.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
--- a/packages/domain/src/jobs/run-times.ts
+++ b/packages/domain/src/jobs/run-times.ts
@@ -24,9 +24,9 @@
 
 /** Creates run times that start from the averages of an earlier instance. */
 export function createRunTimes(
-  learnt: LearnedEstimates['runTimes'] = [],
+  learned: LearnedEstimates['runTimes'] = [],
 ): RunTimes {
-  const averages = new Map<string, Millis>(learnt);
+  const averages = new Map<string, Millis>(learned);
 
   return {
     expectedMs: step => {
--- a/packages/domain/src/jobs/serving-places.test.ts
+++ b/packages/domain/src/jobs/serving-places.test.ts
@@ -1,8 +1,8 @@
 /**
- * Guards against mixing serving tasks of different jobs on a worker. They use nine tenths of a fleet's processors,
- * and the load of a job rises and falls in all of its tasks together, independently of other jobs. Best-effort
- * fillers have to suit the highest load on their worker, and with four jobs on a worker one of them is nearly
- * always high.
+ * Guards against mixing serving tasks of different jobs on a worker. They use nine tenths of a fleet's
+ * processors, and the load of a job rises and falls in all of its tasks together, independently of other
+ * jobs. Best-effort fillers have to suit the highest load on their worker, and with four jobs on a worker one
+ * of them is nearly always high.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
--- a/packages/domain/src/jobs/size-class-shares.ts
+++ b/packages/domain/src/jobs/size-class-shares.ts
@@ -1,8 +1,9 @@
 /**
- * Reserves workers for large tasks that have less than their share of the capacity. Small tasks fit wherever a
- * little becomes free, so that a steady supply of them starves large ones, whatever their position in the order.
- * Competing tasks are therefore divided into size classes, and each class is entitled to a share of the capacity in
- * use in proportion to its demand. While a waiting class has less, workers are reserved for it from smaller tasks.
+ * Reserves workers for large tasks that have less than their share of the capacity. Small tasks fit wherever
+ * a little becomes free, so that a steady supply of them starves large ones, whatever their position in the
+ * order. Competing tasks are therefore divided into size classes, and each class is entitled to a share of
+ * the capacity in use in proportion to its demand. While a waiting class has less, workers are reserved for
+ * it from smaller tasks.
  */
 import { waitingTasks, type Run, type Step, type Task } from './job.js';
 import { addLoad, emptyWorkerRuns, type WorkerRuns } from './jobs-state.js';
@@ -49,7 +50,7 @@
     return group !== reservation.group || sizeClass >= reservation.sizeClass;
   }
 
-  /** Reserves workers for size classes below their share; `waiting` are steps with waiting tasks, in order. */
+  /** Reserves workers for size classes below their share; `waiting` are steps with waiting tasks in order. */
   reserve<W extends WorkerCapacity>(
     waiting: Iterable<Step>,
     running: Iterable<Run>,
@@ -84,7 +85,7 @@
     }
   }
 
-  /** Returns the workers that could run a task, those with the most processors not used by smaller tasks first. */
+  /** Returns workers that could run a task, first those with the most processors unused by smaller tasks. */
   private workersFor<W extends WorkerCapacity>(
     task: Task,
     { workers, loadOf, canRun }: ReservationInput<W>,
@@ -107,9 +108,9 @@
   }
 
   private longRunningLoadAt(worker: string, load: WorkerRuns): WorkerRuns {
-    const known = this.longRunningLoads.get(worker);
-    if (known !== undefined) {
-      return known;
+    const cached = this.longRunningLoads.get(worker);
+    if (cached !== undefined) {
+      return cached;
     }
     const found = longRunningLoadOf(load);
     this.longRunningLoads.set(worker, found);
@@ -141,9 +142,9 @@
 const taskClasses = new WeakMap<Step, TaskClass>();
 
 function taskClassOf(step: Step): TaskClass {
-  const known = taskClasses.get(step);
-  if (known !== undefined) {
-    return known;
+  const cached = taskClasses.get(step);
+  if (cached !== undefined) {
+    return cached;
   }
   const { service, priority } = step.occurrence.job.spec.terms;
   const { filler, size } = step.spec;
@@ -190,9 +191,9 @@
   const { group, sizeClass } = taskClassOf(step);
   const demandBySize = groups.get(group) ?? new Map<number, SizeDemand>();
   groups.set(group, demandBySize);
-  const known = demandBySize.get(sizeClass);
-  if (known !== undefined) {
-    return known;
+  const existing = demandBySize.get(sizeClass);
+  if (existing !== undefined) {
+    return existing;
   }
   const created = {
     sizeClass,
@@ -204,7 +205,10 @@
   return created;
 }
 
-/** Returns waiting size classes below their share, the largest first; not the smallest one, which fits anywhere. */
+/**
+ * Returns waiting size classes below their share, the largest first. The smallest class is left out, since it
+ * fits anywhere.
+ */
 function shortagesOf(demandBySize: DemandBySize): Shortage[] {
   const all = [...demandBySize.values()];
   const sumOf = (of: (demand: SizeDemand) => number): number =>
--- a/packages/domain/src/jobs/starved-jobs.test.ts
+++ b/packages/domain/src/jobs/starved-jobs.test.ts
@@ -1,7 +1,8 @@
 /*
- * Guards against starvation of large jobs under sustained overload of a queue. Ordered by value per outstanding
- * work, small jobs always overtook large ones: 0.19 of the next largest fifth of a queue were served, against 0.46
- * of all jobs. The users' target is that large jobs are served at least half as often as all jobs of their queue.
+ * Guards against starvation of large jobs under sustained overload of a queue. Ordered by value per
+ * outstanding work, small jobs always overtook large ones: 0.19 of the next largest fifth of a queue were
+ * served, against 0.46 of all jobs. The users' target is that large jobs are served at least half as often as
+ * all jobs of their queue.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -87,8 +88,9 @@
 
 /*
  * Guards against starvation of large tasks, which remained once the order of jobs was corrected: of a queue's
- * best-effort fillers, 0.22 of the largest quarter by processors were started, against 0.75 of the smallest. Small
- * tasks take all capacity that becomes free, and a large one never fits, whatever its position in the order.
+ * best-effort fillers, 0.22 of the largest quarter by processors were started, against 0.75 of the smallest.
+ * Small tasks take all capacity that becomes free, and a large one never fits, whatever its position in the
+ * order.
  */
 const UP_TO_HALF_WORKER_CORES = [1, 1, 2];
 const UP_TO_WHOLE_WORKER_CORES = [1, 2, 1, 4];
--- a/packages/domain/src/jobs/trend.test.ts
+++ b/packages/domain/src/jobs/trend.test.ts
@@ -67,8 +67,8 @@
   );
 });
 
-// Guards against NaN in learned estimates after serving tasks were unavailable for a while: a leader that had them
-// resigned every 2.5 s.
+// Guards against NaN in learned estimates after serving tasks were unavailable for a while: a leader that had
+// them resigned every 2.5 s.
 test('variances stay valid after long times without observations', () => {
   for (let seed = 1; seed <= 50; seed += 1) {
     const random = seededRandom(seed);
--- a/packages/domain/src/jobs/trend.ts
+++ b/packages/domain/src/jobs/trend.ts
@@ -58,7 +58,7 @@
     const grownRate = known.rateVariance + rateDrift * seconds;
     const cappedVariance = Math.min(variance, grown);
     const cappedRateVariance = Math.min(rateVariance, grownRate);
-    // The covariance is scaled like the variances: one too large for them would make later variances negative.
+    // The covariance is scaled like the variances: too large a one would make later variances negative.
     const scale = Math.sqrt(
       (cappedVariance / grown) * (cappedRateVariance / grownRate),
     );
--- a/packages/ports/src/http-errors.ts
+++ b/packages/ports/src/http-errors.ts
@@ -15,8 +15,8 @@
 }
 
 /**
- * Returns whether the connection was never established, so that nothing was sent. An established connection may
- * fail with the same codes after data was sent; `syscall` is then `read` or `write` instead of `connect`.
+ * Returns whether the connection was never established, so that nothing was sent. An established connection
+ * may fail with the same codes after data was sent; `syscall` is then `read` or `write` instead of `connect`.
  */
 export function neverConnected(err: unknown): boolean {
   const syscall = fieldOf(err, 'syscall') ?? 'connect';
--- a/packages/ports/src/jobs/job-log.ts
+++ b/packages/ports/src/jobs/job-log.ts
@@ -1,14 +1,14 @@
 /** Port to the log that stores the state of jobs. */
 
 /**
- * The streams of one shard of jobs: requests of callers, decisions of the leader, a summary that status requests
- * are answered from, and snapshots from which readers of the summary start.
+ * The streams of one shard of jobs: requests of callers, decisions of the leader, a summary that status
+ * requests are answered from, and snapshots from which readers of the summary start.
  */
 export type JobStream = 'inbox' | 'journal' | 'summary' | 'snapshot';
 
 /**
- * Fences and deduplicates the appends of one writer: the log refuses an epoch lower than the highest it has seen,
- * and answers a repeated recent append with its first result.
+ * Fences and deduplicates the appends of one writer: the log refuses an epoch lower than the highest it has
+ * seen, and answers a repeated recent append with its first result.
  */
 export interface WriterStamp {
   readonly writer: string;
--- a/packages/ports/src/jobs/peer-port.ts
+++ b/packages/ports/src/jobs/peer-port.ts
@@ -22,8 +22,9 @@
 }
 
 /**
- * Why a host refused to send a start: the batch is addressed to another process, the deadline has passed, the host
- * does not follow the log or is the leader itself, it knows no such open job, or it knows a later leader.
+ * Why a host refused to send a start: the batch is addressed to another process, the deadline has passed, the
+ * host does not follow the log or is the leader itself, it knows no such open job, or it knows a later
+ * leader.
  */
 export type RelayRefusal =
   'other_process' | 'late' | 'not_following' | 'unknown_job' | 'deposed';
@@ -64,8 +65,8 @@
 /** Client of other hosts. */
 export interface PeerPort {
   /**
-   * Appends records to the inbox through the leader at `address`, which batches them with those of other hosts.
-   * Returns `refused` if that host is not the leader, and `unknown` if it does not answer.
+   * Appends records to the inbox through the leader at `address`, which batches them with those of other
+   * hosts. Returns `refused` if that host is not the leader, and `unknown` if it does not answer.
    */
   append(
     address: string,
--- a/packages/ports/src/jobs/worker-port.ts
+++ b/packages/ports/src/jobs/worker-port.ts
@@ -112,8 +112,8 @@
     takeLate: (res: PollResult) => void,
   ): Promise<PollResult>;
   /**
-   * Returns whether the connection that carried the last poll's response is still open. A connection closes when
-   * its worker ends, so only then the next poll is certain to reach the same incarnation.
+   * Returns whether the connection that carried the last poll's response is still open. A connection closes
+   * when its worker ends, so only then the next poll is certain to reach the same incarnation.
    */
   isConnected(worker: WorkerAddress): boolean;
   /** Closes the connections to a removed worker. */
--- a/packages/ports/src/log-service.ts
+++ b/packages/ports/src/log-service.ts
@@ -31,8 +31,8 @@
 export interface LogService {
   /**
    * Appends one entry and returns its offset. Fails with `overloaded` over the append rate, otherwise with
-   * `log_unavailable`: its outcome is `not_run` only if the request certainly had no effect, and `unknown` if the
-   * entry may have been stored.
+   * `log_unavailable`: its outcome is `not_run` only if the request certainly had no effect, and `unknown` if
+   * the entry may have been stored.
    */
   append(stream: string, payload: string): Promise<Result<number, AppError>>;
   /**
--- a/packages/stand-ins/src/jobs/history.fixture.test.ts
+++ b/packages/stand-ins/src/jobs/history.fixture.test.ts
@@ -26,7 +26,7 @@
   readonly history = new JobHistory(() => this.now);
   readonly faults = new FaultTimes();
 
-  /** Creates a fault-free history of one job, accepted at 0, and two workers with capacity for two tasks each. */
+  /** Creates a fault-free history of one job, accepted at 0, and two workers that hold two tasks each. */
   constructor(steps: SubmittedStep[], more: Partial<SubmittedJob> = {}) {
     this.history.faults = this.faults;
     this.history.jobs.set(JOB, {
--- a/packages/stand-ins/src/jobs/log-partition.ts
+++ b/packages/stand-ins/src/jobs/log-partition.ts
@@ -75,7 +75,7 @@
   }
 }
 
-/** Returns the result for a fenced, repeated or out-of-sequence stamp; undefined for the next one in sequence. */
+/** Returns the result for a fenced, repeated or out-of-sequence stamp; undefined for the next in sequence. */
 function answerKnownStamp(
   known: Writer,
   { epoch, sequence }: WriterStamp,
--- a/packages/stand-ins/src/jobs/memory-fleet.ts
+++ b/packages/stand-ins/src/jobs/memory-fleet.ts
@@ -26,7 +26,7 @@
 /** Range of the random part of that delay, in milliseconds. */
 const DELAY_SPAN_MS = 10_000;
 
-/** The workers of a test, with injected faults. Workers are named by their machine, which is also their address. */
+/** Workers of a test, with injected faults; a worker's machine name is its address. */
 export class MemoryFleet {
   /** Fraction of orders that are not answered and arrive late, at the incarnation that has the id by then. */
   delayedOrderShare = 0;
@@ -128,9 +128,9 @@
 
   /** Freezes the registry entry of an address for `span` milliseconds. */
   freezeEntry(machine: string, span: number): void {
-    const held = this.entries().find(({ address }) => address === machine);
-    if (held !== undefined) {
-      this.frozenEntries.set(machine, held);
+    const entry = this.entries().find(({ address }) => address === machine);
+    if (entry !== undefined) {
+      this.frozenEntries.set(machine, entry);
       this.time.schedule(span, () => this.frozenEntries.delete(machine));
     }
   }
@@ -169,12 +169,16 @@
         })),
       poll: (to, order, takeLate) => {
         answered.delete(to.id);
-        const found = this.sendPoll(host, to, async worker => {
+        const response = this.sendPoll(host, to, async worker => {
           const res = await worker.poll(order);
           answered.set(to.id, worker);
           return res;
         });
-        return this.withTimeout(found, order.waitMs + order.slackMs, takeLate);
+        return this.withTimeout(
+          response,
+          order.waitMs + order.slackMs,
+          takeLate,
+        );
       },
       isConnected: to => {
         const worker = answered.get(to.id);
@@ -271,16 +275,16 @@
 
   /** Fails a poll after its timeout; a later response is passed to `takeLate`. */
   private async withTimeout(
-    found: Promise<PollResult>,
+    response: Promise<PollResult>,
     timeoutMs: number,
     takeLate: (res: PollResult) => void,
   ): Promise<PollResult> {
     const timedOut = this.pause(timeoutMs);
-    const first = await Promise.race([found, timedOut]);
+    const first = await Promise.race([response, timedOut]);
     if (first !== undefined) {
       return first;
     }
-    void found.then(res => {
+    void response.then(res => {
       if (res.kind !== 'failed') {
         takeLate(res);
       }
--- a/packages/stand-ins/src/jobs/memory-job-log.ts
+++ b/packages/stand-ins/src/jobs/memory-job-log.ts
@@ -1,4 +1,4 @@
-/** In-memory log of jobs, with injected faults: delayed appends, lost responses and unavailability per host. */
+/** In-memory log of jobs with injected faults: delayed appends, lost responses, unavailability per host. */
 import type {
   Clock,
   Instant,
--- a/packages/stand-ins/src/jobs/placement-guarantees.ts
+++ b/packages/stand-ins/src/jobs/placement-guarantees.ts
@@ -12,7 +12,7 @@
   type WorkerTrace,
 } from './history-facts.js';
 
-/** Time after a worker announced that it is leaving in which runs may still start there, by the specification. */
+/** Time after a worker announced its departure in which runs may start there, by the specification. */
 const LEAVING_DELAY_MS: Millis = 2_000;
 
 /** Time after which a reduced capacity has to be respected, by the specification: recovery and one report. */
@@ -36,7 +36,7 @@
   });
 }
 
-/** Returns the capacity of a worker minus that of the given runs; the CPU of best-effort fillers is not counted. */
+/** Returns a worker's capacity minus that of the given runs; the CPU of best-effort fillers doesn't count. */
 export function freeCapacity(
   facts: HistoryFacts,
   { capacity }: WorkerTrace,
@@ -68,7 +68,7 @@
     : [];
 }
 
-/** Returns the largest capacity that hosts may assume at a time, since a reduction takes effect with a delay. */
+/** Returns the largest capacity that hosts may assume at a time; a reduction takes effect with a delay. */
 function largestCapacityAt(
   { capacity, resizes }: WorkerTrace,
   at: Instant,
@@ -87,7 +87,7 @@
   };
 }
 
-/** Checks the capacity of a worker at a start; runs that are being stopped and runs of delayed orders count, too. */
+/** Checks the capacity of a worker at a start; runs being stopped and runs of delayed orders count, too. */
 function overCapacity(
   facts: HistoryFacts,
   worker: WorkerTrace,
--- a/packages/stand-ins/src/jobs/response-guarantees.ts
+++ b/packages/stand-ins/src/jobs/response-guarantees.ts
@@ -102,7 +102,7 @@
   return Math.min(Infinity, ...spent);
 }
 
-/** Returns the last worker crash caused by a job before it was reported as failed; it can't have finished earlier. */
+/** Returns the last worker crash by a job before it was reported as failed; it can't have ended earlier. */
 function abandonedAt(
   { statusReports, runs }: HistoryFacts,
   id: string,
--- a/packages/stand-ins/src/jobs/run-guarantees.test.ts
+++ b/packages/stand-ins/src/jobs/run-guarantees.test.ts
@@ -107,15 +107,15 @@
 
 test('stopped runs and failures of a long-running task do not count as attempts', () => {
   const scenario = new Scenario([ONE]);
-  const lasting = new Scenario([{ ...ONE, lasting: true }]);
+  const longRunning = new Scenario([{ ...ONE, lasting: true }]);
   for (const run of [1, 2, 3]) {
     scenario.startRun(run * 100, task(), run);
     scenario.endRun(run * 100 + 50, task(), run, 'stopped');
-    lasting.startRun(run * 100, task(), run);
-    lasting.endRun(run * 100 + 50, task(), run, 'failed');
+    longRunning.startRun(run * 100, task(), run);
+    longRunning.endRun(run * 100 + 50, task(), run, 'failed');
   }
   assert.deepEqual(scenario.violatedGuarantees(), []);
-  assert.deepEqual(lasting.violatedGuarantees(), []);
+  assert.deepEqual(longRunning.violatedGuarantees(), []);
 });
 
 test('a run that starts over 3 s after the cancellation is a violation', () => {
--- a/packages/stand-ins/src/jobs/run-guarantees.ts
+++ b/packages/stand-ins/src/jobs/run-guarantees.ts
@@ -34,12 +34,12 @@
   const [first] = runs;
   const step = first && stepOf(facts, first.task);
   const copies = step?.speculative === true;
-  const lasting = step?.lasting === true;
+  const isLongRunning = step?.lasting === true;
   return [
     ...(copies ? [] : overlappingRuns(name, runs)),
     ...runsAfterDone(name, runs, copies),
     // The failures of a long-running task are not limited.
-    ...(lasting ? [] : excessAttempts(facts, name, runs, copies)),
+    ...(isLongRunning ? [] : excessAttempts(facts, name, runs, copies)),
     ...excessCrashes(name, runs),
     ...startsAfterCancel(facts, name, runs),
     ...stepsOutOfOrder(facts, name, runs),
@@ -78,7 +78,7 @@
     : [violation('finish_once', name, [done, again])];
 }
 
-/** Returns runs beyond the maximum number of attempts; speculative copies of the last attempt may fail, too. */
+/** Returns runs beyond the maximum attempts; speculative copies of the last attempt may fail, too. */
 function excessAttempts(
   { jobs }: HistoryFacts,
   name: string,
--- a/packages/stand-ins/src/users-platform/store-server.ts
+++ b/packages/stand-ins/src/users-platform/store-server.ts
@@ -1,4 +1,4 @@
-/** Test double of the platform's store: a log over HTTP, with keyed topics that keep the latest record of each key. */
+/** Test double of the platform's store: a log over HTTP, with topics that keep the latest record by key. */
 import type { AppendResult, WriterStamp } from '@paddlewind/ports/jobs';
 
 import type { Listener } from '../http/json-server.js';
