--- a/packages/domain/src/jobs/evacuation.test.ts
+++ b/packages/domain/src/jobs/evacuation.test.ts
@@ -41,7 +41,7 @@
   assert.equal(started, 2);
 });
 
-/** Evacuates the first long-running task with `urgency`; returns `job.index` of the starts in two places. */
+/** Evacuates a long-running task with `urgency`; returns `job.index` of each start on a worker for two. */
 function startsWhileLeaving(
   urgency: EvacuationUrgency,
   moving: readonly number[],
--- a/packages/domain/src/jobs/job-value.test.ts
+++ b/packages/domain/src/jobs/job-value.test.ts
@@ -42,11 +42,11 @@
 test('of jobs that have not started the newest goes first, whatever its size', () => {
   const wide = testJob('wide', [{ tasks: 8 }]);
   const small = testJob('small', [{ tasks: 2 }]);
-  const asked = [
+  const arrivals = [
     [wide, small],
     [small, wide],
   ] as const;
-  for (const [first, newest] of asked) {
+  for (const [first, newest] of arrivals) {
     const { id } = newest;
     assert.deepEqual(firstStartedJobs(stateOf(first, newest), 2), [id, id]);
   }
--- a/packages/domain/src/jobs/plan-choice.test.ts
+++ b/packages/domain/src/jobs/plan-choice.test.ts
@@ -28,7 +28,7 @@
 ] as const;
 /** Number of reports before a filler starts, and after it. */
 const REPORT_COUNT = 6;
-/** Tail latency that shows a filler to disturb, and leaves headroom for a harmless one. */
+/** Tail latency that shows that a filler disturbs, and leaves headroom for a harmless one. */
 const DISTURBED_TAIL_MS = 24;
 const SEEDS = 40;
 const WORKERS = 12;
--- a/packages/ports/src/adapters/http-client.ts
+++ b/packages/ports/src/adapters/http-client.ts
@@ -1,4 +1,4 @@
-/** JSON calls to the platform with timeouts, bounded bodies and reported outcomes. */
+/** JSON calls to the platform with timeouts, bounded bodies and reliable outcomes. */
 import { parseJson, type Outcome } from '@paddlewind/domain';
 import { Agent, request, type Dispatcher } from 'undici';
 
--- a/packages/ports/src/jobs/peer-port.ts
+++ b/packages/ports/src/jobs/peer-port.ts
@@ -78,6 +78,6 @@
   relay(
     address: string,
     batch: RelayBatch,
-    watch: RelayObserver,
+    observer: RelayObserver,
   ): Promise<RelayCallResult>;
 }
--- a/packages/stand-ins/src/jobs/memory-job-log.ts
+++ b/packages/stand-ins/src/jobs/memory-job-log.ts
@@ -108,10 +108,10 @@
     this.streams[stream].firstOffset = offset;
   }
 
-  /** Calls `seen` for each read until `stop` is called. */
-  watchReads(seen: ReadObserver): { readonly stop: () => void } {
-    this.readObservers.add(seen);
-    return { stop: () => this.readObservers.delete(seen) };
+  /** Calls `observer` for each read until `stop` is called. */
+  watchReads(observer: ReadObserver): { readonly stop: () => void } {
+    this.readObservers.add(observer);
+    return { stop: () => this.readObservers.delete(observer) };
   }
 
   /** Returns all records of a stream. */
@@ -194,8 +194,8 @@
     from: number,
     { waitMs, maxBytes }: ReadLimits,
   ): Promise<ReadResult> {
-    this.readObservers.forEach(seen => {
-      seen(host, name);
+    this.readObservers.forEach(observer => {
+      observer(host, name);
     });
     const mode = this.modeOf(host, name);
     if (mode !== 'up' && mode !== 'losing') {
--- a/packages/stand-ins/src/users-platform/store-server.ts
+++ b/packages/stand-ins/src/users-platform/store-server.ts
@@ -93,9 +93,9 @@
 
   private partition(topic: string, part: string): LogPartition {
     const key = `${topic}/${part}`;
-    const known = this.partitions.get(key);
-    if (known !== undefined) {
-      return known;
+    const existing = this.partitions.get(key);
+    if (existing !== undefined) {
+      return existing;
     }
     const created = new LogPartition();
     this.partitions.set(key, created);
