--- a/packages/domain/src/jobs/job-value.test.ts
+++ b/packages/domain/src/jobs/job-value.test.ts
@@ -1,7 +1,7 @@
 /**
- * Order of jobs under overload, with wide and small jobs whose value is 0.3 of a mean job plus 0.7 by their work.
- * Ordered by latest possible start, each would start at the last moment and most would end late; ordered by value
- * per work alone, small jobs would starve wide ones.
+ * Order of jobs under overload, with wide and small jobs whose value is 0.3 of a mean job plus 0.7 by their
+ * work. Ordered by latest possible start, each would start at the last moment and most would end late;
+ * ordered by value per work alone, small jobs would starve wide ones.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -42,11 +42,11 @@
 test('of jobs that have not started the newest goes first, whatever its size', () => {
   const wide = testJob('wide', [{ tasks: 8 }]);
   const small = testJob('small', [{ tasks: 2 }]);
-  const asked = [
+  const arrivals = [
     [wide, small],
     [small, wide],
   ] as const;
-  for (const [first, newest] of asked) {
+  for (const [first, newest] of arrivals) {
     const { id } = newest;
     assert.deepEqual(firstStartedJobs(stateOf(first, newest), 2), [id, id]);
   }
--- a/packages/stand-ins/src/users-platform/store-server.ts
+++ b/packages/stand-ins/src/users-platform/store-server.ts
@@ -1,4 +1,4 @@
-/** Test double of the platform's store: a log over HTTP, with keyed topics that keep the latest record of each key. */
+/** Test double of the platform's store: a log over HTTP, with topics that keep the latest record by key. */
 import type { AppendResult, WriterStamp } from '@paddlewind/ports/jobs';
 
 import type { Listener } from '../http/json-server.js';
@@ -93,9 +93,9 @@
 
   private partition(topic: string, part: string): LogPartition {
     const key = `${topic}/${part}`;
-    const known = this.partitions.get(key);
-    if (known !== undefined) {
-      return known;
+    const existing = this.partitions.get(key);
+    if (existing !== undefined) {
+      return existing;
     }
     const created = new LogPartition();
     this.partitions.set(key, created);
