--- a/packages/daemon/src/job-host/caller-server.ts
+++ b/packages/daemon/src/job-host/caller-server.ts
@@ -66,10 +66,10 @@
     req: IncomingMessage,
     res: ServerResponse,
   ): Promise<void> {
-    const begunAt = options.clock();
+    const startedAt = options.clock();
     const answer = (found: CallerAnswer, last: boolean): void => {
       send(res, found, last);
-      const span = options.clock() - begunAt;
+      const span = options.clock() - startedAt;
       options.onAnswered?.(req.method ?? '', found.status, span);
     };
     try {
--- a/packages/daemon/src/job-host/claims-read-late.test.ts
+++ b/packages/daemon/src/job-host/claims-read-late.test.ts
@@ -1,6 +1,6 @@
 /*
- * Guards against leases that are taken for expired too early after a claim. The claim's writer last
- * read the journal before it sent the claim. By the time the claim is in the journal, the former
+ * Guards against leases that count as expired too early after a claim. The claim's writer last read
+ * the journal before it sent the claim. By the time the claim is in the journal, the former
  * leader may have written more, other leaders may have led (a host whose claim was refused skips
  * epochs), and a copy that starts with a trimmed journal does not know which leader reached a
  * worker.
--- a/packages/daemon/src/job-host/crashing-deployment.fixture.test.ts
+++ b/packages/daemon/src/job-host/crashing-deployment.fixture.test.ts
@@ -14,7 +14,7 @@
 export const SEEDS = [1, 2, 3];
 /** How long the deployment is observed after such a job was submitted. */
 export const OBSERVATION_MS = 60_000;
-/** Maximum number of workers that a task may crash: three, and two further starts. */
+/** Maximum number of workers that a task may crash: callers accept three, plus two more starts. */
 export const MAX_CRASHES = 5;
 /** Time from a crash until the worker is back. */
 export const WORKER_RESTART_MS = 2_500;
@@ -34,14 +34,14 @@
 /** Starts six hosts, six workers of four cores and the long-running job. */
 export async function deploymentWithNeighbours(
   seed: number,
-  revivalMs?: Millis,
+  workerRestartMs?: Millis,
   keepsIds = false,
 ): Promise<Simulation> {
   const site = new Simulation(
     seed,
-    revivalMs === undefined
+    workerRestartMs === undefined
       ? { keepsIds }
-      : { workerRestartMs: revivalMs, keepsIds },
+      : { workerRestartMs, keepsIds },
   );
   site.history.faults = new FaultTimes();
   WORKERS.forEach(name => {
--- a/packages/daemon/src/job-host/fuzz-plan.fixture.test.ts
+++ b/packages/daemon/src/job-host/fuzz-plan.fixture.test.ts
@@ -160,7 +160,7 @@
   fc.record({
     at: fc.integer({ min: 500, max: FAULT_PERIOD_MS }),
     worker,
-    awayMs: fc.constantFrom(0, 5, 30, 200, 1_500),
+    downtimeMs: fc.constantFrom(0, 5, 30, 200, 1_500),
   }),
   { minLength: 1, maxLength: 6 },
 );
--- a/packages/daemon/src/job-host/job-host.fuzz.test.ts
+++ b/packages/daemon/src/job-host/job-host.fuzz.test.ts
@@ -276,13 +276,13 @@
 /** Restarts a worker at once or soon. */
 function scheduleRestart(
   site: Simulation,
-  { at, worker, awayMs }: QuickRestart,
+  { at, worker, downtimeMs }: QuickRestart,
 ): void {
   const from = site.time.clock() + at;
-  site.history.faults?.add({ from, until: from + awayMs, of: 'workers' });
+  site.history.faults?.add({ from, until: from + downtimeMs, of: 'workers' });
   site.time.schedule(at, () => {
     site.fleet.crash(worker);
-    site.time.schedule(awayMs, () => {
+    site.time.schedule(downtimeMs, () => {
       if (site.fleet.at(worker) === undefined) {
         addWorker(site, worker);
       }
--- a/packages/daemon/src/job-host/loop-delay.ts
+++ b/packages/daemon/src/job-host/loop-delay.ts
@@ -38,7 +38,7 @@
  * the time for which the loop was blocked, by at most `LOOP_SAMPLE_INTERVAL_MS`.
  */
 export function monitorEventLoop(options: LoopMonitorOptions): () => void {
-  const { clock, schedule, log, onSample: delayed } = options;
+  const { clock, schedule, log, onSample } = options;
   let warnedAt = -Infinity;
   let suppressed = 0;
   let cancel = scheduleSample();
@@ -48,7 +48,7 @@
     return schedule(LOOP_SAMPLE_INTERVAL_MS, () => {
       const now = clock();
       const delay = Math.max(0, now - dueAt);
-      delayed(delay);
+      onSample(delay);
       if (delay > LOOP_DELAY_WARNING_MS) {
         warn(delay, now);
       }
--- a/packages/daemon/src/job-host/model/steps.fixture.test.ts
+++ b/packages/daemon/src/job-host/model/steps.fixture.test.ts
@@ -244,7 +244,7 @@
   lead: LeaderState,
   { releases, epochs }: Bounds,
 ): Step[] {
-  // The last possible leader is not replaced.
+  // The last leader within the bounds is never replaced, so it does not release.
   const mayRelease = releases && lead.epoch < epochs;
   return mayRelease && lead.releasedAt < 0
     ? [
--- a/packages/daemon/src/job-host/relay/full-link.test.ts
+++ b/packages/daemon/src/job-host/relay/full-link.test.ts
@@ -76,8 +76,8 @@
   }
 });
 
-// Other hosts can help only while the link is not full of payloads, which the leader sends when
-// they did not help.
+// If the leader sent all payloads at once after other hosts failed to send them, its link would be
+// full, and the other hosts could not be asked to help any more.
 test('starts are sent at the pace of the link if no other host can send them', async () => {
   for (const seed of SEEDS) {
     const site = new Simulation(seed, {
--- a/packages/daemon/src/job-host/relay/link-budget.test.ts
+++ b/packages/daemon/src/job-host/relay/link-budget.test.ts
@@ -27,7 +27,7 @@
     await time.advance(50);
     admitted += budget.tryTake(1_000) ? 1 : 0;
   }
-  // The second that was saved up, at twenty a second.
+  // The bytes saved up last for one second, in which twenty starts are attempted.
   assert.ok(admitted <= 20, `${admitted} of 200`);
 });
 
--- a/packages/daemon/src/job-host/relay/link-pacer.test.ts
+++ b/packages/daemon/src/job-host/relay/link-pacer.test.ts
@@ -19,10 +19,10 @@
   count: number,
   bytes: number,
 ): Promise<(number | undefined)[]> {
-  const cameAt = time.clock();
+  const requestedAt = time.clock();
   const waits = Array.from({ length: count }, async () => {
     const hasTurn = await pacer.admit(bytes);
-    return hasTurn ? Math.round(time.clock() - cameAt) : undefined;
+    return hasTurn ? Math.round(time.clock() - requestedAt) : undefined;
   });
   await time.advance(5_000);
   return Promise.all(waits);
--- a/packages/daemon/src/job-host/relay/relay-batches.ts
+++ b/packages/daemon/src/job-host/relay/relay-batches.ts
@@ -50,8 +50,8 @@
   }
 
   /**
-   * Sends a start through another host, batched with others; undefined if only hosts that were
-   * tried before are left.
+   * Sends a start through another host, batched with others; undefined if each usable host was
+   * tried before or does not reach the worker.
    */
   send(
     start: RelayedOrder['start'],
@@ -77,7 +77,10 @@
     });
   }
 
-  /** Sends all waiting starts through one host, except those that the host was given before. */
+  /**
+   * Sends all waiting starts through the same host, except those that it was given before or whose
+   * worker it does not reach; these go through the next host.
+   */
   private flush(): void {
     const batch = this.pendingStarts;
     this.pendingStarts = [];
@@ -106,8 +109,8 @@
 
   /**
    * Returns the hosts that may be given starts, fast ones first, then the least busy. If most hosts
-   * are in backoff at once, the cause is probably on this host, such as a full link. They are used
-   * all the same, since nothing else relieves the link.
+   * are in backoff at once, the cause is probably on this host, such as a full link. Those that
+   * can send starts are used all the same, since nothing else relieves the link.
    */
   private usableHosts(): RelayHost[] {
     const available = [...this.hosts()].filter(
--- a/packages/daemon/src/job-host/relay/relay-host.ts
+++ b/packages/daemon/src/job-host/relay/relay-host.ts
@@ -43,9 +43,9 @@
 }
 
 /**
- * Why a host is in backoff: `unable` to send starts; `silent`, without an answer in time;
- * `impaired`, so behind the log or out of reach of workers. All but the first may have a cause that
- * all hosts share, such as a slow link of the leader.
+ * Why a host is in backoff: `unable` to send starts; `silent` if it did not answer in time;
+ * `impaired` if it is behind the log or does not reach workers. All but the first may have a cause
+ * that all hosts share, such as a slow link of the leader.
  */
 type BackoffKind = 'unable' | 'silent' | 'impaired';
 
@@ -148,8 +148,8 @@
   }
 
   /**
-   * Asks for the process on the host, unless it has answered recently, so that no start waits for a
-   * host that may be unavailable.
+   * Asks for the process on the host, unless the host is usable and has answered recently, so that
+   * no start waits for a host that may be unavailable.
    */
   async identify(): Promise<void> {
     const { ctx, peers, address } = this.options;
--- a/packages/daemon/src/job-host/relay/relay-window.ts
+++ b/packages/daemon/src/job-host/relay/relay-window.ts
@@ -14,8 +14,9 @@
 /** Factor by which the window shrinks when a start is accepted late. */
 const SHRINK_FACTOR = 0.7;
 /**
- * Late starts within this time count as one event, unless some were accepted promptly in between: a
- * queue on the leader's own link delays all of them.
+ * A late start does not shrink the window within this time after the window last shrank, since the
+ * queue on the link is the same, nor after a start that was accepted promptly: a queue on the
+ * leader's own link delays all starts.
  */
 const SAME_EVENT_MS: Millis = 300;
 /** Time after the last late start for which starts count as waiting for the link. */
--- a/packages/daemon/src/job-host/relay/relayed-starts.ts
+++ b/packages/daemon/src/job-host/relay/relayed-starts.ts
@@ -27,7 +27,7 @@
 import { RelayWindow } from './relay-window.js';
 import type { StartLimits, StartResult, StartSender } from './start-sender.js';
 
-/** Interval at which standbys are looked up and asked for their process. */
+/** Interval at which standbys are looked up and asked which process runs on them. */
 const IDENTIFY_INTERVAL_MS: Millis = 500;
 /** Size of a start that the leader sends itself, without the job's payload. */
 const DIRECT_START_BYTES = 300;
--- a/packages/daemon/src/job-host/relay/relaying-hosts.test.ts
+++ b/packages/daemon/src/job-host/relay/relaying-hosts.test.ts
@@ -36,10 +36,14 @@
   }
 }
 
-function killAndRestart(site: Simulation, name: string, awayMs: Millis): void {
-  recordFault(site, name, awayMs);
+function killAndRestart(
+  site: Simulation,
+  name: string,
+  downtimeMs: Millis,
+): void {
+  recordFault(site, name, downtimeMs);
   site.kill(name);
-  site.time.schedule(awayMs, () => site.startHost(name));
+  site.time.schedule(downtimeMs, () => site.startHost(name));
 }
 
 test('all jobs are done while other hosts send the starts', async () => {
@@ -51,10 +55,10 @@
 
 test('all jobs are done although hosts that send starts are killed', async () => {
   for (const seed of SEEDS) {
-    const site = await runWithRelays(seed, playing =>
-      disturbRepeatedly(playing, turn => {
-        const relays = relaysOf(playing);
-        killAndRestart(playing, relays[turn % relays.length] ?? '', 1_500);
+    const site = await runWithRelays(seed, simulation =>
+      disturbRepeatedly(simulation, turn => {
+        const relays = relaysOf(simulation);
+        killAndRestart(simulation, relays[turn % relays.length] ?? '', 1_500);
       }),
     );
     assertAllServed(site, `seed ${seed}`);
@@ -63,10 +67,10 @@
 
 test('all jobs are done although all hosts that send starts are lost at once', async () => {
   for (const seed of SEEDS) {
-    const site = await runWithRelays(seed, async playing => {
-      await playing.wait(4_000);
-      for (const name of relaysOf(playing)) {
-        killAndRestart(playing, name, 6_000);
+    const site = await runWithRelays(seed, async simulation => {
+      await simulation.wait(4_000);
+      for (const name of relaysOf(simulation)) {
+        killAndRestart(simulation, name, 6_000);
       }
     });
     assertAllServed(site, `seed ${seed}`);
@@ -75,11 +79,11 @@
 
 test('all jobs are done although hosts that send starts freeze and resume', async () => {
   for (const seed of SEEDS) {
-    const site = await runWithRelays(seed, playing =>
-      disturbRepeatedly(playing, () => {
-        for (const name of relaysOf(playing)) {
-          recordFault(playing, name, 1_200);
-          playing.freeze(name, 1_200);
+    const site = await runWithRelays(seed, simulation =>
+      disturbRepeatedly(simulation, () => {
+        for (const name of relaysOf(simulation)) {
+          recordFault(simulation, name, 1_200);
+          simulation.freeze(name, 1_200);
         }
       }),
     );
@@ -91,12 +95,12 @@
 // was cancelled meanwhile.
 test('no task starts after its cancellation although starts reach other hosts seconds late', async () => {
   for (const seed of SEEDS) {
-    const site = await runWithRelays(seed, async playing => {
+    const site = await runWithRelays(seed, async simulation => {
       for (const name of RELAY_HOSTS) {
-        playing.peers.startDelays.set(name, 4_000);
+        simulation.peers.startDelays.set(name, 4_000);
       }
-      await playing.wait(12_000);
-      playing.peers.startDelays.clear();
+      await simulation.wait(12_000);
+      simulation.peers.startDelays.clear();
     });
     assertAllServed(site, `seed ${seed}`);
   }
@@ -124,13 +128,13 @@
 
 test('all jobs are done although hosts that send starts are cut off from the leader', async () => {
   for (const seed of SEEDS) {
-    const site = await runWithRelays(seed, playing =>
-      disturbRepeatedly(playing, () => {
-        const leader = playing.leader();
-        const cuts = relaysOf(playing).map(name => `${leader}>${name}`);
-        cuts.forEach(cut => playing.peers.cuts.add(cut));
-        playing.time.schedule(1_700, () => {
-          cuts.forEach(cut => playing.peers.cuts.delete(cut));
+    const site = await runWithRelays(seed, simulation =>
+      disturbRepeatedly(simulation, () => {
+        const leader = simulation.leader();
+        const cuts = relaysOf(simulation).map(name => `${leader}>${name}`);
+        cuts.forEach(cut => simulation.peers.cuts.add(cut));
+        simulation.time.schedule(1_700, () => {
+          cuts.forEach(cut => simulation.peers.cuts.delete(cut));
         });
       }),
     );
@@ -141,14 +145,14 @@
 // The leader reaches the worker, which must be neither abandoned nor left without work.
 test('all jobs are done although hosts that send starts are cut off from workers', async () => {
   for (const seed of SEEDS) {
-    const site = await runWithRelays(seed, async playing => {
+    const site = await runWithRelays(seed, async simulation => {
       for (const worker of RELAY_WORKERS) {
-        for (const name of relaysOf(playing)) {
-          playing.fleet.brokenLinks.add(`${name}>${worker}`);
+        for (const name of relaysOf(simulation)) {
+          simulation.fleet.brokenLinks.add(`${name}>${worker}`);
         }
       }
-      await playing.wait(10_000);
-      playing.fleet.brokenLinks.clear();
+      await simulation.wait(10_000);
+      simulation.fleet.brokenLinks.clear();
     });
     assertAllServed(site, `seed ${seed}`);
   }
@@ -156,14 +160,14 @@
 
 test('all jobs are done although leaders change while others send their starts', async () => {
   for (const seed of SEEDS) {
-    const site = await runWithRelays(seed, playing =>
-      disturbRepeatedly(playing, () => {
-        const leader = playing.leader();
-        for (const name of relaysOf(playing)) {
-          playing.peers.startDelays.set(name, 150);
+    const site = await runWithRelays(seed, simulation =>
+      disturbRepeatedly(simulation, () => {
+        const leader = simulation.leader();
+        for (const name of relaysOf(simulation)) {
+          simulation.peers.startDelays.set(name, 150);
         }
-        playing.time.schedule(100, () => {
-          killAndRestart(playing, leader, 700);
+        simulation.time.schedule(100, () => {
+          killAndRestart(simulation, leader, 700);
         });
       }),
     );
@@ -173,11 +177,11 @@
 
 test('a leader that does not know that it was replaced starts nothing through other hosts', async () => {
   for (const seed of SEEDS) {
-    const site = await runWithRelays(seed, playing =>
-      disturbRepeatedly(playing, () => {
-        const leader = playing.leader();
-        recordFault(playing, leader, 2_000);
-        playing.freeze(leader, 2_000);
+    const site = await runWithRelays(seed, simulation =>
+      disturbRepeatedly(simulation, () => {
+        const leader = simulation.leader();
+        recordFault(simulation, leader, 2_000);
+        simulation.freeze(leader, 2_000);
       }),
     );
     assertAllServed(site, `seed ${seed}`);
--- a/packages/daemon/src/job-host/replica.ts
+++ b/packages/daemon/src/job-host/replica.ts
@@ -225,7 +225,7 @@
     return this.leaseEnds.leasesToHandOver(epoch, heldMs, this.ctx.clock());
   }
 
-  /** Returns how long before `now` the newest heartbeat was written. */
+  /** Returns bounds of the time from the writing of the newest heartbeat until `now`. */
   heartbeatAge(now: Instant): SpanBounds {
     if (this.heartbeat === undefined) {
       return UNKNOWN_SPAN;
--- a/packages/daemon/src/job-host/restarts-deployment.fixture.test.ts
+++ b/packages/daemon/src/job-host/restarts-deployment.fixture.test.ts
@@ -71,12 +71,14 @@
 }
 
 /** Runs restarts while jobs are submitted; returns the deployment once all jobs should be done. */
-export async function runRestarts(play: RestartsScenario): Promise<Simulation> {
-  const site = await deploymentWithRestarts(play);
+export async function runRestarts(
+  scenario: RestartsScenario,
+): Promise<Simulation> {
+  const site = await deploymentWithRestarts(scenario);
   void submitShortJobs(site);
   for (let turn = 0; turn < RESTART_ROUNDS; turn += 1) {
     await site.time.advance(RESTART_INTERVAL_MS);
-    void play.restart(site, turn);
+    void scenario.restart(site, turn);
   }
   await site.time.advance(
     Math.max(RECOVERY_MS, SHORT_JOBS * SHORT_JOB_INTERVAL_MS),
@@ -107,19 +109,19 @@
 export function restartWorkers(
   site: Simulation,
   machines: readonly string[],
-  awayMs: Millis,
+  downtimeMs: Millis,
 ): void {
   const from = site.time.clock();
-  site.history.faults?.add({ from, until: from + awayMs, of: 'workers' });
+  site.history.faults?.add({ from, until: from + downtimeMs, of: 'workers' });
   for (const machine of machines) {
-    site.restartWorker(machine, awayMs);
+    site.restartWorker(machine, downtimeMs);
   }
 }
 
-/** Returns a restart of one worker after the other, each unavailable for `awayMs`. */
-export function restartOneByOne(awayMs: number): Restart {
+/** Returns a restart of one worker after the other, each unavailable for `downtimeMs`. */
+export function restartOneByOne(downtimeMs: number): Restart {
   return (site, turn) => {
-    restartWorkers(site, WORKERS.slice(turn, turn + 1), awayMs);
+    restartWorkers(site, WORKERS.slice(turn, turn + 1), downtimeMs);
   };
 }
 
@@ -130,16 +132,16 @@
   }
 }
 
-/** Kills a host and restarts it after `awayMs`. */
+/** Kills a host and restarts it after `downtimeMs`. */
 export function restartHost(
   site: Simulation,
   host: string,
-  awayMs: Millis,
+  downtimeMs: Millis,
 ): void {
   const from = site.time.clock();
-  site.history.faults?.add({ from, until: from + awayMs, of: { host } });
+  site.history.faults?.add({ from, until: from + downtimeMs, of: { host } });
   site.kill(host);
-  site.time.schedule(awayMs, () => site.startHost(host));
+  site.time.schedule(downtimeMs, () => site.startHost(host));
 }
 
 /** Disconnects a worker from all hosts for `span`. */
--- a/packages/daemon/src/job-host/simulated-network.fixture.test.ts
+++ b/packages/daemon/src/job-host/simulated-network.fixture.test.ts
@@ -75,9 +75,9 @@
         order(CALL_BYTES + start.payload.length, () => port.start(to, start)),
       stop: (to, run) => order(CALL_BYTES, () => port.stop(to, run)),
       throttle: (to, run) => order(CALL_BYTES, () => port.throttle(to, run)),
-      poll: async (to, look, takeLate) => {
+      poll: async (to, poll, takeLate) => {
         await this.carry(CALL_BYTES);
-        return port.poll(to, look, takeLate);
+        return port.poll(to, poll, takeLate);
       },
     };
   }
--- a/packages/daemon/src/job-host/simulated-wire.fixture.test.ts
+++ b/packages/daemon/src/job-host/simulated-wire.fixture.test.ts
@@ -260,11 +260,11 @@
     send: (onAccepted: () => void) => Promise<R>,
   ): Promise<R | undefined> {
     return new Promise(resolve => {
-      let isOver = false;
+      let hasEnded = false;
       let holds = false;
       const end = (res: R | undefined): void => {
-        if (!isOver) {
-          isOver = true;
+        if (!hasEnded) {
+          hasEnded = true;
           cancelAcceptTimeout();
           cancelAnswerTimeout();
           if (holds) {
@@ -280,7 +280,7 @@
       const cancelAnswerTimeout = this.time.schedule(answeredMs, timeOut);
       const begin = async (): Promise<void> => {
         const isNew = await pool.acquire();
-        if (isOver) {
+        if (hasEnded) {
           pool.release(!isNew);
           return;
         }
@@ -362,9 +362,9 @@
 function poolOf(
   pools: Map<string, ConnectionPool>,
   address: string,
-  most: number,
+  maxSize: number,
 ): ConnectionPool {
-  const found = pools.get(address) ?? new ConnectionPool(most);
+  const found = pools.get(address) ?? new ConnectionPool(maxSize);
   pools.set(address, found);
   return found;
 }
--- a/packages/daemon/src/job-host/simulation.fixture.test.ts
+++ b/packages/daemon/src/job-host/simulation.fixture.test.ts
@@ -130,7 +130,7 @@
     seed: number,
     {
       maxLeaseMs = MAX_LEASE_MS,
-      workerRestartMs: revivalMs = WORKER_RESTART_MS,
+      workerRestartMs = WORKER_RESTART_MS,
       keepsIds = false,
       linkBytesPerS = Infinity,
       relayAllStarts = process.env.TEST_RELAYS !== undefined,
@@ -155,10 +155,10 @@
       const from = clock();
       this.history.faults?.add({
         from,
-        until: from + revivalMs,
+        until: from + workerRestartMs,
         of: 'workers',
       });
-      schedule(revivalMs, () => {
+      schedule(workerRestartMs, () => {
         if (this.fleet.at(machine) === undefined) {
           this.addWorker(machine, labels);
         }
@@ -194,10 +194,14 @@
     }
   }
 
-  /** Ends the incarnation of the worker on `machine` and starts another one after `awayMs`. */
-  restartWorker(machine: string, awayMs: Millis, capacity = CAPACITY): void {
+  /** Ends the incarnation of the worker on `machine` and starts another one after `downtimeMs`. */
+  restartWorker(
+    machine: string,
+    downtimeMs: Millis,
+    capacity = CAPACITY,
+  ): void {
     this.fleet.crash(machine);
-    this.time.schedule(awayMs, () => {
+    this.time.schedule(downtimeMs, () => {
       this.addWorker(machine, [], capacity);
     });
   }
--- a/packages/daemon/src/job-host/start-job-host.ts
+++ b/packages/daemon/src/job-host/start-job-host.ts
@@ -79,7 +79,7 @@
   ) => Promise<void>;
   /** The newest configuration; undefined before the first. */
   readonly config: () => OperatorConfig | undefined;
-  /** Whether callers should be sent here. */
+  /** Whether this host is ready to serve callers. */
   readonly ready: () => boolean;
   /** Values read when the metrics are scraped. */
   readonly gauges: JobGauges;
@@ -259,7 +259,7 @@
         ctx: options.ctx,
         jobLog,
         replica,
-        role: role,
+        role,
         cores: options.cores,
         stopped: () => this.stopping,
       });
--- a/packages/daemon/src/job-host/suspended-hosts.test.ts
+++ b/packages/daemon/src/job-host/suspended-hosts.test.ts
@@ -14,7 +14,7 @@
 } from './long-running-deployment.fixture.test.js';
 
 const SEEDS = [1, 2, 3, 4, 5, 6];
-/** Range of the time for which a machine is suspended, and maximum time between suspensions. */
+/** Bounds of the time for which a machine is suspended, and maximum time between suspensions. */
 const MIN_SUSPENSION_MS = 3_000;
 const MAX_SUSPENSION_MS = 8_000;
 const MAX_UP_MS = 10_000;
