--- a/packages/daemon/src/job-host/append-batcher.ts
+++ b/packages/daemon/src/job-host/append-batcher.ts
@@ -17,7 +17,7 @@
 const MAX_BATCH_RECORDS = 400;
 
 /** Time without an answer after which the next batch is sent, since the answer may be lost. */
-const MAX_TURN_MS: Millis = 250;
+const BATCH_TIMEOUT_MS: Millis = 250;
 
 /**
  * Limits the inbox to a few appends a second. The log carries out the appends of a partition one
@@ -59,7 +59,7 @@
       const appending = this.appendOnce(records).then(result => {
         settleAll(current, result);
       });
-      await withTimeout(ctx, appending, MAX_TURN_MS);
+      await withTimeout(ctx, appending, BATCH_TIMEOUT_MS);
     }
     this.isSending = false;
   }
--- a/packages/daemon/src/job-host/link-meters.ts
+++ b/packages/daemon/src/job-host/link-meters.ts
@@ -19,7 +19,7 @@
   const lastTotals = new Map<K, BytesSoFar>();
   const bytes: Counter = new Counter({
     name: 'paddlewind_jobs_link_bytes_total',
-    help: 'Bytes on connections that this host has opened, by what is at the other end, and direction.',
+    help: 'Bytes on connections that this host has opened, by kind of peer and direction.',
     labelNames: ['peer', 'direction'],
     registers: [registry],
     collect: () => {
