--- a/packages/daemon/src/job-host/leader-records.ts
+++ b/packages/daemon/src/job-host/leader-records.ts
@@ -72,6 +72,9 @@
   times: RunTimes,
   interference: Interference,
 ): JournalRecord {
-  const learnt = { runTimes: times.learnt(), ...interference.learnt() };
+  const learnt = {
+    runTimes: times.learnedAverages(),
+    ...interference.learnedEstimates(),
+  };
   return { kind: 'learnt', learnt };
 }
--- a/packages/domain/src/jobs/interference.ts
+++ b/packages/domain/src/jobs/interference.ts
@@ -124,7 +124,7 @@
   }
 
   /** Returns the learned estimates, from which another model can start. */
-  learnt(): Pick<LearnedEstimates, 'pressures' | 'lowTails'> {
+  learnedEstimates(): Pick<LearnedEstimates, 'pressures' | 'lowTails'> {
     const pressures = [...this.pressures.entries()].slice(-MAX_LEARNED_ENTRIES);
     return {
       pressures: pressures.map(([pair, { mean, variance }]) => [
--- a/packages/domain/src/jobs/learned-estimates.test.ts
+++ b/packages/domain/src/jobs/learned-estimates.test.ts
@@ -49,7 +49,7 @@
 
 /** Returns the pressure that a model expects for the pair. */
 function pressureOf(model: Interference): number {
-  const { pressures } = model.learnt();
+  const { pressures } = model.learnedEstimates();
   return pressures.find(([pair]) => pair === 's/f')?.[1] ?? 0;
 }
 
@@ -59,7 +59,10 @@
   learnPressure(state, model);
   const times = createRunTimes();
   times.recordRun(taskOf(state, 'f', 0, 0).step, 1_700);
-  const estimates = { runTimes: times.learnt(), ...model.learnt() };
+  const estimates = {
+    runTimes: times.learnedAverages(),
+    ...model.learnedEstimates(),
+  };
   applyRecord(state, { kind: 'learnt', learnt: estimates });
   const next = new Interference(state.learnedEstimates);
   assert.ok(pressureOf(model) > 2);
@@ -76,7 +79,7 @@
   );
   const estimates = { runTimes: [], pressures, lowTails: [] };
   const model = new Interference({ estimates, readAt: 0 });
-  assert.equal(model.learnt().pressures.length, MAX_LEARNED_ENTRIES);
+  assert.equal(model.learnedEstimates().pressures.length, MAX_LEARNED_ENTRIES);
 });
 
 // Values that are not numbers were recorded as null, and each leader that read them failed when it recorded
@@ -101,12 +104,14 @@
   const state = busyState();
   applyRecord(state, record);
   const model = new Interference(state.learnedEstimates);
-  assert.deepEqual(model.learnt(), {
+  assert.deepEqual(model.learnedEstimates(), {
     pressures: [['s/i', 3, 1]],
     lowTails: [],
   });
   assert.deepEqual(
-    createRunTimes(state.learnedEstimates?.estimates.runTimes).learnt(),
+    createRunTimes(
+      state.learnedEstimates?.estimates.runTimes,
+    ).learnedAverages(),
     [],
   );
 });
--- a/packages/domain/src/jobs/run-times.ts
+++ b/packages/domain/src/jobs/run-times.ts
@@ -19,7 +19,7 @@
   /** Records a run that completed after `runTimeMs` without having resumed from a checkpoint. */
   recordRun(step: Step, runTimeMs: Millis): void;
   /** Returns the learned averages, from which another instance can start. */
-  learnt(): LearnedEstimates['runTimes'];
+  learnedAverages(): LearnedEstimates['runTimes'];
 }
 
 /** Creates run times that start from the averages of an earlier instance. */
@@ -47,7 +47,7 @@
           : average * (1 - NEW_RUN_WEIGHT) + runTimeMs * NEW_RUN_WEIGHT,
       );
     },
-    learnt: () =>
+    learnedAverages: () =>
       [...averages]
         .slice(-MAX_LEARNED_ENTRIES)
         .map(([key, average]) => [key, Math.round(average)]),
